--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,5 +1,8 @@
 //! Which machines to rent and to return. Pure: needs and machines in, wishes out.
 
+#[cfg(test)]
+mod tests;
+
 use crate::part::{Load, MachineState, Need, Part};
 use std::collections::{HashMap, VecDeque};
 
@@ -25,6 +28,8 @@
 #[derive(Default)]
 pub struct Fleet {
     refused: HashMap<Offer, Backoff>,
+    /// When each offer was last asked for.
+    requested_at: HashMap<Offer, u64>,
     /// Demand of late.
     demand: VecDeque<Demand>,
 }
@@ -58,6 +63,19 @@
         self.refused.remove(&offer);
     }
 
+    /// The wish to carry out next: the most urgent one whose offer was not asked for within the last `rest_ms`, or else the
+    /// most urgent one.
+    ///
+    /// While urgent jobs stream in, each call for them alone would bring a few machines only and all other work would wait;
+    /// after the rest, one call brings what has come together.
+    pub fn next_request(&mut self, wishes: Vec<Wish>, rest_ms: u64, now: u64) -> Option<Wish> {
+        let rests = |w: &Wish| self.requested_at.get(&w.offer).is_some_and(|at| now < at + rest_ms);
+        let rested = wishes.iter().position(|w| !rests(w)).unwrap_or(0);
+        let next = wishes.into_iter().nth(rested)?;
+        self.requested_at.insert(next.offer, now);
+        Some(next)
+    }
+
     fn open(&self, offer: &Offer, now: u64) -> bool {
         self.refused.get(offer).is_none_or(|b| b.until <= now)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,5 +16,6 @@
 pub mod peer;
 pub mod placement;
 pub mod protocol;
+pub mod rate;
 pub mod store;
 pub mod worker;
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -12,6 +12,10 @@
 /// Time between rounds of durable writes of the leader.
 pub(super) const FLUSH_MS: u64 = 500;
 
+/// Share of the cloud's request rate that a leader uses; the rest is for a node that has yet to read the machine types, and
+/// for the leader before, whose calls may still be under way.
+pub(super) const CLOUD_SHARE: f64 = 0.9;
+
 /// Where the time comes from.
 pub(super) enum Clock {
     /// The steady clock and the time of day.
@@ -77,6 +81,8 @@
     pub(super) hires: u64,
     pub(super) readers: Vec<oneshot::Sender<u64>>,
     pub(super) pacer: Pacer,
+    /// How often the cloud may be called.
+    pub(super) cloud_calls: TokenBucket,
     pub(super) due: Due,
 }
 
@@ -88,6 +94,7 @@
         let state = &settings.platform.deployment.state;
         // Users get at most two thirds of the changes; the rest is for the leader's books.
         let user_changes = state.write_rps * 2.0 / 3.0 / (settings.platform.peers.len() + 1) as f64;
+        let cloud_rps = settings.platform.deployment.cloud.rps * CLOUD_SHARE;
         Core {
             lead: Leadership::new(ttl, settings.grace_ms()),
             settings,
@@ -111,6 +118,7 @@
             hires: 0,
             readers: Vec::new(),
             pacer: Pacer::new(user_changes),
+            cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
             due: Due::default(),
         }
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -11,7 +11,7 @@
 use self::core::{over_view, Clock, Core, Pass, Stranger, FLUSH_MS, PASS_MS, STRANGERS, TICK_MS};
 use crate::cloud::{CloudClient, Rented, RELEASE_MOST};
 use crate::config::Settings;
-use crate::fleet::{Fleet, Offer};
+use crate::fleet::{Fleet, Offer, Wish};
 use crate::leader::{Event, Leadership, Right};
 use crate::pacer::Pacer;
 use crate::part::{Direct, MachineState, Params, Part, Taken};
@@ -19,6 +19,7 @@
 use crate::protocol::{
     self as wire, JobSpec, JobState, JobView, Kind, MachineType, RentRequest, Report, ReportReply, Txn,
 };
+use crate::rate::TokenBucket;
 use crate::store::{
     self, guard, put, Decided, HireRecord, LeaderRecord, LiveRecord, Mirror, OverRecord, Seen, StoreClient, StoreError,
 };
--- a/src/node/renting.rs
+++ b/src/node/renting.rs
@@ -2,20 +2,29 @@
 
 use super::*;
 
+/// Time between two rounds of the fleet's decisions.
+const FLEET_MS: u64 = 200;
+/// For so many calls an offer rests while others are wanted.
+const REST_CALLS: f64 = 2.9;
 /// Unexpected machines that are asked at a time.
 const ADOPTIONS: usize = 16;
 
 impl Shared {
     pub(super) async fn fleet(self) {
-        let (gap, list_ms) = {
-            let c = &self.core.borrow().settings.platform.deployment.cloud;
-            ((1000.0 / c.rps) as u64 + 50, ((c.list_lag_s * 1000.0) as u64).max(4000))
+        let list_ms = {
+            let cloud = &self.core.borrow().settings.platform.deployment.cloud;
+            ((cloud.list_lag_s * 1000.0) as u64).max(4000)
         };
         let (mut types_at, mut list_at) = (None::<u64>, 0);
         let mut page = None;
         let adopting = Rc::new(Cell::new(0usize));
+        let mut rented = false;
         loop {
-            pause(200).await;
+            // While the cloud's request rate is all that holds rentals up, the next one is decided at once.
+            if !rented {
+                pause(FLEET_MS).await;
+            }
+            rented = false;
             let now = self.core.borrow().now();
             let (leads, typeless) = {
                 let core = self.core.borrow();
@@ -23,19 +32,17 @@
             };
             if (leads || typeless) && types_at.is_none_or(|t| now > t + if typeless { 1000 } else { 20_000 }) {
                 types_at = Some(now);
+                self.await_cloud_call().await;
                 if let Some(types) = self.cloud.catalogue().await {
                     self.core.borrow_mut().take_types(&types);
                     self.store_types(types).await;
                 }
-                pause(gap).await;
             }
             if !leads {
                 continue;
             }
             self.adopt(&adopting);
-            if self.release().await {
-                pause(gap).await;
-            }
+            self.release().await;
             // A page a round: a list of thousands takes seconds, in which what fell together would wait for its release.
             if now > list_at + list_ms && page.is_none() {
                 list_at = now;
@@ -43,23 +50,53 @@
             }
             if let Some(after) = page.take() {
                 page = self.list(&after).await;
-                pause(gap).await;
             }
-            let open = self.settle_hires(gap).await;
-            for (offer, count) in self.decide() {
-                // While the answer to a request is unknown, its machines may be on their way.
-                if open || !self.hire(offer, count).await {
-                    break;
-                }
-                pause(gap).await;
-                // What is to be released may hold up replicas.
-                if self.core.borrow().part.as_ref().is_none_or(|p| !p.leaving(1).is_empty()) {
-                    break;
-                }
+            // While the answer to a request is unknown, its machines may be on their way.
+            if self.settle_hires().await {
+                continue;
+            }
+            rented = self.rent_most_urgent().await;
+        }
+    }
+
+    /// Waits until the cloud may be called again.
+    async fn await_cloud_call(&self) {
+        loop {
+            let slot = {
+                let mut core = self.core.borrow_mut();
+                let now = core.now();
+                core.cloud_calls.take(now)
+            };
+            match slot {
+                Ok(()) => return,
+                Err(wait_ms) => pause(wait_ms).await,
             }
         }
     }
 
+    /// Decides what to rent and carries out the most urgent rental; true if it was answered.
+    ///
+    /// The rest is decided anew after it. While jobs stream in and the cloud's request rate is scarce, a list of rentals that
+    /// was carried out call by call was seconds old at its end, and spent whole calls on a few machines.
+    async fn rent_most_urgent(&self) -> bool {
+        // Without a wish no call is spent, and what the look ahead stops for others is not held up by the rate.
+        if self.decide().is_empty() {
+            return false;
+        }
+        self.await_cloud_call().await;
+        let wishes = self.decide();
+        let next = {
+            let mut core = self.core.borrow_mut();
+            let now = core.now();
+            let call_ms = 1000.0 / (core.settings.platform.deployment.cloud.rps * core::CLOUD_SHARE);
+            core.fleet.next_request(wishes, (REST_CALLS * call_ms) as u64, now)
+        };
+        match next {
+            Some(wish) => self.hire(wish.offer, wish.count).await,
+            None => false,
+        }
+    }
+
     /// Keeps the machine types in the store, so that a node that starts while the cloud is down knows them.
     pub(super) async fn store_types(&self, types: Vec<MachineType>) {
         let (guards, same) = {
@@ -79,7 +116,7 @@
     }
 
     /// What to rent and what to return.
-    pub(super) fn decide(&self) -> Vec<(Offer, u32)> {
+    pub(super) fn decide(&self) -> Vec<Wish> {
         let mut core = self.core.borrow_mut();
         // The calls before this one may have taken seconds: a leader cut off meanwhile once gave up machines that its
         // heir was using.
@@ -117,20 +154,18 @@
         core.fleet.returns(part, idle_ms, rise_ms, now);
         let mut wishes = core.fleet.wishes(part, &needs, now);
         wishes.extend(core.fleet.ahead(part, rise_ms, now));
-        wishes.into_iter().map(|w| (w.offer, w.count)).collect()
+        wishes
     }
 
-    pub(super) async fn release(&self) -> bool {
-        let names: Vec<String> = {
-            let core = self.core.borrow();
-            if core.right() != Right::Full {
-                return false;
-            }
-            let Some(part) = core.part.as_ref() else { return false };
-            part.leaving(RELEASE_MOST)
-        };
+    pub(super) async fn release(&self) {
+        if self.leaving().is_empty() {
+            return;
+        }
+        self.await_cloud_call().await;
+        // Asked again, since the right to release may have ended during the wait.
+        let names = self.leaving();
         if names.is_empty() {
-            return false;
+            return;
         }
         let ok = self.cloud.release(&names).await;
         let mut core = self.core.borrow_mut();
@@ -148,7 +183,15 @@
         } else {
             tracing::info!(machines = ?names, "release not confirmed");
         }
-        true
+    }
+
+    /// Machines that this node may release now.
+    fn leaving(&self) -> Vec<String> {
+        let core = self.core.borrow();
+        match core.part.as_ref() {
+            Some(part) if core.right() == Right::Full => part.leaving(RELEASE_MOST),
+            _ => Vec::new(),
+        }
     }
 
     /// Takes machines that nobody expected into the store, so that they are used or returned. A few at a time and beside
@@ -227,6 +270,7 @@
 
     /// Takes in one page of the list; returns where the next one begins.
     pub(super) async fn list(&self, after: &str) -> Option<String> {
+        self.await_cloud_call().await;
         let (machines, more) = self.cloud.list(after).await?;
         let mut core = self.core.borrow_mut();
         let now = core.now();
@@ -252,7 +296,7 @@
     }
 
     /// Repeats rental requests whose answer is not known; true while some remain.
-    pub(super) async fn settle_hires(&self, gap: u64) -> bool {
+    pub(super) async fn settle_hires(&self) -> bool {
         let open: Vec<(String, HireRecord, u64)> = {
             let core = self.core.borrow();
             let unknown = core.mirror.hires.iter().filter(|(_, h)| h.record.machines.is_none());
@@ -260,8 +304,8 @@
         };
         let mut left = false;
         for (name, record, version) in open {
+            self.await_cloud_call().await;
             left |= !self.call_hire(&name, record, version).await;
-            pause(gap).await;
         }
         left
     }
@@ -311,7 +355,9 @@
         self.note_offer(&record, got.len());
         record.machines = Some(got);
         match self.txn(&store::hire_txn(&guard(store::epoch_key(), epoch), name, version, &record)).await {
-            Ok(Decided::Applied(_)) => {
+            Ok(Decided::Applied(version)) => {
+                // Until the watch brings it, the request would be taken for one whose answer is unknown, and called again.
+                self.core.borrow_mut().mirror.put_hire(name, record.clone(), version);
                 self.add_machines(&record);
                 true
             }
--- a/src/store.rs
+++ b/src/store.rs
@@ -231,11 +231,7 @@
                 }
                 Some(())
             }),
-            "hire" => record::<HireRecord>(value).map(|record| {
-                if newer(self.hires.get(name), version) {
-                    self.hires.insert(name.to_string(), Versioned { record, version });
-                }
-            }),
+            "hire" => record::<HireRecord>(value).map(|record| self.put_hire(name, record, version)),
             "leader" => record::<LeaderRecord>(value).map(|record| {
                 if newer(self.leader.as_ref(), version) {
                     self.leader = Some(Versioned { record, version });
@@ -259,6 +255,13 @@
         }
     }
 
+    /// Takes in a rental request, read or just written by this node; a version older than the known one is ignored.
+    pub fn put_hire(&mut self, name: &str, record: HireRecord, version: u64) {
+        if self.hires.get(name).is_none_or(|known| known.version < version) {
+            self.hires.insert(name.to_string(), Versioned { record, version });
+        }
+    }
+
     fn delete(&mut self, key: &str, version: u64, seen: &mut Vec<Seen>) {
         let Some(rest) = key.strip_prefix(ROOT) else { return };
         let (family, name) = rest.split_once('/').unwrap_or((rest, ""));
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -31,6 +31,26 @@
     assert!(m.over("wk-9").unwrap().cancelled);
 }
 
+#[test]
+fn a_request_whose_answer_this_node_has_written_is_no_longer_open() {
+    let open = HireRecord { machine_type: "m".into(), zone: "a".into(), spot: false, count: 2, machines: None };
+    let answered = HireRecord { machines: Some(vec!["n-1".into()]), ..open.clone() };
+    let event = |record: &HireRecord, version| {
+        let value = Value::serialized(record).unwrap();
+        Event::Put { put: hire_key("r-1"), value, version }
+    };
+    let mut m = Mirror::default();
+    m.apply(4, &[event(&open, 4)]);
+    m.put_hire("r-1", answered.clone(), 6);
+    // The watch is behind: what it brings now is older. Without this, each request was called a second time.
+    m.apply(5, &[event(&open, 4)]);
+    assert_eq!(m.hires["r-1"].record, answered);
+    m.apply(6, &[event(&answered, 6)]);
+    assert_eq!(m.hires["r-1"].version, 6);
+    m.apply(7, &[Event::Delete { key: hire_key("r-1"), version: 7 }]);
+    assert!(m.hires.is_empty());
+}
+
 /// A stand-in for the state service's transactions.
 #[derive(Default)]
 struct Service {
