--- a/src/api.rs
+++ b/src/api.rs
@@ -4,7 +4,9 @@
 mod tests;
 
 use crate::limiter::Limiter;
-use crate::node::{Abort, Answer, Health, Node, PeerCancelled, PeerView, Poll, Submit, WorkerAnswer, WorkerReport};
+use crate::node::{
+    Abort, Answer, Health, Node, PeerCancelled, PeerView, Poll, Submit, TimedAnswer, WorkerAnswer, WorkerReport,
+};
 use crate::peer;
 use crate::protocol::{self as wire, decode, encode, JobSpec, Report, BODY_LIMIT};
 use actix::Addr;
@@ -127,15 +129,25 @@
     }
 }
 
+/// The response to a report. One that was decided under a right that has ended since, while the process stood still, is not
+/// sent: it might start what has been cancelled meanwhile, or renew a lease.
+fn worker_response(timed: TimedAnswer, now: Instant) -> HttpResponse {
+    let valid = timed.valid_until.is_some_and(|until| now < until);
+    match timed.answer {
+        WorkerAnswer::Reply(orders) if valid => reply(200, encode(&orders)),
+        WorkerAnswer::Elsewhere(report_to) => reply(421, encode(&wire::Redirect { report_to })),
+        WorkerAnswer::Reply(_) | WorkerAnswer::Later => plain(503, "no right to act"),
+    }
+}
+
 async fn hello(door: web::Data<Door>, body: web::Bytes) -> HttpResponse {
     let Some(report) = decode::<Report>(&body) else {
         tracing::info!(bytes = body.len(), "report not understood");
         return plain(400, "malformed");
     };
     let mut r = match door.node.send(WorkerReport(report)).await {
-        Ok(WorkerAnswer::Reply(r)) => reply(200, encode(&r)),
-        Ok(WorkerAnswer::Elsewhere(report_to)) => reply(421, encode(&wire::Redirect { report_to })),
-        _ => plain(503, "no right to act"),
+        Ok(timed) => worker_response(timed, Instant::now()),
+        Err(_) => plain(503, "stopping"),
     };
     // A worker that is not served here goes on to another node.
     if r.status() != 200 || !door.connections.keep() {
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -155,6 +155,12 @@
         });
     }
 
+    /// When the full right ends.
+    fn full_until(&self) -> u64 {
+        let full = (self.ttl_ms as f64 * (1.0 - DRIFT)) as u64;
+        self.renewed.min(self.known) + full.saturating_sub(MARGIN_MS)
+    }
+
     /// What may be done now.
     ///
     /// A renewal alone once gave the full right back: after a refusal or an outage, in which open watches wait silently and
@@ -164,8 +170,7 @@
         if !matches!(self.role, Role::Leading { .. }) {
             return Right::None;
         }
-        let full = (self.ttl_ms as f64 * (1.0 - DRIFT)) as u64;
-        let until = self.renewed.min(self.known) + full.saturating_sub(MARGIN_MS);
+        let until = self.full_until();
         if now < until {
             Right::Full
         } else if now < until + self.grace_ms {
@@ -175,6 +180,16 @@
         }
     }
 
+    /// When the present right ends, unless a renewal or a read that is under way extends it.
+    pub fn right_ends(&self, now: u64) -> u64 {
+        let until = self.full_until();
+        match self.right(now) {
+            Right::None => now,
+            Right::Full => until,
+            Right::Renew => until + self.grace_ms,
+        }
+    }
+
     /// Whether the mirror is behind a read that was sent before `before`: its watch may wait silently.
     pub fn behind(&self, before: u64) -> bool {
         self.reads.iter().any(|(sent, _)| *sent < before)
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -99,3 +99,16 @@
     assert!(!l.apply(Event::Won { epoch: 1, version: 1, hold: 1, sent: 1 }));
     assert_eq!(*l.role(), Role::Follower);
 }
+
+#[test]
+fn a_right_ends_when_its_newest_renewal_says() {
+    let mut l = leading();
+    assert_eq!(l.right_ends(1500), 2848);
+    assert_eq!(l.right(l.right_ends(1500) - 1), Right::Full);
+    assert_eq!(l.right(l.right_ends(1500)), Right::Renew);
+    assert_eq!(l.right_ends(3000), 12_848);
+    assert_eq!(l.right(l.right_ends(3000)), Right::None);
+    assert_eq!(l.right_ends(20_000), 20_000);
+    l.apply(Event::Ended);
+    assert_eq!(l.right_ends(1500), 1500);
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod pacer;
 pub mod part;
 pub mod peer;
+pub mod permit;
 pub mod placement;
 pub mod protocol;
 pub mod rate;
--- a/src/node/books.rs
+++ b/src/node/books.rs
@@ -13,6 +13,7 @@
 
     /// A leader's round: what time brings, placing, and at most `room` messages, of them at most `probes` empty ones.
     pub(super) fn pass(&mut self, room: usize, probes: usize) -> Pass {
+        self.notice_pause();
         let (now, right) = (self.now(), self.right());
         let (direct, alone) = (self.settings.operator.direct_starts, self.settings.platform.peers.is_empty());
         let Some(part) = self.part.as_mut() else { return Pass::Nothing };
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -7,6 +7,8 @@
 pub(super) const STRANGERS: usize = 1000;
 /// Time between looks at what time alone brings.
 pub(super) const TICK_MS: u64 = 100;
+/// A longer time between two rounds means that the process stood still.
+const PAUSE_MS: u64 = 1000;
 /// Least time between two rounds of placing and sending.
 pub(super) const PASS_MS: u64 = 20;
 /// Time between rounds of durable writes of the leader.
@@ -84,6 +86,8 @@
     /// How often the cloud may be called.
     pub(super) cloud_calls: TokenBucket,
     pub(super) due: Due,
+    /// When the last round of `pass` was.
+    passed_at: u64,
 }
 
 impl Core {
@@ -120,6 +124,7 @@
             pacer: Pacer::new(user_changes),
             cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
             due: Due::default(),
+            passed_at: 0,
         }
     }
 
@@ -145,6 +150,19 @@
         self.lead.right(self.now())
     }
 
+    /// Whether what was decided in a term may still be sent. Asked again right before each send: the process may have stood
+    /// still since the decision, while a cancellation was confirmed or another node began to lead.
+    pub(super) fn may_send(&self, term: Option<Term>) -> bool {
+        term.is_some() && self.term() == term && self.right() == Right::Full
+    }
+
+    /// The moment at which an answer to a worker that is decided now becomes void.
+    pub(super) fn answer_valid_until(&self) -> Option<Instant> {
+        let now = self.now();
+        let left_ms = self.lead.right_ends(now).saturating_sub(now);
+        Instant::now().checked_add(Duration::from_millis(left_ms))
+    }
+
     /// Number, version of the epoch key and hold, while leading.
     pub(super) fn term(&self) -> Option<Term> {
         self.lead.term()
@@ -323,6 +341,20 @@
                 || self.hints.known_by(&leader.record.node) >= revision)
     }
 
+    /// Notes that this node runs. After it stood still, or had no processor, what it has not heard meanwhile says nothing of
+    /// the state service and of the other nodes: a node that woke up once told the balancer that it was cut off.
+    pub(super) fn notice_pause(&mut self) {
+        let now = self.now();
+        let gap = now.saturating_sub(self.passed_at);
+        if self.passed_at > 0 && gap > PAUSE_MS {
+            let pause = gap - TICK_MS;
+            tracing::info!(pause, "stood still");
+            self.state_ok_at = (self.state_ok_at + pause).min(now);
+            self.others.stood_still(pause, now);
+        }
+        self.passed_at = now;
+    }
+
     /// Whether this node should get users: it is loaded, and if the state service does not answer it, then not it alone.
     /// A node that had lost the service and the others kept its users, and with its few connections was given more.
     pub(super) fn healthy(&self) -> bool {
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -129,7 +129,8 @@
                 let term = self.core.borrow().term();
                 flying.set(flying.get() + 1);
                 actix::spawn(async move {
-                    let answer = worker::send_direct(&me.http, &d).await;
+                    let permitted = || me.core.borrow().may_send(term);
+                    let answer = while_permitted(permitted, worker::send_direct(&me.http, &d)).await.flatten();
                     flying.set(flying.get() - 1);
                     me.core.borrow_mut().direct_answer(term, &d, answer.as_ref());
                     me.urgent.notify_one();
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -16,6 +16,7 @@
 use crate::pacer::Pacer;
 use crate::part::{Direct, MachineState, Params, Part, Taken};
 use crate::peer::{self, Cancelled, Hints, Others, View};
+use crate::permit::while_permitted;
 use crate::protocol::{
     self as wire, JobSpec, JobState, JobView, Kind, MachineType, RentRequest, Report, ReportReply, Txn,
 };
@@ -51,7 +52,7 @@
 pub struct Health;
 /// A worker reports.
 #[derive(Message)]
-#[rtype(result = "WorkerAnswer")]
+#[rtype(result = "TimedAnswer")]
 pub struct WorkerReport(pub Report);
 /// Another controller tells its view.
 #[derive(Message)]
@@ -86,6 +87,15 @@
     Later,
 }
 
+/// What a worker is told, and until when that may be sent.
+#[derive(Debug)]
+pub struct TimedAnswer {
+    /// The answer.
+    pub answer: WorkerAnswer,
+    /// When the right under which it was decided ends.
+    pub valid_until: Option<Instant>,
+}
+
 /// A connection that fails sooner was refused.
 const REFUSED_MS: u128 = 500;
 
@@ -373,7 +383,9 @@
     type Result = MessageResult<WorkerReport>;
     fn handle(&mut self, m: WorkerReport, _: &mut Self::Context) -> Self::Result {
         self.shared.urgent.notify_one();
-        MessageResult(self.shared.core.borrow_mut().report(&m.0))
+        let mut core = self.shared.core.borrow_mut();
+        let answer = core.report(&m.0);
+        MessageResult(TimedAnswer { answer, valid_until: core.answer_valid_until() })
     }
 }
 
--- a/src/node/renting.rs
+++ b/src/node/renting.rs
@@ -167,7 +167,9 @@
         if names.is_empty() {
             return;
         }
-        let ok = self.cloud.release(&names).await;
+        let term = self.core.borrow().term();
+        let permitted = || self.core.borrow().may_send(term);
+        let ok = while_permitted(permitted, self.cloud.release(&names)).await.unwrap_or(false);
         let mut core = self.core.borrow_mut();
         if ok {
             tracing::info!(machines = ?names, "released");
@@ -345,7 +347,9 @@
             spot: record.spot,
             count: record.count,
         };
-        let rented = self.cloud.rent(&request).await;
+        let term = self.core.borrow().term();
+        let permitted = || self.core.borrow().may_send(term);
+        let rented = while_permitted(permitted, self.cloud.rent(&request)).await.unwrap_or(Rented::Unknown);
         tracing::info!(hire = name, kind = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, ?rented, "rental");
         let got = match rented {
             Rented::Machines(m) => m,
--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -156,6 +156,28 @@
     }
 }
 
+/// A leader stands still between a decision and its sending, for longer and for less than its right lasts, while users call
+/// the job off through another node.
+#[test]
+fn a_leader_stands_still_between_a_decision_and_its_sending() {
+    for pause in [1500, 3000, 6000, 30_000] {
+        for offset in [0, 100, 700, 2600] {
+            let mut w = World::new(25, 4);
+            w.stands_still_ms = pause;
+            w.submit(spec("wk-1", 6), 60_000);
+            w.submit(spec("wk-2", 6), 5000);
+            w.run(100 + offset);
+            w.cancel(0, "wk-1");
+            if w.jobs["wk-1"].told.is_none() {
+                w.cancel(1, "wk-1");
+            }
+            w.run(pause + 30_000);
+            whole(&w);
+            settled(w);
+        }
+    }
+}
+
 #[test]
 fn small_jobs_end_far_apart_across_changes_of_leader() {
     let mut w = World::new(1, 4);
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -168,10 +168,39 @@
 }
 
 enum Message {
-    Report { node: usize, report: Report, copy: bool },
-    Reply { worker: String, session: u64, sent: u64, node: usize, answer: WorkerAnswer },
-    Direct { node: usize, life: u64, term: Option<Term>, direct: Direct, sent: u64 },
-    DirectAnswer { node: usize, life: u64, term: Option<Term>, direct: Direct, report: Option<Report> },
+    Report {
+        node: usize,
+        report: Report,
+        copy: bool,
+    },
+    Reply {
+        worker: String,
+        session: u64,
+        sent: u64,
+        node: usize,
+        answer: WorkerAnswer,
+    },
+    /// Decided, and sent by a controller that stood still in between.
+    Decided {
+        node: usize,
+        life: u64,
+        term: Option<Term>,
+        direct: Direct,
+    },
+    Direct {
+        node: usize,
+        life: u64,
+        term: Option<Term>,
+        direct: Direct,
+        sent: u64,
+    },
+    DirectAnswer {
+        node: usize,
+        life: u64,
+        term: Option<Term>,
+        direct: Direct,
+        report: Option<Report>,
+    },
     Late(Txn),
 }
 
@@ -216,6 +245,8 @@
     pub held_ms: u64,
     /// How long the answer to a write of the start log takes.
     pub write_ms: u64,
+    /// The next controller that decides to start something stands still for so long before it sends that.
+    pub stands_still_ms: u64,
     /// Watches that were silenced once stay silent, whatever is opened anew.
     pub watches_stuck: bool,
 }
@@ -273,6 +304,7 @@
             fetch_ms: 800,
             held_ms: 2000,
             write_ms: STEP,
+            stands_still_ms: 0,
             watches_stuck: false,
         };
         for _ in 0..3 {
@@ -653,6 +685,19 @@
             Pass::GiveUp => return self.give_up(n),
         };
         let (life, term) = (self.nodes[n].life, self.nodes[n].core.as_ref().unwrap().term());
+        let starts = |d: &Direct| d.orders.iter().any(|o| matches!(o, Order::Start { .. }));
+        if self.stands_still_ms > 0 && sends.iter().any(starts) {
+            let pause = std::mem::take(&mut self.stands_still_ms);
+            self.nodes[n].frozen_until = self.now() + pause;
+            for direct in sends {
+                self.send(pause, Message::Decided { node: n, life, term, direct });
+            }
+            return;
+        }
+        self.send_direct(n, life, term, sends);
+    }
+
+    fn send_direct(&mut self, n: usize, life: u64, term: Option<Term>, sends: Vec<Direct>) {
         for direct in sends {
             self.sent(&direct.orders);
             let hold = self.held > 0.0 && self.rng.gen_bool(self.held);
@@ -982,6 +1027,17 @@
                     }
                 }
             }
+            Message::Decided { node, life, term, direct } => {
+                if self.nodes[node].life != life {
+                    return;
+                }
+                let Some(core) = self.nodes[node].core.as_mut() else { return };
+                if core.may_send(term) {
+                    self.send_direct(node, life, term, vec![direct]);
+                } else {
+                    core.direct_answer(term, &direct, None);
+                }
+            }
             Message::Direct { node, life, term, direct, sent } => {
                 let name = direct.machine.clone();
                 let lost = |report| Message::DirectAnswer { node, life, term, direct: direct.clone(), report };
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -102,6 +102,11 @@
         self.reached_at = now;
     }
 
+    /// This node stood still for a time: that it heard nothing meanwhile says nothing of the others.
+    pub fn stood_still(&mut self, for_ms: u64, now: u64) {
+        self.reached_at = (self.reached_at + for_ms).min(now);
+    }
+
     /// Whether a node that the state service does not answer is alone with that: the service answers another one, or
     /// nothing of the others is reached either. In an outage, where the others are in the same case, it is not.
     pub fn alone(&self, now: u64) -> bool {
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -47,3 +47,18 @@
     (0..5000).for_each(|n| h.add("wk-3", 1, 100 + n));
     assert_eq!(h.unknown_to("c").unwrap().0.len(), HINTS);
 }
+
+#[test]
+fn a_node_that_stood_still_does_not_take_itself_for_cut_off() {
+    let mut o = Others::default();
+    o.told("b".into(), false, 1000);
+    // Silent for 30 s, through no fault of the others.
+    assert!(o.alone(31_000));
+    o.stood_still(29_900, 31_000);
+    assert!(!o.alone(31_000));
+    // They are silent while it runs: now it is.
+    assert!(o.alone(31_000 + APART_MS));
+    // Nothing is believed to have been heard in the future.
+    o.stood_still(1 << 40, 32_000);
+    assert!(o.alone(32_000 + APART_MS + 1));
+}
--- /dev/null
+++ b/src/permit.rs
@@ -0,0 +1,24 @@
+//! Calls that go on only while they are permitted.
+//!
+//! A process may stand still for seconds while its clocks run on, at any point: between the check of a right and the
+//! connection, or between the connection and the request. What was permitted before it is not permitted after it, so the
+//! check is repeated before each step of the call.
+
+#[cfg(test)]
+mod tests;
+
+use std::future::{poll_fn, Future};
+use std::pin::pin;
+use std::task::Poll;
+
+/// Runs a call; `None` if `permitted` was false before one of its steps. Its request may have been sent by then.
+pub async fn while_permitted<F: Future>(permitted: impl Fn() -> bool, call: F) -> Option<F::Output> {
+    let mut call = pin!(call);
+    poll_fn(|context| {
+        if !permitted() {
+            return Poll::Ready(None);
+        }
+        call.as_mut().poll(context).map(Some)
+    })
+    .await
+}
--- /dev/null
+++ b/src/permit/tests.rs
@@ -0,0 +1,36 @@
+//! A call with scripted steps.
+
+use super::*;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::task::{Context, Waker};
+
+/// A call that connects in its first step, sends in its second and is answered in its third.
+fn call(steps: Rc<Cell<u32>>) -> impl Future<Output = &'static str> {
+    poll_fn(move |_| {
+        steps.set(steps.get() + 1);
+        if steps.get() < 3 {
+            Poll::Pending
+        } else {
+            Poll::Ready("answered")
+        }
+    })
+}
+
+#[test]
+fn a_call_takes_no_step_once_it_is_not_permitted_any_more() {
+    for permitted_steps in 0..5 {
+        let steps = Rc::new(Cell::new(0));
+        let permitted = {
+            let steps = steps.clone();
+            move || steps.get() < permitted_steps
+        };
+        let mut guarded = pin!(while_permitted(permitted, call(steps.clone())));
+        let mut context = Context::from_waker(Waker::noop());
+        let mut poll = || guarded.as_mut().poll(&mut context);
+        let outcome = (0..3).map(|_| poll()).find(Poll::is_ready);
+        let answered = permitted_steps >= 3;
+        assert_eq!(outcome, Some(Poll::Ready(answered.then_some("answered"))));
+        assert_eq!(steps.get(), permitted_steps.min(3));
+    }
+}
