--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -3,12 +3,9 @@
 #[cfg(test)]
 mod tests;
 
-use crate::part::{Load, MachineState, Need, Part};
+use crate::part::{Load, MachineState, Need, Offer, Part};
 use std::collections::{HashMap, VecDeque};
 
-/// An offer: machine type, zone, spot or not.
-pub type Offer = (usize, usize, bool);
-
 /// Machines to be rented.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wish {
@@ -90,10 +87,10 @@
         let mut wished: Vec<(Offer, [u64; 3])> = Vec::new();
         for need in needs {
             let mut left = need.tasks;
-            let allowed = |(t, z, spot): &Offer| {
-                (need.spot || !spot)
-                    && need.types.as_ref().is_none_or(|l| l.contains(t))
-                    && need.zones.as_ref().is_none_or(|l| l.contains(z))
+            let allowed = |offer: &Offer| {
+                (need.spot || !offer.spot)
+                    && need.types.as_ref().is_none_or(|l| l.contains(&offer.kind))
+                    && need.zones.as_ref().is_none_or(|l| l.contains(&offer.zone))
             };
             let fits = |room: &[u64; 3]| {
                 (0..3).map(|i| room[i].checked_div(need.need[i]).unwrap_or(u64::MAX)).min().unwrap_or(0).min(1 << 20)
@@ -115,7 +112,7 @@
                     let useful = if left >= n { n as f64 } else { left as f64 + (n - left) as f64 / 2.0 };
                     for zone in kind.zones.iter().filter_map(|z| part.zone_index(z)) {
                         for spot in [true, false] {
-                            let offer = (t, zone, spot);
+                            let offer = Offer { kind: t, zone, spot };
                             if !allowed(&offer) || dark.contains(&zone) || !self.open(&offer, now) {
                                 continue;
                             }
@@ -129,7 +126,7 @@
                 }
                 let Some((_, offer, n)) = best else { break };
                 let take = n.min(left);
-                let mut room = whole(offer.0);
+                let mut room = whole(offer.kind);
                 (0..3).for_each(|i| room[i] -= need.need[i] * take as u64);
                 wished.push((offer, room));
                 left -= take;
@@ -181,15 +178,17 @@
         let dark = part.zones_dark();
         let mut out = Vec::new();
         for (zone, reserve) in self.reserves(rise_ms).into_iter().filter(|(z, _)| !dark.contains(z)) {
-            let free: u64 = loads.iter().filter(|l| !l.spot && l.zone == zone).map(|l| l.cpus - l.used).sum();
+            let free: u64 =
+                loads.iter().filter(|l| !l.offer.spot && l.offer.zone == zone).map(|l| l.cpus - l.used).sum();
             let short = reserve.saturating_sub(free + coming.get(&zone).copied().unwrap_or(0));
             let offers = part.types().iter().enumerate().filter(|(t, kind)| {
-                kind.zones.iter().any(|z| part.zone_index(z) == Some(zone)) && self.open(&(*t, zone, false), now)
+                kind.zones.iter().any(|z| part.zone_index(z) == Some(zone))
+                    && self.open(&Offer { kind: *t, zone, spot: false }, now)
             });
             let best = offers.min_by(|(_, a), (_, b)| (a.price / a.cpus).total_cmp(&(b.price / b.cpus)));
             if let Some((t, kind)) = best.filter(|_| short > 0) {
                 let count = (short as f64 / (kind.cpus * 1000.0)).ceil().min(crate::cloud::RENT_MOST as f64) as u32;
-                out.push(Wish { offer: (t, zone, false), count });
+                out.push(Wish { offer: Offer { kind: t, zone, spot: false }, count });
             }
         }
         out
@@ -220,22 +219,23 @@
             let most = zone_peak.entry(*zone).or_insert(0);
             *most = target(*n).max(*most);
         }
-        for l in loads.iter().filter(|l| !l.spot) {
-            *free.entry(l.zone).or_insert(0) += l.cpus - l.used;
-            *steady.entry(l.zone).or_insert(0) += l.cpus;
+        for l in loads.iter().filter(|l| !l.offer.spot) {
+            *free.entry(l.offer.zone).or_insert(0) += l.cpus - l.used;
+            *steady.entry(l.offer.zone).or_insert(0) += l.cpus;
         }
         let of = |by: &HashMap<usize, u64>, zone: usize| by.get(&zone).copied().unwrap_or(0);
         let types = part.types();
         let idle_price = |l: &Load| {
-            let t = &types[l.kind];
-            (if l.spot { t.spot_price } else { t.price }) * (1.0 - l.used as f64 / l.cpus.max(1) as f64)
+            let t = &types[l.offer.kind];
+            (if l.offer.spot { t.spot_price } else { t.price }) * (1.0 - l.used as f64 / l.cpus.max(1) as f64)
         };
         let may_go = |l: &&Load| {
+            let Offer { zone, spot, .. } = l.offer;
             now > l.since + window_ms
                 && l.services * 4 <= l.cpus
                 && all - l.cpus >= peak
-                && (l.spot || of(&steady, l.zone) - l.cpus >= of(&zone_peak, l.zone))
-                && (l.spot || of(&free, l.zone) >= of(&reserves, l.zone) + l.cpus)
+                && (spot || of(&steady, zone) - l.cpus >= of(&zone_peak, zone))
+                && (spot || of(&free, zone) >= of(&reserves, zone) + l.cpus)
         };
         let go = loads.iter().filter(may_go).max_by(|a, b| idle_price(a).total_cmp(&idle_price(b))).map(|l| l.machine);
         if let Some(i) = go {
@@ -251,7 +251,7 @@
         let mut cpus: HashMap<usize, u64> = HashMap::new();
         for l in part.loads() {
             cpus.insert(l.machine, l.cpus);
-            *free.entry(l.zone).or_default() += if l.spot { 0 } else { l.cpus - l.used };
+            *free.entry(l.offer.zone).or_default() += if l.offer.spot { 0 } else { l.cpus - l.used };
         }
         for (i, m) in part.machines() {
             let idle = m.idle_since.is_some_and(|s| now > s + idle_ms);
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -9,7 +9,8 @@
 #[test]
 fn an_offer_rests_after_a_request_while_others_are_wanted() {
     let mut fleet = Fleet::default();
-    let (urgent, other) = ((0, 0, false), (0, 0, true));
+    let urgent = Offer { kind: 0, zone: 0, spot: false };
+    let other = Offer { spot: true, ..urgent };
     let both = || vec![wish(urgent, 2), wish(other, 50)];
     assert_eq!(fleet.next_request(both(), 2000, 1000), Some(wish(urgent, 2)));
     // Urgent work that comes in a few tasks at a time does not take every call.
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -256,7 +256,7 @@
         for h in self.mirror.hires.values() {
             let h = &h.record;
             for machine in h.machines.iter().flatten() {
-                part.add_machine(machine, (&h.machine_type, &h.zone, h.spot), false);
+                part.add_machine(machine, h.hardware(), Origin::Inherited);
             }
         }
         for (id, v) in &self.mirror.live {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -11,10 +11,10 @@
 use self::core::{over_view, Clock, Core, Pass, Stranger, FLUSH_MS, PASS_MS, STRANGERS, TICK_MS};
 use crate::cloud::{CloudClient, Rented, RELEASE_MOST};
 use crate::config::Settings;
-use crate::fleet::{Fleet, Offer, Wish};
+use crate::fleet::{Fleet, Wish};
 use crate::leader::{Event, Leadership, Right};
 use crate::pacer::Pacer;
-use crate::part::{Direct, MachineState, Params, Part, Taken};
+use crate::part::{Direct, MachineState, Offer, Origin, Params, Part, Taken};
 use crate::peer::{self, Cancelled, Hints, Others, View};
 use crate::permit::while_permitted;
 use crate::protocol::{
--- a/src/node/renting.rs
+++ b/src/node/renting.rs
@@ -142,7 +142,7 @@
         if tracing::enabled!(tracing::Level::DEBUG) {
             let mut by_offer: BTreeMap<Offer, [u64; 4]> = BTreeMap::new();
             for l in part.loads() {
-                let sum = by_offer.entry((l.kind, l.zone, l.spot)).or_default();
+                let sum = by_offer.entry(l.offer).or_default();
                 *sum = [sum[0] + 1, sum[1] + l.cpus, sum[2] + l.used, sum[3] + l.services];
             }
             tracing::debug!(pending, wanted, machines_cpus_used_services = ?by_offer, "look ahead");
@@ -255,18 +255,18 @@
             tracing::info!(%machine, "unexpected machine taken in");
             // Of another epoch this one knows from the store.
             if self.core.borrow().term().is_some_and(|(_, version, _)| version == epoch) {
-                self.add_machines(&record);
+                self.add_machines(&record, Origin::Found);
             }
         }
     }
 
-    pub(super) fn add_machines(&self, r: &HireRecord) {
+    pub(super) fn add_machines(&self, r: &HireRecord, origin: Origin) {
         let mut core = self.core.borrow_mut();
         let now = core.now();
         let Some(part) = core.part.as_mut() else { return };
         part.at(now);
         for m in r.machines.iter().flatten() {
-            part.add_machine(m, (&r.machine_type, &r.zone, r.spot), true);
+            part.add_machine(m, r.hardware(), origin);
         }
     }
 
@@ -320,9 +320,9 @@
             let Some((_, epoch, _)) = core.term() else { return false };
             let Some(part) = core.part.as_ref() else { return false };
             let record = HireRecord {
-                machine_type: part.types()[offer.0].name.clone(),
-                zone: part.zone_name(offer.1).to_string(),
-                spot: offer.2,
+                machine_type: part.types()[offer.kind].name.clone(),
+                zone: part.zone_name(offer.zone).to_string(),
+                spot: offer.spot,
                 count,
                 machines: None,
             };
@@ -362,7 +362,7 @@
             Ok(Decided::Applied(version)) => {
                 // Until the watch brings it, the request would be taken for one whose answer is unknown, and called again.
                 self.core.borrow_mut().mirror.put_hire(name, record.clone(), version);
-                self.add_machines(&record);
+                self.add_machines(&record, Origin::Rented);
                 true
             }
             _ => false,
@@ -376,7 +376,7 @@
         let Some(part) = core.part.as_ref() else { return };
         let kind = part.types().iter().position(|t| t.name == r.machine_type);
         let (Some(kind), Some(zone)) = (kind, part.zone_index(&r.zone)) else { return };
-        let offer = (kind, zone, r.spot);
+        let offer = Offer { kind, zone, spot: r.spot };
         if got < r.count as usize {
             core.fleet.refused(offer, now);
         } else {
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -6,7 +6,7 @@
 use crate::leader::{Event as LeadEvent, Right, Role};
 use crate::node::core::{Clock, Core, Pass, Term};
 use crate::node::WorkerAnswer;
-use crate::part::{Append, Direct, MachineState};
+use crate::part::{Append, Direct, Hardware, MachineState, Origin};
 use crate::protocol::{
     split_task, Change, Event, Guard, JobSpec, Kind, MachineType, Order, Report, ReportReply, TaskReport, TaskState,
     Txn, Why,
@@ -755,7 +755,8 @@
             let txn = store::hire_txn(&epoch, &format!("r-{}", self.made), 0, &record);
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
                 let core = self.nodes[n].core.as_mut().unwrap();
-                core.part.as_mut().unwrap().add_machine(&name, ("m8", zone, false), true);
+                let of = Hardware { machine_type: "m8", zone, spot: false };
+                core.part.as_mut().unwrap().add_machine(&name, of, Origin::Rented);
                 self.boot(name, zone);
             }
         }
--- a/src/part/look.rs
+++ b/src/part/look.rs
@@ -8,12 +8,8 @@
 pub struct Load {
     /// Index.
     pub machine: usize,
-    /// Type.
-    pub kind: usize,
-    /// Zone.
-    pub zone: usize,
-    /// Spot machine.
-    pub spot: bool,
+    /// The offer that it was rented from.
+    pub offer: Offer,
     /// Since when it is known.
     pub since: u64,
     /// All its CPUs.
@@ -346,8 +342,8 @@
         let open = self.machines().filter(|(_, m)| m.state == MachineState::Up && m.notice_at.is_none());
         open.map(|(machine, m)| {
             let cpus = self.types.get(m.kind).map_or(0, |t| (t.cpus * 1000.0) as u64);
-            let (kind, zone, spot, since, services) = (m.kind, m.zone, m.spot, m.since, m.service_cpus);
-            Load { machine, kind, zone, spot, since, cpus, used: cpus.saturating_sub(m.room[0]), services }
+            let used = cpus.saturating_sub(m.room[0]);
+            Load { machine, offer: m.offer(), since: m.since, cpus, used, services: m.service_cpus }
         })
         .collect()
     }
--- a/src/part/machines.rs
+++ b/src/part/machines.rs
@@ -14,21 +14,21 @@
 const TICK_GAP_MS: u64 = 1000;
 
 impl Part {
-    /// Takes in a machine that the store records. `surely`: it was rented just now. One of an earlier epoch may have been
-    /// released or taken meanwhile; an heir once counted on the room of such machines for most of a minute.
-    pub fn add_machine(&mut self, name: &str, of: (&str, &str, bool), surely: bool) {
+    /// Takes in a machine that the store records. One of an earlier epoch may have been released or taken meanwhile; an heir
+    /// once counted on the room of such machines for most of a minute.
+    pub fn add_machine(&mut self, name: &str, of: Hardware, origin: Origin) {
         if self.knows(name) || !plain(name) {
             return;
         }
-        let kind = self.type_names.get(of.0).unwrap_or(usize::MAX);
+        let kind = self.type_names.get(of.machine_type).unwrap_or(usize::MAX);
         let room = self.types.get(kind).map_or([0; 3], |t| [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64));
-        let zone = self.zones.add(of.1);
+        let zone = self.zones.add(of.zone);
         let machine = Machine {
             name: name.to_string(),
             state: MachineState::Waiting,
             kind,
             zone,
-            spot: of.2,
+            spot: of.spot,
             since: self.now,
             idle_since: None,
             address: String::new(),
@@ -41,7 +41,8 @@
             last_live: (0, 0),
             current: false,
             reported_at: None,
-            surely,
+            origin,
+            listed: false,
             contacted: false,
             last_heard: self.now,
             last_answer: self.now,
@@ -109,7 +110,7 @@
     pub fn listed(&mut self, i: usize, running: bool, address: &str) {
         let now = self.now;
         let m = self.machine_mut(i);
-        m.surely = true;
+        m.listed = true;
         if !running {
             return;
         }
@@ -130,7 +131,8 @@
 
     /// Whether a machine is on its way up, so that its room may be counted on.
     pub(super) fn on_its_way(&self, m: &Machine) -> bool {
-        m.state == MachineState::Waiting && m.surely && m.tasks.is_empty() && !self.overdue(m, 2.0)
+        let certain = m.origin != Origin::Inherited || m.listed;
+        m.state == MachineState::Waiting && certain && m.tasks.is_empty() && !self.overdue(m, 2.0)
     }
 
     fn lease_over(&self, m: &Machine) -> bool {
--- a/src/part/mod.rs
+++ b/src/part/mod.rs
@@ -318,6 +318,39 @@
     Releasing,
 }
 
+/// What the cloud offers: machines of a type in a zone, spot or ordinary.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Offer {
+    /// Index of the machine type.
+    pub kind: usize,
+    /// Index of the zone.
+    pub zone: usize,
+    /// Spot machines.
+    pub spot: bool,
+}
+
+/// What a machine is, by the names of the cloud.
+#[derive(Debug, Clone, Copy)]
+pub struct Hardware<'a> {
+    /// Machine type.
+    pub machine_type: &'a str,
+    /// Zone.
+    pub zone: &'a str,
+    /// Spot machine.
+    pub spot: bool,
+}
+
+/// How a machine became known.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Origin {
+    /// Rented just now.
+    Rented,
+    /// Unexpected, but known to be there.
+    Found,
+    /// From the store: rented in an earlier epoch, and perhaps released or taken since.
+    Inherited,
+}
+
 /// A machine of the part.
 pub struct Machine {
     /// Name.
@@ -349,8 +382,10 @@
     current: bool,
     /// When its last report, under whichever token, arrived.
     reported_at: Option<u64>,
-    /// Rented in this epoch, or the cloud has listed it in this epoch: only then its room may be counted on.
-    surely: bool,
+    /// How it became known.
+    origin: Origin,
+    /// The cloud has listed it in this epoch.
+    listed: bool,
     /// Known to be up: it has reported, holds tasks, or is listed as running.
     contacted: bool,
     /// When a report under the current token last arrived, or when it became known to be up. Reports under an older
@@ -452,6 +487,13 @@
     changed: bool,
 }
 
+impl Machine {
+    /// The offer that it was rented from.
+    pub fn offer(&self) -> Offer {
+        Offer { kind: self.kind, zone: self.zone, spot: self.spot }
+    }
+}
+
 impl Part {
     /// An empty part of an epoch that began now.
     pub fn new(p: Params, epoch: u64, now: u64) -> Self {
--- a/src/part/tests.rs
+++ b/src/part/tests.rs
@@ -82,14 +82,14 @@
 
     /// A machine of this epoch, up.
     fn machine(&mut self, name: &str, zone: &str) {
-        self.part.add_machine(name, ("m8", zone, false), true);
+        self.part.add_machine(name, Hardware { machine_type: "m8", zone, spot: false }, Origin::Rented);
         self.tell_token(name, 0, &[]);
         self.tell_token(name, self.token(), &[]);
     }
 
     /// A machine of a hire that was made before this epoch.
     fn known(&mut self, name: &str) {
-        self.part.add_machine(name, ("m8", "a", false), false);
+        self.part.add_machine(name, Hardware { machine_type: "m8", zone: "a", spot: false }, Origin::Inherited);
     }
 
     /// The start log of earlier epochs: machine, task, attempt.
--- a/src/store.rs
+++ b/src/store.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::part::Append;
+use crate::part::{Append, Hardware};
 use crate::protocol::{self as wire, Change, Event, Guard, Item, JobSpec, MachineType, Txn};
 use ciborium::Value;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
@@ -124,6 +124,13 @@
     pub machines: Option<Vec<String>>,
 }
 
+impl HireRecord {
+    /// What its machines are.
+    pub fn hardware(&self) -> Hardware<'_> {
+        Hardware { machine_type: &self.machine_type, zone: &self.zone, spot: self.spot }
+    }
+}
+
 /// A versioned record.
 #[derive(Debug, Clone)]
 pub struct Versioned<T> {
