--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -55,6 +55,13 @@
         b.until = now + b.step_ms;
     }
 
+    /// Machines of an offer do not come up: others are asked for a while.
+    fn pause(&mut self, offer: Offer, for_ms: u64, now: u64) {
+        let until = now + for_ms.min(LAST_BACKOFF_MS);
+        let backoff = self.refused.entry(offer).or_insert(Backoff { until, step_ms: FIRST_BACKOFF_MS / 2 });
+        backoff.until = backoff.until.max(until);
+    }
+
     /// An offer was filled.
     pub fn filled(&mut self, offer: Offer) {
         self.refused.remove(&offer);
@@ -244,8 +251,8 @@
     }
 
     /// Moves machines that should go towards their release: stuck ones, drained ones, idle ones.
-    pub fn returns(&self, part: &mut Part, idle_ms: u64, rise_ms: u64, now: u64) {
-        let mut go = Vec::new();
+    pub fn returns(&mut self, part: &mut Part, idle_ms: u64, rise_ms: u64, now: u64) {
+        let (mut go, mut overdue) = (Vec::new(), Vec::new());
         let reserves = self.reserves(rise_ms);
         let mut free: HashMap<usize, u64> = HashMap::new();
         let mut cpus: HashMap<usize, u64> = HashMap::new();
@@ -256,7 +263,7 @@
         for (i, m) in part.machines() {
             let idle = m.idle_since.is_some_and(|s| now > s + idle_ms);
             match m.state {
-                MachineState::Waiting if part.overdue(m, 3.0) => go.push((i, "never came up")),
+                MachineState::Waiting if part.never_came_up(m) => overdue.push(i),
                 MachineState::Draining if m.idle_since.is_some() => go.push((i, "drained")),
                 MachineState::Up if idle && m.spot => go.push((i, "idle")),
                 MachineState::Up if idle => {
@@ -274,5 +281,10 @@
         for (i, why) in go {
             part.enter(i, MachineState::Releasing, why);
         }
+        for i in overdue {
+            if let Some((offer, pause_ms)) = part.give_up_boot(i) {
+                self.pause(offer, pause_ms, now);
+            }
+        }
     }
 }
--- a/src/node/renting.rs
+++ b/src/node/renting.rs
@@ -286,7 +286,7 @@
         for m in machines {
             match part.index(&m.id) {
                 Some(i) if m.state == "failed" => part.enter(i, MachineState::Releasing, "failed"),
-                Some(i) => part.listed(i, m.state == "running", &m.address),
+                Some(i) => part.listed(i, m.state == "running", &m.address, (m.age_s * 1000.0) as u64),
                 None if !settled || core.released.contains_key(&m.id) || core.strangers.len() > STRANGERS => {}
                 None => {
                     let (machine_type, zone, spot) = (m.machine_type, m.zone, m.spot);
--- a/src/part/machines.rs
+++ b/src/part/machines.rs
@@ -10,6 +10,8 @@
 const DEAF_MARGIN_MS: u64 = 500;
 /// Two probes that all go unanswered, and their way.
 const UNANSWERED_MS: u64 = 5000;
+/// Boot time of a machine type that the cloud does not tell of any more.
+const UNKNOWN_BOOT_MS: f64 = 60_000.0;
 /// Between two ticks of a node that has its processor.
 const TICK_GAP_MS: u64 = 1000;
 
@@ -43,6 +45,7 @@
             reported_at: None,
             origin,
             listed: false,
+            rented_before_ms: 0,
             contacted: false,
             last_heard: self.now,
             last_answer: self.now,
@@ -106,12 +109,14 @@
         self.machines().filter(|(_, m)| !m.current && !m.tasks.is_empty()).count()
     }
 
-    /// The cloud lists a machine. If it is running, it should be heard from now on.
-    pub fn listed(&mut self, i: usize, running: bool, address: &str) {
+    /// The cloud lists a machine. If it is running, it should be heard from now on. If it starts, its age tells how long it has
+    /// been on its way: without it, each new leader would wait anew for machines that never come up.
+    pub fn listed(&mut self, i: usize, running: bool, address: &str, age_ms: u64) {
         let now = self.now;
         let m = self.machine_mut(i);
         m.listed = true;
         if !running {
+            m.rented_before_ms = m.rented_before_ms.max(age_ms.saturating_sub(now - m.since));
             return;
         }
         if m.address.is_empty() {
@@ -123,16 +128,49 @@
         }
     }
 
-    /// Whether a machine should have been up long ago.
-    pub fn overdue(&self, m: &Machine, times: f64) -> bool {
-        let boot = self.types.get(m.kind).map_or(60.0, |t| t.boot_s);
-        m.state == MachineState::Waiting && self.now > m.since + ((boot * times + 10.0) * 1000.0) as u64
+    /// The boot time that the cloud tells for a machine type.
+    fn nominal_boot_ms(&self, kind: usize) -> f64 {
+        self.types.get(kind).map_or(UNKNOWN_BOOT_MS, |t| t.boot_s * 1000.0)
+    }
+
+    /// For how long a machine has been on its way.
+    fn boot_age_ms(&self, m: &Machine) -> u64 {
+        self.now.saturating_sub(m.since).saturating_add(m.rented_before_ms)
+    }
+
+    /// Whether a machine has been on its way for too long to be worth its price any more. One that was heard, or is listed as
+    /// running, is judged by its silence instead.
+    pub fn never_came_up(&self, m: &Machine) -> bool {
+        m.state == MachineState::Waiting
+            && !m.contacted
+            && self.boot_age_ms(m) > self.boot_times.give_up_ms(m.offer(), self.nominal_boot_ms(m.kind))
+    }
+
+    /// Gives up a machine that has not come up. If its offer is in doubt, tells for how long to ask others: as long as it took
+    /// to learn this.
+    pub fn give_up_boot(&mut self, i: usize) -> Option<(Offer, u64)> {
+        let m = self.machine(i);
+        let (offer, nominal_ms, age_ms) = (m.offer(), self.nominal_boot_ms(m.kind), self.boot_age_ms(m));
+        let rented_at = m.since.saturating_sub(m.rented_before_ms);
+        let in_doubt = self.boot_times.gave_up(offer, nominal_ms, rented_at, self.now);
+        self.enter(i, MachineState::Releasing, "never came up");
+        in_doubt.then_some((offer, age_ms))
+    }
+
+    /// A machine that was rented in this epoch has come up.
+    pub(super) fn measure_boot(&mut self, i: usize) {
+        let m = self.machine(i);
+        if m.origin == Origin::Rented {
+            let (offer, since, nominal_ms) = (m.offer(), m.since, self.nominal_boot_ms(m.kind));
+            self.boot_times.came_up(offer, nominal_ms, since, self.now.saturating_sub(since));
+        }
     }
 
     /// Whether a machine is on its way up, so that its room may be counted on.
     pub(super) fn on_its_way(&self, m: &Machine) -> bool {
         let certain = m.origin != Origin::Inherited || m.listed;
-        m.state == MachineState::Waiting && certain && m.tasks.is_empty() && !self.overdue(m, 2.0)
+        let late = self.boot_age_ms(m) > self.boot_times.expected_ms(m.offer(), self.nominal_boot_ms(m.kind));
+        m.state == MachineState::Waiting && certain && m.tasks.is_empty() && !late
     }
 
     fn lease_over(&self, m: &Machine) -> bool {
--- a/src/part/mod.rs
+++ b/src/part/mod.rs
@@ -6,6 +6,7 @@
 //!
 //! `machines`: what is known of each; `reports`: what workers say; `placing`: where tasks go; `look`: what finds no room.
 
+mod boot;
 mod look;
 mod machines;
 mod placing;
@@ -18,6 +19,7 @@
 use crate::placement::{self, Capability};
 use crate::protocol::{Kind, MachineType, Order, Priority, ReportReply};
 use crate::store::{LiveRecord, CHUNK};
+use boot::BootTimes;
 use starts::StartLog;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -386,6 +388,8 @@
     origin: Origin,
     /// The cloud has listed it in this epoch.
     listed: bool,
+    /// How long before `since` it was rented, as far as the cloud's list tells while it starts.
+    rented_before_ms: u64,
     /// Known to be up: it has reported, holds tasks, or is listed as running.
     contacted: bool,
     /// When a report under the current token last arrived, or when it became known to be up. Reports under an older
@@ -482,6 +486,7 @@
     /// Finished ranges that are not stored yet, and since when.
     dirty: BTreeMap<(usize, u32), u64>,
     fetch_rate: HashMap<usize, f64>,
+    boot_times: BootTimes,
     /// Production jobs that the last pass has left with tasks to place, in their order.
     urgent: Vec<usize>,
     changed: bool,
@@ -523,6 +528,7 @@
             by_age: Vec::new(),
             dirty: BTreeMap::new(),
             fetch_rate: HashMap::new(),
+            boot_times: BootTimes::default(),
             urgent: Vec::new(),
             changed: true,
         }
--- a/src/part/reports.rs
+++ b/src/part/reports.rs
@@ -64,6 +64,7 @@
             self.changed |= fresh;
             if self.machine(i).state == MachineState::Waiting {
                 self.machine_mut(i).idle_since = self.machine(i).tasks.is_empty().then_some(now);
+                self.measure_boot(i);
                 self.enter(i, MachineState::Up, "reported");
             }
             let lost = self.reconcile(i, r, live, &mut orders);
--- a/src/part/tests.rs
+++ b/src/part/tests.rs
@@ -1082,10 +1082,10 @@
     w.tick(1100);
     assert_eq!(w.part.look_ahead(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
     let i = w.part.machine_index["n-1"];
-    w.part.listed(i, false, "");
+    w.part.listed(i, false, "", 0);
     assert!(w.part.look_ahead(false).is_empty());
     // Listed as running, it is missed if it does not report.
-    w.part.listed(i, true, "1.2.3.4:9");
+    w.part.listed(i, true, "1.2.3.4:9", 0);
     w.pass_to(9000);
     assert_eq!(w.part.silent(5000, 9000), vec![i]);
     assert_eq!(w.part.probes(9).len(), 1);
@@ -1328,3 +1328,34 @@
         format!("now {} use {:?}\n{machines}{jobs}{:?}", self.now, self.team_use, self.log)
     }
 }
+
+#[test]
+fn a_machine_that_never_comes_up_is_given_up_by_its_age_also_by_a_new_leader() {
+    let mut w = World::new();
+    w.job(spec("wk-1", 2), 101);
+    w.known("n-1");
+    w.known("n-2");
+    let (late, up) = (w.part.machine_index["n-1"], w.part.machine_index["n-2"]);
+    w.tick(5000);
+    // Both were rented 70 s before this epoch began; then the list shows one of them running.
+    for i in [late, up] {
+        w.part.listed(i, false, "", 74_000);
+    }
+    let never = |w: &World, i: usize| w.part.never_came_up(w.part.machine(i));
+    // Past the time in which it was expected, it counts no more as room to come.
+    assert_eq!(w.part.look_ahead(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
+    w.pass_to(18_000);
+    w.part.listed(up, true, "1.2.3.4:9", 87_000);
+    // A list may be older than the one before it, and is no reason to wait longer.
+    w.part.listed(late, false, "", 80_000);
+    assert!(!never(&w, late));
+    // 90 s: 1.5 times twice the nominal 30 s. Counted from the epoch's beginning it was once 72 s more.
+    w.pass_to(22_000);
+    assert!(never(&w, late) && !never(&w, up));
+    let (offer, pause_ms) = w.part.give_up_boot(late).unwrap();
+    assert_eq!((offer, pause_ms), (Offer { kind: 0, zone: 0, spot: false }, 91_000));
+    assert_eq!(w.part.leaving(9), ["n-1"]);
+    // A list that nobody can believe does no harm.
+    w.part.listed(up, false, "", u64::MAX);
+    assert!(!never(&w, up));
+}
