--- a/src/api.rs
+++ b/src/api.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::limiter::Limiter;
+use crate::limiter::{Limiter, Request};
 use crate::node::{
     Abort, Answer, Health, Node, PeerCancelled, PeerView, Poll, Submit, TimedAnswer, WorkerAnswer, WorkerReport,
 };
@@ -86,8 +86,12 @@
 
 impl Door {
     /// Runs a user's request under the limit on requests in progress.
-    async fn limited<F: std::future::Future<Output = Option<Answer>>>(&self, request: F) -> HttpResponse {
-        let enter = |l: &Mutex<Limiter>| l.lock().map(|mut l| l.enter()).unwrap_or(true);
+    async fn limited<F: std::future::Future<Output = Option<Answer>>>(
+        &self,
+        kind: Request,
+        request: F,
+    ) -> HttpResponse {
+        let enter = |l: &Mutex<Limiter>| l.lock().map(|mut l| l.enter(kind)).unwrap_or(true);
         if !enter(&self.limiter) {
             return later(429, "too many requests in progress", 1);
         }
@@ -105,21 +109,21 @@
     if let Err(field) = spec.check() {
         return plain(400, field);
     }
-    door.limited(async { door.node.send(Submit(spec)).await.ok() }).await
+    door.limited(Request::Change, async { door.node.send(Submit(spec)).await.ok() }).await
 }
 
 async fn poll(door: web::Data<Door>, id: web::Path<String>) -> HttpResponse {
     if !wire::job_id(&id) {
         return plain(404, "no such job");
     }
-    door.limited(async { door.node.send(Poll(id.into_inner())).await.ok() }).await
+    door.limited(Request::Question, async { door.node.send(Poll(id.into_inner())).await.ok() }).await
 }
 
 async fn abort(door: web::Data<Door>, id: web::Path<String>) -> HttpResponse {
     if !wire::job_id(&id) {
         return plain(404, "no such job");
     }
-    door.limited(async { door.node.send(Abort(id.into_inner())).await.ok() }).await
+    door.limited(Request::Change, async { door.node.send(Abort(id.into_inner())).await.ok() }).await
 }
 
 async fn up(door: web::Data<Door>) -> HttpResponse {
--- a/src/limiter.rs
+++ b/src/limiter.rs
@@ -13,6 +13,19 @@
 /// answered slowly, but answered, once had nearly everyone refused.
 const CARE_MS: f64 = 500.0;
 
+/// Share of the limit that questions may fill: users ask far more often than they submit or cancel, and a crowd that asks must
+/// not keep out those who have something to change.
+const QUESTIONS: f64 = 0.75;
+
+/// What a user wants.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Request {
+    /// To know a job's state.
+    Question,
+    /// To submit or cancel a job.
+    Change,
+}
+
 /// The limiter; all times in milliseconds.
 pub struct Limiter {
     limit: f64,
@@ -40,8 +53,12 @@
     }
 
     /// Admits a request, or not.
-    pub fn enter(&mut self) -> bool {
-        if self.in_progress >= self.limit as usize {
+    pub fn enter(&mut self, request: Request) -> bool {
+        let limit = match request {
+            Request::Question => self.limit * QUESTIONS,
+            Request::Change => self.limit,
+        };
+        if self.in_progress >= limit as usize {
             return false;
         }
         self.in_progress += 1;
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -18,6 +18,10 @@
 /// for the leader before, whose calls may still be under way.
 pub(super) const CLOUD_SHARE: f64 = 0.9;
 
+/// Share of the store's request rate that users' single reads may take on all nodes together; the rest is for holds, watches,
+/// the ordering of polls, changes and the leader's books.
+const USER_READS: f64 = 0.25;
+
 /// Where the time comes from.
 pub(super) enum Clock {
     /// The steady clock and the time of day.
@@ -85,6 +89,9 @@
     pub(super) pacer: Pacer,
     /// How often the cloud may be called.
     pub(super) cloud_calls: TokenBucket,
+    /// How often users' questions may cost a read of the store each: those about jobs that are neither unfinished nor known
+    /// to be final or absent.
+    pub(super) user_reads: TokenBucket,
     pub(super) due: Due,
     /// When the last round of `pass` was.
     passed_at: u64,
@@ -98,6 +105,7 @@
         let state = &settings.platform.deployment.state;
         // Users get at most two thirds of the changes; the rest is for the leader's books.
         let user_changes = state.write_rps * 2.0 / 3.0 / (settings.platform.peers.len() + 1) as f64;
+        let user_reads = state.rps * USER_READS / (settings.platform.peers.len() + 1) as f64;
         let cloud_rps = settings.platform.deployment.cloud.rps * CLOUD_SHARE;
         Core {
             lead: Leadership::new(ttl, settings.grace_ms()),
@@ -123,6 +131,7 @@
             readers: Vec::new(),
             pacer: Pacer::new(user_changes),
             cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
+            user_reads: TokenBucket::new(user_reads, user_reads),
             due: Due::default(),
             passed_at: 0,
         }
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -31,13 +31,30 @@
         if let Some(view) = self.core.borrow().view(&id) {
             return Answer::Job(200, view);
         }
+        if self.core.borrow().mirror.absent(&id) {
+            return Answer::Unknown;
+        }
+        if let Err(later) = self.admit_read() {
+            return later;
+        }
+        let generation = self.core.borrow().mirror.generation;
         match self.read_over(&id).await {
             Ok(over) => Answer::Job(200, over_view(&id, over)),
-            Err(StoreError::Gone) => Answer::Unknown,
+            Err(StoreError::Gone) => {
+                self.core.borrow_mut().mirror.remember_absent(&id, generation);
+                Answer::Unknown
+            }
             Err(_) => Answer::Later(1),
         }
     }
 
+    /// Whether a user's question may cost a read of its own now.
+    fn admit_read(&self) -> Result<(), Answer> {
+        let mut core = self.core.borrow_mut();
+        let now = core.now();
+        core.user_reads.take(now).map_err(|wait_ms| Answer::Later(wait_ms.div_ceil(1000) as u32))
+    }
+
     /// Whether a user may cause a number of changes now.
     fn admit(&self, changes: u32) -> Result<(), Answer> {
         let mut core = self.core.borrow_mut();
@@ -67,22 +84,25 @@
             let ready = core.mirror.loaded && !core.types.is_empty();
             (core.mirror.live.contains_key(&id), ready, core.impossible(&spec), core.wall())
         };
-        if !known {
-            if !ready {
-                return Answer::Later(1);
-            }
-            if let Some(why) = never {
-                // A job accepted once stays accepted, whatever the machine types are now.
-                return match self.clone().poll(id).await {
-                    Answer::Unknown => Answer::Never(why),
-                    other => other,
-                };
-            }
+        if known {
+            // Repeated: a failed transaction would count as a change, and crowds of repeats would use up the changes.
+            return match self.poll(id).await {
+                Answer::Unknown => Answer::Later(1),
+                known => known,
+            };
         }
-        if !known {
-            if let Err(later) = self.admit(1) {
-                return later;
-            }
+        if !ready {
+            return Answer::Later(1);
+        }
+        if let Some(why) = never {
+            // A job accepted once stays accepted, whatever the machine types are now.
+            return match self.clone().poll(id).await {
+                Answer::Unknown => Answer::Never(why),
+                other => other,
+            };
+        }
+        if let Err(later) = self.admit(1) {
+            return later;
         }
         let txn = store::submit_txn(&id, &LiveRecord { spec, at_ms });
         let queued = JobView { id: id.clone(), state: JobState::Queued, done: Some(0), running: Some(0) };
--- a/src/store.rs
+++ b/src/store.rs
@@ -17,7 +17,8 @@
 pub const ROOT: &str = "hollowswitch/";
 /// Tasks covered by one progress record: its text stays near 1 KiB, well below any value limit.
 pub const CHUNK: u32 = 4096;
-const OVER_CACHE: usize = 20_000;
+/// Most entries of a `RecentMap`.
+const RECENT: usize = 20_000;
 
 /// Key of the leader's hold.
 pub fn leader_key() -> String {
@@ -158,6 +159,8 @@
 pub struct Mirror {
     /// Whether the store has been read.
     pub loaded: bool,
+    /// How often it was replaced by a fresh one: in between the watch has brought every change.
+    pub generation: u64,
     /// Revision up to which changes are in; an empty store has 0.
     pub revision: u64,
     /// Unfinished jobs.
@@ -176,8 +179,37 @@
     pub epoch: Option<Versioned<EpochRecord>>,
     /// Machine types.
     pub catalogue: Option<Versioned<Vec<MachineType>>>,
-    over: HashMap<String, OverRecord>,
-    over_order: VecDeque<String>,
+    over: RecentMap<OverRecord>,
+    /// Jobs that did not exist when the store was asked, and of which the watch has brought nothing since.
+    absent: RecentMap<()>,
+}
+
+/// The entries of a map that were added last.
+#[derive(Debug)]
+struct RecentMap<V> {
+    entries: HashMap<String, V>,
+    /// Keys as they were added, the oldest first; some may have been removed since.
+    order: VecDeque<String>,
+}
+
+impl<V> Default for RecentMap<V> {
+    fn default() -> Self {
+        RecentMap { entries: HashMap::new(), order: VecDeque::new() }
+    }
+}
+
+impl<V> RecentMap<V> {
+    fn insert(&mut self, key: &str, value: V) {
+        if self.entries.insert(key.to_string(), value).is_some() {
+            return;
+        }
+        self.order.push_back(key.to_string());
+        if self.order.len() > RECENT {
+            if let Some(oldest) = self.order.pop_front() {
+                self.entries.remove(&oldest);
+            }
+        }
+    }
 }
 
 fn record<T: DeserializeOwned>(value: &Value) -> Option<T> {
@@ -212,6 +244,7 @@
         let known = match family {
             "live" => record::<LiveRecord>(value).map(|record| {
                 if newer(self.live.get(name), version) {
+                    self.absent.entries.remove(name);
                     self.live.insert(name.to_string(), Versioned { record, version });
                     seen.push(Seen::Job(name.to_string()));
                 }
@@ -326,19 +359,26 @@
 
     /// Remembers a final state. Final states never change, so the memory may be forgetful but never wrong.
     pub fn remember_over(&mut self, job: &str, record: OverRecord) {
-        if self.over.insert(job.to_string(), record).is_none() {
-            self.over_order.push_back(job.to_string());
-            if self.over_order.len() > OVER_CACHE {
-                if let Some(old) = self.over_order.pop_front() {
-                    self.over.remove(&old);
-                }
-            }
+        self.absent.entries.remove(job);
+        self.over.insert(job, record);
+    }
+
+    /// The store had no final state of a job, asked when this mirror was of a generation. If it still is, the watch has brought
+    /// and will bring whatever becomes of the job, so that the store need not be asked again.
+    pub fn remember_absent(&mut self, job: &str, generation: u64) {
+        if self.generation == generation && !self.live.contains_key(job) && self.over(job).is_none() {
+            self.absent.insert(job, ());
         }
     }
 
+    /// Whether a job is known not to exist at the mirror's revision.
+    pub fn absent(&self, job: &str) -> bool {
+        self.absent.entries.contains_key(job)
+    }
+
     /// A final state, if it is remembered.
     pub fn over(&self, job: &str) -> Option<OverRecord> {
-        self.over.get(job).copied()
+        self.over.entries.get(job).copied()
     }
 
     /// Replaces the mirror by a fresh one, telling what differs.
@@ -354,11 +394,13 @@
             seen.push(Seen::LeaderGone);
         }
         seen.push(Seen::Catalogue);
-        for job in std::mem::take(&mut self.over_order) {
-            if let Some(r) = self.over.remove(&job) {
+        // What was absent may have come and gone unseen; final states never change.
+        for job in std::mem::take(&mut self.over.order) {
+            if let Some(r) = self.over.entries.remove(&job) {
                 fresh.remember_over(&job, r);
             }
         }
+        fresh.generation = self.generation + 1;
         *self = fresh;
         seen
     }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -31,6 +31,35 @@
     assert!(m.over("wk-9").unwrap().cancelled);
 }
 
+#[test]
+fn a_job_that_was_absent_is_so_until_the_watch_brings_it_or_everything_is_read_anew() {
+    let mut m = Mirror::default();
+    m.remember_absent("wk-1", 0);
+    m.remember_absent("wk-2", 0);
+    m.remember_absent("wk-3", 0);
+    assert!(m.absent("wk-1") && m.absent("wk-2") && !m.absent("wk-9"));
+    m.apply(4, &[live("wk-1", 4)]);
+    assert!(!m.absent("wk-1"));
+    // An answer that was overtaken by the watch.
+    m.remember_absent("wk-1", 0);
+    assert!(!m.absent("wk-1"));
+    m.apply(6, &[Event::Delete { key: live_key("wk-1"), version: 6 }]);
+    assert!(!m.absent("wk-1"));
+    m.remember_over("wk-2", OverRecord { cancelled: true, tasks: 1 });
+    m.remember_absent("wk-2", 0);
+    assert!(!m.absent("wk-2") && m.absent("wk-3"));
+    m.replace(Mirror::default());
+    assert!(!m.absent("wk-3"));
+    // Asked before everything was read anew: it may have come and gone in between.
+    m.remember_absent("wk-3", 0);
+    assert!(!m.absent("wk-3"));
+    let now = m.generation;
+    // Users who ask for anything cost bounded memory.
+    (0..50_000).for_each(|n| m.remember_absent(&format!("wk-{n}"), now));
+    assert!(m.absent.entries.len() <= RECENT && m.absent.order.len() <= RECENT);
+    assert!(m.absent("wk-49999") && !m.absent("wk-9"));
+}
+
 #[test]
 fn a_request_whose_answer_this_node_has_written_is_no_longer_open() {
     let open = HireRecord { machine_type: "m".into(), zone: "a".into(), spot: false, count: 2, machines: None };
