--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -22,6 +22,11 @@
 /// the ordering of polls, changes and the leader's books.
 const USER_READS: f64 = 0.25;
 
+/// Over how long the leader's changes are measured.
+const CHANGES_MS: u64 = 2000;
+/// How long the leader's word of its changes counts.
+const FRESH_VIEW_MS: u64 = 3000;
+
 /// Where the time comes from.
 pub(super) enum Clock {
     /// The steady clock and the time of day.
@@ -93,6 +98,10 @@
     /// to be final or absent.
     pub(super) user_reads: TokenBucket,
     pub(super) due: Due,
+    /// The changes that this node makes as the leader.
+    pub(super) own_changes: RateMeter,
+    /// What the leader last told of its changes, and when.
+    leader_changes: Option<(f64, u64)>,
     /// When the last round of `pass` was.
     passed_at: u64,
 }
@@ -103,8 +112,7 @@
         let me = LeaderRecord { node: settings.platform.node.clone(), incarnation };
         let ttl = (settings.operator.hold_s * 1000.0) as u64;
         let state = &settings.platform.deployment.state;
-        // Users get at most two thirds of the changes; the rest is for the leader's books.
-        let user_changes = state.write_rps * 2.0 / 3.0 / (settings.platform.peers.len() + 1) as f64;
+        let user_changes = users_share(state.write_rps, settings.platform.peers.len() + 1, None);
         let user_reads = state.rps * USER_READS / (settings.platform.peers.len() + 1) as f64;
         let cloud_rps = settings.platform.deployment.cloud.rps * CLOUD_SHARE;
         Core {
@@ -133,6 +141,8 @@
             cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
             user_reads: TokenBucket::new(user_reads, user_reads),
             due: Due::default(),
+            own_changes: RateMeter::new(CHANGES_MS),
+            leader_changes: None,
             passed_at: 0,
         }
     }
@@ -299,7 +309,8 @@
     pub(super) fn own_view(&self) -> View {
         let counts = self.part.as_ref().filter(|_| self.right() != Right::None).map(|p| p.all_counts());
         let (node, revision) = (self.me.node.clone(), self.mirror.revision);
-        View { node, epoch: self.newest_epoch, revision, state_ok: self.state_ok(), counts }
+        let leader_changes_per_s = self.term().map(|_| self.own_changes.per_s(self.now()));
+        View { node, epoch: self.newest_epoch, revision, state_ok: self.state_ok(), leader_changes_per_s, counts }
     }
 
     pub(super) fn state_ok(&self) -> bool {
@@ -314,6 +325,9 @@
         if self.term().is_some_and(|(epoch, ..)| self.newest_epoch > epoch) {
             self.lead_event(Event::Ended);
         }
+        if let Some(changes_per_s) = v.leader_changes_per_s.filter(|_| v.epoch >= self.newest_epoch) {
+            self.leader_changes = Some((changes_per_s, now));
+        }
         if let Some(counts) = v.counts.filter(|_| self.part.is_none() && v.epoch >= self.newest_epoch) {
             self.counts = counts.into_iter().map(|(id, done, running)| (id, (done, running))).collect();
         }
@@ -321,6 +335,16 @@
         self.others.told(v.node, v.state_ok, now);
     }
 
+    /// Adjusts the pace of users' changes to what the leader leaves.
+    pub(super) fn adjust_pace(&mut self) {
+        let now = self.now();
+        let fresh = self.leader_changes.filter(|(_, at)| now < at + FRESH_VIEW_MS).map(|(changes, _)| changes);
+        let leader = if self.term().is_some() { Some(self.own_changes.per_s(now)) } else { fresh };
+        let platform = &self.settings.platform;
+        let most = users_share(platform.deployment.state.write_rps, platform.peers.len() + 1, leader);
+        self.pacer.set_most(most);
+    }
+
     /// A cancellation is known to be durable, perhaps sooner than the mirror shows it: what runs of the job is stopped,
     /// nothing of it is started or believed to be done any more.
     pub(super) fn cancelled(&mut self, id: &str, tasks: u32) {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -13,14 +13,14 @@
 use crate::config::Settings;
 use crate::fleet::{Fleet, Wish};
 use crate::leader::{Event, Leadership, Right};
-use crate::pacer::Pacer;
+use crate::pacer::{users_share, Pacer};
 use crate::part::{Direct, MachineState, Offer, Origin, Params, Part, Taken};
 use crate::peer::{self, Cancelled, Hints, Others, View};
 use crate::permit::while_permitted;
 use crate::protocol::{
     self as wire, JobSpec, JobState, JobView, Kind, MachineType, RentRequest, Report, ReportReply, Txn,
 };
-use crate::rate::TokenBucket;
+use crate::rate::{RateMeter, TokenBucket};
 use crate::store::{
     self, guard, put, Decided, HireRecord, LeaderRecord, LiveRecord, Mirror, OverRecord, Seen, StoreClient, StoreError,
 };
@@ -136,10 +136,15 @@
         r
     }
 
-    /// Runs a transaction; over the rate, tries again for a moment.
+    /// Runs a transaction of the leader; over the rate, tries again for a moment.
     async fn txn(&self, txn: &Txn) -> Result<Decided, StoreError> {
         let mut tries = 0;
         loop {
+            {
+                let mut core = self.core.borrow_mut();
+                let now = core.now();
+                core.own_changes.record(txn.apply.len(), now);
+            }
             let r = self.noted(self.store.txn(txn).await);
             if r != Err(StoreError::Busy) || tries == 6 {
                 return r;
--- a/src/node/users.rs
+++ b/src/node/users.rs
@@ -59,6 +59,7 @@
     fn admit(&self, changes: u32) -> Result<(), Answer> {
         let mut core = self.core.borrow_mut();
         let now = core.now();
+        core.adjust_pace();
         core.pacer.take(changes, now).map_err(Answer::Later)
     }
 
--- a/src/pacer.rs
+++ b/src/pacer.rs
@@ -7,6 +7,22 @@
 #[cfg(test)]
 mod tests;
 
+/// Share of the state service's changes that users have in any case.
+const USERS_LEAST: f64 = 2.0 / 3.0;
+/// Most that users and the leader take together; the rest is for what is not measured yet.
+const TOGETHER: f64 = 0.95;
+/// Room for the leader's changes above what they were of late.
+const LEADER_HEADROOM: f64 = 1.25;
+
+/// How many changes a second the users of one node may cause where `nodes` share `write_rps`: two thirds of them, and what the
+/// leader leaves of the rest. In the first seconds of a deployment, with everything to be accepted and nothing to be started,
+/// the leader needs next to none.
+pub fn users_share(write_rps: f64, nodes: usize, leader_changes_per_s: Option<f64>) -> f64 {
+    let least = write_rps * USERS_LEAST;
+    let left = leader_changes_per_s.map_or(0.0, |leader| write_rps * TOGETHER - leader.max(0.0) * LEADER_HEADROOM);
+    least.max(left) / nodes.max(1) as f64
+}
+
 /// The pacer; all times in milliseconds.
 pub struct Pacer {
     per_s: f64,
@@ -23,6 +39,12 @@
         Pacer { per_s: most / 2.0, most, tokens: most / 2.0, at: 0, promised: 0.0 }
     }
 
+    /// Changes the pace that may be reached.
+    pub fn set_most(&mut self, most: f64) {
+        self.most = most;
+        self.per_s = self.per_s.min(most);
+    }
+
     /// Whether a number of changes may be made now; otherwise in how many seconds to come back.
     pub fn take(&mut self, changes: u32, now: u64) -> Result<(), u32> {
         // A burst worth a second, as the service itself allows.
--- a/src/pacer/tests.rs
+++ b/src/pacer/tests.rs
@@ -22,3 +22,17 @@
     (0..100).for_each(|_| p.refused());
     assert!(p.take(1, 10_000).is_ok(), "it never stops");
 }
+
+#[test]
+fn users_have_what_the_leader_leaves_and_two_thirds_in_any_case() {
+    assert_eq!(users_share(60.0, 3, None) * 3.0, 40.0);
+    assert_eq!(users_share(60.0, 3, Some(0.0)) * 3.0, 57.0);
+    assert_eq!(users_share(60.0, 3, Some(8.0)) * 3.0, 47.0);
+    assert_eq!(users_share(60.0, 3, Some(50.0)) * 3.0, 40.0);
+    let mut p = Pacer::new(12.0);
+    (0..100).for_each(|_| p.taken());
+    p.set_most(6.0);
+    assert!(p.take(1, 1000).is_ok());
+    // A burst of a second at the new pace, not at the old one.
+    assert!((0..20).filter(|_| p.take(1, 1000).is_ok()).count() <= 6);
+}
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -24,6 +24,8 @@
     pub revision: u64,
     /// Whether the state service answers it.
     pub state_ok: bool,
+    /// If it leads: the changes that it makes in the state service, a second.
+    pub leader_changes_per_s: Option<f64>,
     /// If it leads: done and running tasks of every job, for display.
     pub counts: Option<Vec<(String, u32, u32)>>,
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -19,7 +19,9 @@
 
 #[test]
 fn garbage_is_no_view() {
-    let v = View { node: "a".into(), epoch: 4, revision: 8, state_ok: true, counts: Some(vec![("wk-1".into(), 1, 2)]) };
+    let counts = Some(vec![("wk-1".into(), 1, 2)]);
+    let leader_changes_per_s = Some(7.5);
+    let v = View { node: "a".into(), epoch: 4, revision: 8, state_ok: true, leader_changes_per_s, counts };
     assert_eq!(decode::<View>(&encode(&v)).unwrap().counts, v.counts);
     assert!(decode::<View>(&[255; 40]).is_none());
     assert!(decode::<View>(&[]).is_none());
--- a/src/rate.rs
+++ b/src/rate.rs
@@ -1,4 +1,4 @@
-//! A token bucket: how often something may be done, with bursts.
+//! How often something may be done, and how often something is done.
 
 #[cfg(test)]
 mod tests;
@@ -32,3 +32,29 @@
         Err(((1.0 - self.tokens) / self.per_ms - 1e-3).ceil().max(1.0) as u64)
     }
 }
+
+/// Measures a rate: a mean over the last seconds, in which what is older counts less.
+#[derive(Debug)]
+pub struct RateMeter {
+    window_ms: f64,
+    per_s: f64,
+    updated_at: u64,
+}
+
+impl RateMeter {
+    /// One that forgets within a few times `window_ms`.
+    pub fn new(window_ms: u64) -> RateMeter {
+        RateMeter { window_ms: window_ms.max(1) as f64, per_s: 0.0, updated_at: 0 }
+    }
+
+    /// Takes in that something was done a number of times just now.
+    pub fn record(&mut self, times: usize, now: u64) {
+        self.per_s = self.per_s(now) + times as f64 * 1000.0 / self.window_ms;
+        self.updated_at = self.updated_at.max(now);
+    }
+
+    /// The rate.
+    pub fn per_s(&self, now: u64) -> f64 {
+        self.per_s * (-(now.saturating_sub(self.updated_at) as f64) / self.window_ms).exp()
+    }
+}
--- a/src/rate/tests.rs
+++ b/src/rate/tests.rs
@@ -27,3 +27,15 @@
     assert_eq!(bucket.take(0), Err(2000));
     assert_eq!(bucket.take(2000), Ok(()));
 }
+
+#[test]
+fn a_meter_follows_a_steady_rate_and_forgets() {
+    let mut meter = RateMeter::new(2000);
+    assert_eq!(meter.per_s(0), 0.0);
+    (0..200).for_each(|n| meter.record(2, n * 100));
+    assert!((meter.per_s(19_900) - 20.0).abs() < 1.5, "{}", meter.per_s(19_900));
+    assert!(meter.per_s(21_900) < 8.0);
+    assert!(meter.per_s(40_000) < 0.01);
+    // A clock that goes back changes nothing.
+    assert_eq!(meter.per_s(1000), meter.per_s(19_900));
+}
