--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -178,6 +178,77 @@
     }
 }
 
+/// What a controller may lose for a time.
+#[derive(Debug, Clone, Copy)]
+enum Loss {
+    Network,
+    Store,
+    Workers,
+    Time,
+}
+
+impl Loss {
+    fn set(self, w: &mut World, node: usize, for_ms: u64, on: bool) {
+        let network = matches!(self, Loss::Network);
+        if network || matches!(self, Loss::Store) {
+            w.refuse(node, on);
+        }
+        for (set, lost) in
+            [(&mut w.without_workers, network || matches!(self, Loss::Workers)), (&mut w.without_peers, network)]
+        {
+            if on && lost {
+                set.insert(node);
+            } else {
+                set.remove(&node);
+            }
+        }
+        if on && matches!(self, Loss::Time) {
+            w.nodes[node].frozen_until = w.now() + for_ms;
+        }
+    }
+}
+
+/// A controller loses the whole network, the state service, the workers or its processor, for less and for much more than
+/// any lease, as leader and as follower, and is back.
+#[test]
+fn a_controller_that_lost_something_for_seconds_or_a_minute_changes_nothing_when_it_returns() {
+    for loss in [Loss::Network, Loss::Store, Loss::Workers, Loss::Time] {
+        for leads in [true, false] {
+            for for_ms in [5000, 75_000] {
+                let mut w = World::new(31, 6);
+                w.submit(spec("wk-1", 4), 40_000);
+                w.submit(spec("wk-2", 6), 150_000);
+                w.run(3000);
+                let leader = w.leader().unwrap();
+                let node = if leads { leader } else { other(leader) };
+                loss.set(&mut w, node, for_ms, true);
+                w.run(2000);
+                let third = 3 - node - other(node);
+                w.submit(spec("wk-3", 4), 10_000);
+                // Where the others do not lead yet, its user asks again.
+                let mut cancelled = false;
+                for _ in 0..6 {
+                    cancelled = cancelled || w.cancel(third, "wk-2");
+                    w.run((for_ms - 2000) / 6);
+                }
+                assert!(cancelled, "{loss:?}");
+                if for_ms > 10_000 {
+                    // Somebody leads, and serves what came meanwhile.
+                    assert!(w.leader().is_some_and(|l| !leads || l != node), "{loss:?}");
+                    assert!(w.over("wk-3").is_some(), "{loss:?} {leads}");
+                }
+                let epoch = w.epoch();
+                loss.set(&mut w, node, 0, false);
+                w.run(15_000);
+                // Its return costs nobody the leadership.
+                assert!(w.epoch() == epoch || for_ms < 10_000, "{loss:?} {leads}");
+                whole(&w);
+                settled(w);
+            }
+        }
+    }
+}
+
 #[test]
 fn small_jobs_end_far_apart_across_changes_of_leader() {
     let mut w = World::new(1, 4);
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -240,6 +240,10 @@
     pub starts: u64,
     /// A zone that is cut off with a controller in it, which nothing else reaches.
     pub island: Option<(&'static str, usize)>,
+    /// Controllers that reach no worker.
+    pub without_workers: BTreeSet<usize>,
+    /// Controllers that reach no other controller.
+    pub without_peers: BTreeSet<usize>,
     pub fetch_ms: u64,
     /// Commands sent straight to workers that are held up take at least this long.
     pub held_ms: u64,
@@ -301,6 +305,8 @@
             machines_wanted: machines,
             starts: 0,
             island: None,
+            without_workers: BTreeSet::new(),
+            without_peers: BTreeSet::new(),
             fetch_ms: 800,
             held_ms: 2000,
             write_ms: STEP,
@@ -462,7 +468,7 @@
 
     /// Whether a zone's machines and a controller reach each other.
     fn joined(&self, zone: &str, node: usize) -> bool {
-        self.island.is_none_or(|(z, n)| (z == zone) == (n == node))
+        !self.without_workers.contains(&node) && self.island.is_none_or(|(z, n)| (z == zone) == (n == node))
     }
 
     fn send(&mut self, delay: u64, message: Message) {
@@ -788,7 +794,9 @@
             return;
         }
         for (a, b) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)] {
-            let apart = self.island.is_some_and(|(_, n)| n == a || n == b);
+            let apart = self.island.is_some_and(|(_, n)| n == a || n == b)
+                || self.without_peers.contains(&a)
+                || self.without_peers.contains(&b);
             if apart || now < self.nodes[a].frozen_until.max(self.nodes[b].frozen_until) {
                 continue;
             }
