--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::part::{Load, MachineState, Need, Offer, Part};
+use crate::scheduler::{Load, MachineState, Need, Offer, Scheduler};
 use std::collections::{HashMap, VecDeque};
 
 /// Machines to be rented.
@@ -85,10 +85,10 @@
     }
 
     /// What to rent for these needs, the most urgent first.
-    pub fn wishes(&self, part: &Part, needs: &[Need], now: u64) -> Vec<Wish> {
-        let types = part.types();
+    pub fn wishes(&self, scheduler: &Scheduler, needs: &[Need], now: u64) -> Vec<Wish> {
+        let types = scheduler.types();
         // What would come up in a zone that is cut off is out of reach, and was once counted on all the same.
-        let dark = part.zones_dark();
+        let dark = scheduler.zones_dark();
         let whole = |t: usize| [types[t].cpus, types[t].gpus, types[t].memory_gb].map(|x| (x * 1000.0) as u64);
         // Room left on machines wished for already.
         let mut wished: Vec<(Offer, [u64; 3])> = Vec::new();
@@ -117,7 +117,7 @@
                     }
                     // Price per useful CPU: room beyond this need counts half, since others may use it.
                     let useful = if left >= n { n as f64 } else { left as f64 + (n - left) as f64 / 2.0 };
-                    for zone in kind.zones.iter().filter_map(|z| part.zone_index(z)) {
+                    for zone in kind.zones.iter().filter_map(|z| scheduler.zone_index(z)) {
                         for spot in [true, false] {
                             let offer = Offer { kind: t, zone, spot };
                             if !allowed(&offer) || dark.contains(&zone) || !self.open(&offer, now) {
@@ -179,17 +179,17 @@
     }
 
     /// Rents ahead of the replicas to come, where too little is free for them.
-    pub fn ahead(&self, part: &Part, rise_ms: u64, now: u64) -> Vec<Wish> {
-        let loads = part.loads();
-        let coming = part.coming_up();
-        let dark = part.zones_dark();
+    pub fn ahead(&self, scheduler: &Scheduler, rise_ms: u64, now: u64) -> Vec<Wish> {
+        let loads = scheduler.loads();
+        let coming = scheduler.coming_up();
+        let dark = scheduler.zones_dark();
         let mut out = Vec::new();
         for (zone, reserve) in self.reserves(rise_ms).into_iter().filter(|(z, _)| !dark.contains(z)) {
             let free: u64 =
                 loads.iter().filter(|l| !l.offer.spot && l.offer.zone == zone).map(|l| l.cpus - l.used).sum();
             let short = reserve.saturating_sub(free + coming.get(&zone).copied().unwrap_or(0));
-            let offers = part.types().iter().enumerate().filter(|(t, kind)| {
-                kind.zones.iter().any(|z| part.zone_index(z) == Some(zone))
+            let offers = scheduler.types().iter().enumerate().filter(|(t, kind)| {
+                kind.zones.iter().any(|z| scheduler.zone_index(z) == Some(zone))
                     && self.open(&Offer { kind: *t, zone, spot: false }, now)
             });
             let best = offers.min_by(|(_, a), (_, b)| (a.price / a.cpus).total_cmp(&(b.price / b.cpus)));
@@ -203,20 +203,20 @@
 
     /// Takes the machine that costs most for what it does out of use, if the rest covers the peak of the last `window_ms`;
     /// takes such machines back when there are needs.
-    pub fn surplus(&mut self, part: &mut Part, needs: &[Need], window_ms: u64, rise_ms: u64, now: u64) {
-        let loads = part.loads();
+    pub fn surplus(&mut self, scheduler: &mut Scheduler, needs: &[Need], window_ms: u64, rise_ms: u64, now: u64) {
+        let loads = scheduler.loads();
         let wanted = needs.iter().map(|n| n.need[0] * n.tasks as u64).sum::<u64>();
-        let (services, placed) = part.service_demand();
+        let (services, placed) = scheduler.service_demand();
         let all = wanted + loads.iter().map(|l| l.used).sum::<u64>();
         self.demand.push_back(Demand { at: now, all, services, placed });
         while self.demand.front().is_some_and(|d| now > d.at + window_ms) {
             self.demand.pop_front();
         }
         if !needs.is_empty() {
-            part.use_surplus();
+            scheduler.use_surplus();
             return;
         }
-        part.move_replica();
+        scheduler.move_replica();
         let target = |x: u64| (x as f64 * HEADROOM) as u64;
         let peak = target(self.demand.iter().map(|d| d.all).max().unwrap_or(0));
         let all: u64 = loads.iter().map(|l| l.cpus).sum();
@@ -231,7 +231,7 @@
             *steady.entry(l.offer.zone).or_insert(0) += l.cpus;
         }
         let of = |by: &HashMap<usize, u64>, zone: usize| by.get(&zone).copied().unwrap_or(0);
-        let types = part.types();
+        let types = scheduler.types();
         let idle_price = |l: &Load| {
             let t = &types[l.offer.kind];
             (if l.offer.spot { t.spot_price } else { t.price }) * (1.0 - l.used as f64 / l.cpus.max(1) as f64)
@@ -246,24 +246,24 @@
         };
         let go = loads.iter().filter(may_go).max_by(|a, b| idle_price(a).total_cmp(&idle_price(b))).map(|l| l.machine);
         if let Some(i) = go {
-            part.spare_machine(i);
+            scheduler.spare_machine(i);
         }
     }
 
     /// Moves machines that should go towards their release: stuck ones, drained ones, idle ones.
-    pub fn returns(&mut self, part: &mut Part, idle_ms: u64, rise_ms: u64, now: u64) {
+    pub fn returns(&mut self, scheduler: &mut Scheduler, idle_ms: u64, rise_ms: u64, now: u64) {
         let (mut go, mut overdue) = (Vec::new(), Vec::new());
         let reserves = self.reserves(rise_ms);
         let mut free: HashMap<usize, u64> = HashMap::new();
         let mut cpus: HashMap<usize, u64> = HashMap::new();
-        for l in part.loads() {
+        for l in scheduler.loads() {
             cpus.insert(l.machine, l.cpus);
             *free.entry(l.offer.zone).or_default() += if l.offer.spot { 0 } else { l.cpus - l.used };
         }
-        for (i, m) in part.machines() {
+        for (i, m) in scheduler.machines() {
             let idle = m.idle_since.is_some_and(|s| now > s + idle_ms);
             match m.state {
-                MachineState::Waiting if part.never_came_up(m) => overdue.push(i),
+                MachineState::Waiting if scheduler.never_came_up(m) => overdue.push(i),
                 MachineState::Draining if m.idle_since.is_some() => go.push((i, "drained")),
                 MachineState::Up if idle && m.spot => go.push((i, "idle")),
                 MachineState::Up if idle => {
@@ -279,10 +279,10 @@
             }
         }
         for (i, why) in go {
-            part.enter(i, MachineState::Releasing, why);
+            scheduler.enter(i, MachineState::Releasing, why);
         }
         for i in overdue {
-            if let Some((offer, pause_ms)) = part.give_up_boot(i) {
+            if let Some((offer, pause_ms)) = scheduler.give_up_boot(i) {
                 self.pause(offer, pause_ms, now);
             }
         }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,14 +1,14 @@
 //! What to rent next.
 
 use super::*;
-use crate::part::{Hardware, Origin, Params};
 use crate::protocol::MachineType;
+use crate::scheduler::{Hardware, Origin, Params};
 use std::collections::HashMap;
 
 const BOOT_S: f64 = 20.0;
 
-/// A part with two machine types; the first is the cheaper one.
-fn part() -> Part {
+/// A scheduler with two machine types; the first is the cheaper one.
+fn scheduler() -> Scheduler {
     let params = Params {
         lease_ms: 12_000,
         report_ms: 1500,
@@ -31,9 +31,9 @@
         boot_s: BOOT_S,
         zones: vec!["a".into()],
     };
-    let mut part = Part::new(params, 1, 1000);
-    part.set_types(&[kind("cheap", 1.0), kind("dear", 2.0)]);
-    part
+    let mut scheduler = Scheduler::new(params, 1, 1000);
+    scheduler.set_types(&[kind("cheap", 1.0), kind("dear", 2.0)]);
+    scheduler
 }
 
 fn need(tasks: u32) -> Need {
@@ -62,31 +62,31 @@
 
 #[test]
 fn an_offer_whose_machines_never_come_up_is_left_for_a_while_if_another_fits() {
-    let (mut part, mut fleet) = (part(), Fleet::default());
+    let (mut scheduler, mut fleet) = (scheduler(), Fleet::default());
     let cheap = Offer { kind: 0, zone: 0, spot: false };
     let dear = Offer { kind: 1, ..cheap };
     let hardware = Hardware { machine_type: "cheap", zone: "a", spot: false };
-    let wanted = |fleet: &Fleet, part: &Part, now| fleet.wishes(part, &[need(3)], now);
-    assert_eq!(wanted(&fleet, &part, 1000), vec![wish(cheap, 3)]);
-    (0..3).for_each(|n| part.add_machine(&format!("n-{n}"), hardware, Origin::Rented));
-    part.at(60_000);
-    fleet.returns(&mut part, 45_000, 35_000, 60_000);
-    assert!(part.leaving(9).is_empty());
-    part.at(62_000);
-    fleet.returns(&mut part, 45_000, 35_000, 62_000);
-    assert_eq!(part.leaving(9).len(), 3);
+    let wanted = |fleet: &Fleet, scheduler: &Scheduler, now| fleet.wishes(scheduler, &[need(3)], now);
+    assert_eq!(wanted(&fleet, &scheduler, 1000), vec![wish(cheap, 3)]);
+    (0..3).for_each(|n| scheduler.add_machine(&format!("n-{n}"), hardware, Origin::Rented));
+    scheduler.at(60_000);
+    fleet.returns(&mut scheduler, 45_000, 35_000, 60_000);
+    assert!(scheduler.leaving(9).is_empty());
+    scheduler.at(62_000);
+    fleet.returns(&mut scheduler, 45_000, 35_000, 62_000);
+    assert_eq!(scheduler.leaving(9).len(), 3);
     // Asked for again at once, it once cost a boot time again and again.
-    assert_eq!(wanted(&fleet, &part, 62_000), vec![wish(dear, 3)]);
+    assert_eq!(wanted(&fleet, &scheduler, 62_000), vec![wish(dear, 3)]);
     let only_cheap = Need { types: Some(vec![0]), ..need(1) };
-    assert!(fleet.wishes(&part, std::slice::from_ref(&only_cheap), 62_000).is_empty());
+    assert!(fleet.wishes(&scheduler, std::slice::from_ref(&only_cheap), 62_000).is_empty());
     // Not for ever: it is tried again, with twice the patience.
-    assert_eq!(fleet.wishes(&part, &[only_cheap], 123_000), vec![wish(cheap, 1)]);
-    part.at(123_000);
-    part.add_machine("n-9", hardware, Origin::Rented);
-    part.at(123_000 + 115_000);
-    fleet.returns(&mut part, 45_000, 35_000, 238_000);
-    assert_eq!(part.leaving(9).len(), 3);
-    part.at(123_000 + 121_000);
-    fleet.returns(&mut part, 45_000, 35_000, 244_000);
-    assert_eq!(part.leaving(9).len(), 4);
+    assert_eq!(fleet.wishes(&scheduler, &[only_cheap], 123_000), vec![wish(cheap, 1)]);
+    scheduler.at(123_000);
+    scheduler.add_machine("n-9", hardware, Origin::Rented);
+    scheduler.at(123_000 + 115_000);
+    fleet.returns(&mut scheduler, 45_000, 35_000, 238_000);
+    assert_eq!(scheduler.leaving(9).len(), 3);
+    scheduler.at(123_000 + 121_000);
+    fleet.returns(&mut scheduler, 45_000, 35_000, 244_000);
+    assert_eq!(scheduler.leaving(9).len(), 4);
 }
--- a/src/node/books.rs
+++ b/src/node/books.rs
@@ -2,7 +2,7 @@
 
 use super::core::{Core, Pass, Term, FLUSH_MS, PASS_MS, TICK_MS};
 use super::*;
-use crate::part::{Append, DoneChunk};
+use crate::scheduler::{Append, DoneChunk};
 
 impl Core {
     /// The transaction that claims the next epoch, and its record; none if somebody leads.
@@ -16,43 +16,43 @@
         self.notice_pause();
         let (now, right) = (self.now(), self.right());
         let (direct, alone) = (self.settings.operator.direct_starts, self.settings.platform.peers.is_empty());
-        let Some(part) = self.part.as_mut() else { return Pass::Nothing };
-        part.at(now);
+        let Some(scheduler) = self.scheduler.as_mut() else { return Pass::Nothing };
+        scheduler.at(now);
         if now >= self.due.tick {
             self.due.tick = now + TICK_MS;
-            part.tick(now);
+            scheduler.tick(now);
         }
         if right != Right::Full {
             return Pass::Nothing;
         }
         if now >= self.due.reconsider {
             self.due.reconsider = now + 5 * TICK_MS;
-            part.reconsider();
-            if !alone && part.deaf() {
+            scheduler.reconsider();
+            if !alone && scheduler.deaf() {
                 return Pass::GiveUp;
             }
         }
         if now >= self.due.place {
-            if part.place() {
-                part.make_room();
+            if scheduler.place() {
+                scheduler.make_room();
             }
             // Passes take a fifth of the time at most, however long one takes on this machine.
             let took = self.now() - now;
             self.due.place = now + 2 * PASS_MS.max(2 * took);
         }
-        let Some(part) = self.part.as_mut() else { return Pass::Nothing };
-        let mut sends = if direct { part.direct(room) } else { Vec::new() };
-        sends.extend(part.probes((room - sends.len().min(room)).min(probes)));
+        let Some(scheduler) = self.scheduler.as_mut() else { return Pass::Nothing };
+        let mut sends = if direct { scheduler.direct(room) } else { Vec::new() };
+        sends.extend(scheduler.probes((room - sends.len().min(room)).min(probes)));
         Pass::Sends(sends)
     }
 
     /// The answer to a message to a worker. One for an earlier term means nothing to this one.
     pub(super) fn direct_answer(&mut self, term: Option<Term>, sent: &Direct, answer: Option<&Report>) {
         let now = self.now();
-        if let Some(part) = self.part.as_mut().filter(|_| term.is_some()) {
+        if let Some(scheduler) = self.scheduler.as_mut().filter(|_| term.is_some()) {
             if self.lead.term() == term {
-                part.at(now);
-                part.direct_answer(sent, answer);
+                scheduler.at(now);
+                scheduler.direct_answer(sent, answer);
             }
         }
     }
@@ -65,7 +65,7 @@
         let most = (4 * s.txn_ops - 2).min(100);
         // The value's quotes, and the rest of the transaction.
         let limit = ((s.value_kb * 1024.0) as usize).min((60 << 10) - 100 * most).saturating_sub(64);
-        let append = self.part.as_mut()?.append(limit, most)?;
+        let append = self.scheduler.as_mut()?.append(limit, most)?;
         let txn = store::log_txn(&guard(store::epoch_key(), term.1), &append);
         Some((append, term, txn))
     }
@@ -82,22 +82,22 @@
             return;
         }
         let now = self.now();
-        let Some(part) = self.part.as_mut() else { return };
-        part.at(now);
+        let Some(scheduler) = self.scheduler.as_mut() else { return };
+        scheduler.at(now);
         // The store knows that a job is over before the mirror does.
         if let Ok(Decided::Failed(keys)) = &done {
-            keys.iter().filter_map(|k| store::live_job(k)).for_each(|id| part.drop_job(id));
+            keys.iter().filter_map(|k| store::live_job(k)).for_each(|id| scheduler.drop_job(id));
         }
         match (done, found) {
-            (Ok(Decided::Applied(version)), _) => part.appended(append, version),
-            (_, Some(f)) if f.record == append.text => part.appended(append, f.version),
-            (_, found) => part.not_appended(append, found.as_ref().map(|f| (f.version, f.record.as_str()))),
+            (Ok(Decided::Applied(version)), _) => scheduler.appended(append, version),
+            (_, Some(f)) if f.record == append.text => scheduler.appended(append, f.version),
+            (_, found) => scheduler.not_appended(append, found.as_ref().map(|f| (f.version, f.record.as_str()))),
         }
     }
 
     /// The guard of the leader's writes, while it may make any.
     pub(super) fn books(&self) -> Option<wire::Guard> {
-        let (_, version, _) = self.term().filter(|_| self.right() == Right::Full && self.part.is_some())?;
+        let (_, version, _) = self.term().filter(|_| self.right() == Right::Full && self.scheduler.is_some())?;
         Some(guard(store::epoch_key(), version))
     }
 
@@ -110,7 +110,7 @@
 
     /// Jobs that can be made final: their tasks, and the transaction.
     pub(super) fn completions(&self, epoch: &wire::Guard) -> Vec<(String, u32, Txn)> {
-        let complete = self.part.as_ref().map(|p| p.complete_jobs()).unwrap_or_default();
+        let complete = self.scheduler.as_ref().map(|p| p.complete_jobs()).unwrap_or_default();
         let txn = |id: &str, version, tasks| store::complete_txn(epoch, id, version, tasks);
         complete.into_iter().take(8).map(|(id, version, tasks)| (id.clone(), tasks, txn(&id, version, tasks))).collect()
     }
@@ -119,14 +119,14 @@
     pub(super) fn completed(&mut self, id: &str, tasks: u32) {
         tracing::info!(job = %id, tasks, "job done");
         self.mirror.remember_over(id, OverRecord { cancelled: false, tasks });
-        if let Some(p) = self.part.as_mut() {
+        if let Some(p) = self.scheduler.as_mut() {
             p.drop_job(id);
         }
     }
 
     /// Results to be stored.
     pub(super) fn ranges(&self, epoch: &wire::Guard) -> Option<(Vec<DoneChunk>, Txn)> {
-        let rows = self.part.as_ref()?.unsaved(self.rows());
+        let rows = self.scheduler.as_ref()?.unsaved(self.rows());
         let mut txn = Txn { guards: vec![epoch.clone()], apply: Vec::new() };
         for row in &rows {
             let known = self.mirror.done.get(&(row.job.clone(), row.chunk)).map_or(0, |v| v.version);
@@ -144,7 +144,7 @@
     /// Results are stored. What was written in an earlier term is read by this one from the store.
     pub(super) fn stored(&mut self, epoch: &wire::Guard, rows: &[DoneChunk]) {
         let same = self.term().is_some_and(|(_, version, _)| version == epoch.version);
-        if let Some(p) = self.part.as_mut().filter(|_| same) {
+        if let Some(p) = self.scheduler.as_mut().filter(|_| same) {
             rows.iter().for_each(|r| p.saved(r));
         }
     }
@@ -178,8 +178,8 @@
     pub(super) fn sweep(&mut self, epoch: &wire::Guard) -> Option<Txn> {
         let ops = self.rows();
         let mut txn = Txn { guards: vec![epoch.clone()], apply: Vec::new() };
-        let part = self.part.as_mut()?;
-        for id in part.stopped_jobs() {
+        let scheduler = self.scheduler.as_mut()?;
+        for id in scheduler.stopped_jobs() {
             tracing::info!(job = %id, "job ended");
         }
         let mut add = |key: String, version: u64| {
@@ -188,7 +188,7 @@
                 txn.apply.push(wire::Change::Delete { key });
             }
         };
-        for (id, v) in self.mirror.stopping.iter().filter(|(id, _)| !part.has_job(id)) {
+        for (id, v) in self.mirror.stopping.iter().filter(|(id, _)| !scheduler.has_job(id)) {
             add(store::stopping_key(id), v.version);
         }
         for ((id, chunk), v) in &self.mirror.done {
--- a/src/node/core.rs
+++ b/src/node/core.rs
@@ -74,7 +74,7 @@
     pub(super) me: LeaderRecord,
     pub(super) mirror: Mirror,
     pub(super) lead: Leadership,
-    pub(super) part: Option<Part>,
+    pub(super) scheduler: Option<Scheduler>,
     pub(super) fleet: Fleet,
     pub(super) types: Vec<MachineType>,
     pub(super) counts: HashMap<String, (u32, u32)>,
@@ -121,7 +121,7 @@
             clock,
             me,
             mirror: Mirror::default(),
-            part: None,
+            scheduler: None,
             fleet: Fleet::default(),
             types: Vec::new(),
             counts: HashMap::new(),
@@ -193,7 +193,7 @@
 
     pub(super) fn lead_event(&mut self, event: Event) {
         if self.lead.apply(event) && self.term().is_none() {
-            self.part = None;
+            self.scheduler = None;
             self.strangers.clear();
             self.gone.clear();
         }
@@ -201,7 +201,7 @@
 
     pub(super) fn take_types(&mut self, types: &[MachineType]) {
         self.types = types.to_vec();
-        if let Some(p) = &mut self.part {
+        if let Some(p) = &mut self.scheduler {
             p.set_types(types);
         }
     }
@@ -219,7 +219,7 @@
     }
 
     fn mirrored(&mut self, seen: Vec<Seen>) -> bool {
-        // What has changed is in the part before any right follows from it.
+        // What has changed is in the scheduler before any right follows from it.
         let vacant = self.seen(seen);
         let revision = self.mirror.revision;
         self.lead_event(Event::Mirrored(revision));
@@ -234,20 +234,22 @@
         for s in seen {
             match s {
                 Seen::Job(id) => {
-                    let (Some(part), Some(v)) = (self.part.as_mut(), self.mirror.live.get(&id)) else { continue };
+                    let (Some(scheduler), Some(v)) = (self.scheduler.as_mut(), self.mirror.live.get(&id)) else {
+                        continue;
+                    };
                     // Another's word of its cancellation may be here before the mirror has seen it come and go.
                     if self.mirror.over(&id).is_some() {
                         continue;
                     }
-                    part.at(now);
+                    scheduler.at(now);
                     let done = done_rows(&self.mirror, &id);
-                    part.add_job(v.record.clone(), v.version, &done, wall, false);
+                    scheduler.add_job(v.record.clone(), v.version, &done, wall, false);
                 }
                 Seen::JobGone(id) => {
                     self.counts.remove(&id);
-                    if let Some(part) = self.part.as_mut() {
-                        part.at(now);
-                        part.drop_job(&id);
+                    if let Some(scheduler) = self.scheduler.as_mut() {
+                        scheduler.at(now);
+                        scheduler.drop_job(&id);
                     }
                 }
                 Seen::LeaderGone => vacant = true,
@@ -267,39 +269,39 @@
         vacant
     }
 
-    /// Builds the part of a new epoch from the store.
+    /// Builds the scheduler of a new epoch from the store.
     pub(super) fn rebuild(&mut self, epoch: u64) {
         let (now, wall) = (self.now(), self.wall());
-        let mut part = Part::new(Params::new(&self.settings), epoch, now);
-        part.set_types(&self.types);
+        let mut scheduler = Scheduler::new(Params::new(&self.settings), epoch, now);
+        scheduler.set_types(&self.types);
         for h in self.mirror.hires.values() {
             let h = &h.record;
             for machine in h.machines.iter().flatten() {
-                part.add_machine(machine, h.hardware(), Origin::Inherited);
+                scheduler.add_machine(machine, h.hardware(), Origin::Inherited);
             }
         }
         for (id, v) in &self.mirror.live {
             let ended = self.mirror.over(id).is_some();
-            part.add_job(v.record.clone(), v.version, &done_rows(&self.mirror, id), wall, ended);
+            scheduler.add_job(v.record.clone(), v.version, &done_rows(&self.mirror, id), wall, ended);
         }
         for (id, v) in &self.mirror.stopping {
-            part.add_job(v.record.clone(), v.version, &done_rows(&self.mirror, id), wall, true);
+            scheduler.add_job(v.record.clone(), v.version, &done_rows(&self.mirror, id), wall, true);
         }
-        part.inherit(self.mirror.starts.iter().map(|(slot, v)| (*slot, v.version, v.record.as_str())));
+        scheduler.inherit(self.mirror.starts.iter().map(|(slot, v)| (*slot, v.version, v.record.as_str())));
         if self.unlogged {
-            part.outwait();
+            scheduler.outwait();
         }
         self.leads_since = now;
         let (jobs, hires) = (self.mirror.live.len(), self.mirror.hires.len());
-        tracing::info!(epoch, jobs, hires, unsettled = part.unsettled(), "epoch begins");
-        self.part = Some(part);
+        tracing::info!(epoch, jobs, hires, unsettled = scheduler.unsettled(), "epoch begins");
+        self.scheduler = Some(scheduler);
     }
 
     pub(super) fn view(&self, id: &str) -> Option<JobView> {
         if let Some(over) = self.mirror.over(id) {
             return Some(over_view(id, over));
         }
-        let counts = self.part.as_ref().and_then(|p| p.counts(id)).or(self.counts.get(id).copied());
+        let counts = self.scheduler.as_ref().and_then(|p| p.counts(id)).or(self.counts.get(id).copied());
         self.mirror.live.get(id)?;
         let (done, running) = counts.unwrap_or_default();
         let state = if running > 0 { JobState::Running } else { JobState::Queued };
@@ -307,7 +309,7 @@
     }
 
     pub(super) fn own_view(&self) -> View {
-        let counts = self.part.as_ref().filter(|_| self.right() != Right::None).map(|p| p.all_counts());
+        let counts = self.scheduler.as_ref().filter(|_| self.right() != Right::None).map(|p| p.all_counts());
         let (node, revision) = (self.me.node.clone(), self.mirror.revision);
         let leader_changes_per_s = self.term().map(|_| self.own_changes.per_s(self.now()));
         View { node, epoch: self.newest_epoch, revision, state_ok: self.state_ok(), leader_changes_per_s, counts }
@@ -328,7 +330,7 @@
         if let Some(changes_per_s) = v.leader_changes_per_s.filter(|_| v.epoch >= self.newest_epoch) {
             self.leader_changes = Some((changes_per_s, now));
         }
-        if let Some(counts) = v.counts.filter(|_| self.part.is_none() && v.epoch >= self.newest_epoch) {
+        if let Some(counts) = v.counts.filter(|_| self.scheduler.is_none() && v.epoch >= self.newest_epoch) {
             self.counts = counts.into_iter().map(|(id, done, running)| (id, (done, running))).collect();
         }
         self.hints.acknowledged(&v.node, v.revision);
@@ -350,9 +352,9 @@
     pub(super) fn cancelled(&mut self, id: &str, tasks: u32) {
         let now = self.now();
         self.mirror.remember_over(id, OverRecord { cancelled: true, tasks });
-        if let Some(part) = self.part.as_mut() {
-            part.at(now);
-            part.drop_job(id);
+        if let Some(scheduler) = self.scheduler.as_mut() {
+            scheduler.at(now);
+            scheduler.drop_job(id);
         }
     }
 
@@ -406,9 +408,9 @@
         if right == Right::None {
             return elsewhere(leader, &self.me.node);
         }
-        let Some(part) = self.part.as_mut() else { return WorkerAnswer::Later };
-        part.at(now);
-        match part.report(r, true, right == Right::Full) {
+        let Some(scheduler) = self.scheduler.as_mut() else { return WorkerAnswer::Later };
+        scheduler.at(now);
+        match scheduler.report(r, true, right == Right::Full) {
             Taken::Reply(reply) => WorkerAnswer::Reply(reply),
             Taken::Superseded => {
                 self.lead_event(Event::Ended);
--- a/src/node/leading.rs
+++ b/src/node/leading.rs
@@ -23,7 +23,7 @@
                 match renewed {
                     Ok(()) => {
                         core.lead_event(Event::Renewed(sent));
-                        if core.part.is_some() && core.right() == Right::None {
+                        if core.scheduler.is_some() && core.right() == Right::None {
                             tracing::info!("does not catch up with the store, gives leadership up");
                             drop(core);
                             self.give_up();
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -14,13 +14,13 @@
 use crate::fleet::{Fleet, Wish};
 use crate::leader::{Event, Leadership, Right};
 use crate::pacer::{users_share, Pacer};
-use crate::part::{Direct, MachineState, Offer, Origin, Params, Part, Taken};
 use crate::peer::{self, Cancelled, Hints, Others, View};
 use crate::permit::while_permitted;
 use crate::protocol::{
     self as wire, JobSpec, JobState, JobView, Kind, MachineType, RentRequest, Report, ReportReply, Txn,
 };
 use crate::rate::{RateMeter, TokenBucket};
+use crate::scheduler::{Direct, MachineState, Offer, Origin, Params, Scheduler, Taken};
 use crate::store::{
     self, guard, put, Decided, HireRecord, LeaderRecord, LiveRecord, Mirror, OverRecord, Seen, StoreClient, StoreError,
 };
--- a/src/node/renting.rs
+++ b/src/node/renting.rs
@@ -28,7 +28,10 @@
             let now = self.core.borrow().now();
             let (leads, typeless) = {
                 let core = self.core.borrow();
-                (core.term().is_some() && core.right() == Right::Full && core.part.is_some(), core.types.is_empty())
+                (
+                    core.term().is_some() && core.right() == Right::Full && core.scheduler.is_some(),
+                    core.types.is_empty(),
+                )
             };
             if (leads || typeless) && types_at.is_none_or(|t| now > t + if typeless { 1000 } else { 20_000 }) {
                 types_at = Some(now);
@@ -131,29 +134,29 @@
         let idle_ms = (core.settings.operator.idle_return_s * 1000.0) as u64;
         // Dead machines are listed as failed; what is silent for so long though its whole zone is, is not worth its price.
         let lost_ms = (4000.0 * w.lease_s) as u64;
-        let Some(part) = core.part.as_mut() else { return Vec::new() };
-        part.at(now);
-        for i in part.silent(silent_ms, lost_ms) {
-            part.enter(i, MachineState::Releasing, "silent");
+        let Some(scheduler) = core.scheduler.as_mut() else { return Vec::new() };
+        scheduler.at(now);
+        for i in scheduler.silent(silent_ms, lost_ms) {
+            scheduler.enter(i, MachineState::Releasing, "silent");
         }
-        let needs = part.look_ahead(true);
+        let needs = scheduler.look_ahead(true);
         let wanted: u32 = needs.iter().map(|n| n.tasks).sum();
-        let pending: u32 = part.jobs().map(|j| j.pending()).sum();
+        let pending: u32 = scheduler.jobs().map(|j| j.pending()).sum();
         if tracing::enabled!(tracing::Level::DEBUG) {
             let mut by_offer: BTreeMap<Offer, [u64; 4]> = BTreeMap::new();
-            for l in part.loads() {
+            for l in scheduler.loads() {
                 let sum = by_offer.entry(l.offer).or_default();
                 *sum = [sum[0] + 1, sum[1] + l.cpus, sum[2] + l.used, sum[3] + l.services];
             }
             tracing::debug!(pending, wanted, machines_cpus_used_services = ?by_offer, "look ahead");
         }
-        let boot_s = part.types().iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min).min(600.0);
+        let boot_s = scheduler.types().iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min).min(600.0);
         // Until a machine that is rented now is up, with some room for slow ones.
         let rise_ms = (boot_s * 1500.0) as u64 + 5000;
-        core.fleet.surplus(part, &needs, idle_ms + (boot_s * 1000.0) as u64, rise_ms, now);
-        core.fleet.returns(part, idle_ms, rise_ms, now);
-        let mut wishes = core.fleet.wishes(part, &needs, now);
-        wishes.extend(core.fleet.ahead(part, rise_ms, now));
+        core.fleet.surplus(scheduler, &needs, idle_ms + (boot_s * 1000.0) as u64, rise_ms, now);
+        core.fleet.returns(scheduler, idle_ms, rise_ms, now);
+        let mut wishes = core.fleet.wishes(scheduler, &needs, now);
+        wishes.extend(core.fleet.ahead(scheduler, rise_ms, now));
         wishes
     }
 
@@ -177,8 +180,8 @@
             core.released.retain(|_, at| now < *at + 600_000);
             for n in names {
                 core.released.insert(n.clone(), now);
-                if let Some(part) = core.part.as_mut() {
-                    part.machine_gone(&n);
+                if let Some(scheduler) = core.scheduler.as_mut() {
+                    scheduler.machine_gone(&n);
                 }
                 core.gone.insert(n);
             }
@@ -190,8 +193,8 @@
     /// Machines that this node may release now.
     fn leaving(&self) -> Vec<String> {
         let core = self.core.borrow();
-        match core.part.as_ref() {
-            Some(part) if core.right() == Right::Full => part.leaving(RELEASE_MOST),
+        match core.scheduler.as_ref() {
+            Some(scheduler) if core.right() == Right::Full => scheduler.leaving(RELEASE_MOST),
             _ => Vec::new(),
         }
     }
@@ -227,10 +230,10 @@
                 core.mirror.hires.values().any(|h| {
                     h.record.machines.is_none() && h.record.machine_type == machine_type && h.record.zone == zone
                 });
-            if open || core.part.as_ref().is_none_or(|p| p.knows(&machine)) {
+            if open || core.scheduler.as_ref().is_none_or(|p| p.knows(&machine)) {
                 return;
             }
-            (crate::part::first_token(number), version)
+            (crate::scheduler::first_token(number), version)
         };
         if let Some((address, session)) = ask {
             let probe = Direct { machine: machine.clone(), address, token, session, orders: Vec::new() };
@@ -263,10 +266,10 @@
     pub(super) fn add_machines(&self, r: &HireRecord, origin: Origin) {
         let mut core = self.core.borrow_mut();
         let now = core.now();
-        let Some(part) = core.part.as_mut() else { return };
-        part.at(now);
+        let Some(scheduler) = core.scheduler.as_mut() else { return };
+        scheduler.at(now);
         for m in r.machines.iter().flatten() {
-            part.add_machine(m, r.hardware(), origin);
+            scheduler.add_machine(m, r.hardware(), origin);
         }
     }
 
@@ -281,12 +284,12 @@
         // on them for a minute. Workers that report are taken in at once.
         let lag_ms = (core.settings.platform.deployment.cloud.list_lag_s * 2000.0) as u64 + 2000;
         let settled = now > core.leads_since + lag_ms;
-        let part = core.part.as_mut()?;
+        let scheduler = core.scheduler.as_mut()?;
         let next = machines.last().map(|m| m.id.clone());
         for m in machines {
-            match part.index(&m.id) {
-                Some(i) if m.state == "failed" => part.enter(i, MachineState::Releasing, "failed"),
-                Some(i) => part.listed(i, m.state == "running", &m.address, (m.age_s * 1000.0) as u64),
+            match scheduler.index(&m.id) {
+                Some(i) if m.state == "failed" => scheduler.enter(i, MachineState::Releasing, "failed"),
+                Some(i) => scheduler.listed(i, m.state == "running", &m.address, (m.age_s * 1000.0) as u64),
                 None if !settled || core.released.contains_key(&m.id) || core.strangers.len() > STRANGERS => {}
                 None => {
                     let (machine_type, zone, spot) = (m.machine_type, m.zone, m.spot);
@@ -318,10 +321,10 @@
             let mut core = self.core.borrow_mut();
             core.hires += 1;
             let Some((_, epoch, _)) = core.term() else { return false };
-            let Some(part) = core.part.as_ref() else { return false };
+            let Some(scheduler) = core.scheduler.as_ref() else { return false };
             let record = HireRecord {
-                machine_type: part.types()[offer.kind].name.clone(),
-                zone: part.zone_name(offer.zone).to_string(),
+                machine_type: scheduler.types()[offer.kind].name.clone(),
+                zone: scheduler.zone_name(offer.zone).to_string(),
                 spot: offer.spot,
                 count,
                 machines: None,
@@ -373,9 +376,9 @@
         let mut core = self.core.borrow_mut();
         let now = core.now();
         let core = &mut *core;
-        let Some(part) = core.part.as_ref() else { return };
-        let kind = part.types().iter().position(|t| t.name == r.machine_type);
-        let (Some(kind), Some(zone)) = (kind, part.zone_index(&r.zone)) else { return };
+        let Some(scheduler) = core.scheduler.as_ref() else { return };
+        let kind = scheduler.types().iter().position(|t| t.name == r.machine_type);
+        let (Some(kind), Some(zone)) = (kind, scheduler.zone_index(&r.zone)) else { return };
         let offer = Offer { kind, zone, spot: r.spot };
         if got < r.count as usize {
             core.fleet.refused(offer, now);
--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -1,8 +1,8 @@
 //! Each meeting of two troubles, brought about in order, in the scripted world.
 
 use super::world::World;
-use crate::part::tests::spec;
 use crate::protocol::{Change, Kind, Priority, Txn};
+use crate::scheduler::tests::spec;
 use crate::store;
 
 const LEASE: u64 = 12_000;
--- a/src/node/tests/schedules.rs
+++ b/src/node/tests/schedules.rs
@@ -1,8 +1,8 @@
 //! Seeded random schedules of troubles: all rules are checked after each step, and in the end everything is served.
 
 use super::world::World;
-use crate::part::tests::spec;
 use crate::protocol::{Kind, Priority};
+use crate::scheduler::tests::spec;
 use rand::Rng;
 
 /// Plays a schedule of troubles and returns what broke.
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -6,11 +6,11 @@
 use crate::leader::{Event as LeadEvent, Right, Role};
 use crate::node::core::{Clock, Core, Pass, Term};
 use crate::node::WorkerAnswer;
-use crate::part::{Append, Direct, Hardware, MachineState, Origin};
 use crate::protocol::{
     split_task, Change, Event, Guard, JobSpec, Kind, MachineType, Order, Report, ReportReply, TaskReport, TaskState,
     Txn, Why,
 };
+use crate::scheduler::{Append, Direct, Hardware, MachineState, Origin};
 use crate::store::{self, guard, Decided, HireRecord, LiveRecord, Mirror, OverRecord, StoreError, Versioned};
 use ciborium::Value;
 use rand::{rngs::StdRng, Rng, SeedableRng};
@@ -345,7 +345,7 @@
 
     /// The controller with the right to start.
     pub fn leader(&self) -> Option<usize> {
-        let full = |c: &Controller| c.core.as_ref().is_some_and(|c| c.part.is_some() && c.right() == Right::Full);
+        let full = |c: &Controller| c.core.as_ref().is_some_and(|c| c.scheduler.is_some() && c.right() == Right::Full);
         self.nodes.iter().position(full)
     }
 
@@ -587,7 +587,7 @@
                     *end = now + *ttl;
                     core.lead_event(LeadEvent::Read { sent: now, revision });
                     core.lead_event(LeadEvent::Renewed(now));
-                    if core.part.is_some() && core.right() == Right::None {
+                    if core.scheduler.is_some() && core.right() == Right::None {
                         self.give_up(n);
                     }
                 }
@@ -643,8 +643,8 @@
         }
         if let Some(w) = self.nodes[n].writing.take() {
             let key = store::starts_key(w.append.slot);
-            let look = !matches!(w.done, Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused));
-            let found = if look && self.service.reach(n).is_ok() { self.service.get::<String>(&key) } else { None };
+            let demand = !matches!(w.done, Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused));
+            let found = if demand && self.service.reach(n).is_ok() { self.service.get::<String>(&key) } else { None };
             self.nodes[n].core.as_mut().unwrap().logged(w.term, w.append, w.done, found);
         }
         let Some((append, term, txn)) = self.nodes[n].core.as_mut().unwrap().next_append() else { return };
@@ -741,13 +741,13 @@
         let Some(epoch) = self.nodes[n].core.as_ref().unwrap().books() else { return };
         let core = self.nodes[n].core.as_mut().unwrap();
         let w = core.settings.platform.deployment.workers.clone();
-        let part = core.part.as_mut().unwrap();
+        let scheduler = core.scheduler.as_mut().unwrap();
         let silent_ms = ((2.0 * w.report_s + 2.0).max(0.4 * w.lease_s) * 1000.0) as u64;
-        for i in part.silent(silent_ms, (4000.0 * w.lease_s) as u64) {
-            part.enter(i, MachineState::Releasing, "silent");
+        for i in scheduler.silent(silent_ms, (4000.0 * w.lease_s) as u64) {
+            scheduler.enter(i, MachineState::Releasing, "silent");
         }
-        for name in part.leaving(100) {
-            part.machine_gone(&name);
+        for name in scheduler.leaving(100) {
+            scheduler.machine_gone(&name);
             core.gone.insert(name.clone());
             core.released.insert(name.clone(), now);
             self.workers.remove(&name);
@@ -762,7 +762,7 @@
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
                 let core = self.nodes[n].core.as_mut().unwrap();
                 let of = Hardware { machine_type: "m8", zone, spot: false };
-                core.part.as_mut().unwrap().add_machine(&name, of, Origin::Rented);
+                core.scheduler.as_mut().unwrap().add_machine(&name, of, Origin::Rented);
                 self.boot(name, zone);
             }
         }
@@ -1125,7 +1125,7 @@
                     .collect();
                 self.breaks(format!("not settled: {open:?}, {roles:?}, {machines:#?}"));
                 if let Some(c) = self.leader().and_then(|l| self.nodes[l].core.as_ref()) {
-                    eprintln!("{}", c.part.as_ref().unwrap().describe());
+                    eprintln!("{}", c.scheduler.as_ref().unwrap().describe());
                 }
                 return;
             }
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn bad_fields_are_named() {
-    let spec = crate::part::tests::spec("wk-7", 1);
+    let spec = crate::scheduler::tests::spec("wk-7", 1);
     for (bad, field) in [
         (JobSpec { id: "xx-1".into(), ..spec.clone() }, "id"),
         (JobSpec { tasks: 0, ..spec.clone() }, "chores"),
--- a/src/part/look.rs
+++ b/src/scheduler/demand.rs
@@ -1,6 +1,6 @@
 //! Looking ahead: who may win room from others, what finds no room at all, and which machines are more than is needed.
 
-use super::placing::Vain;
+use super::scheduling_pass::Vain;
 use super::*;
 
 /// How much of a machine is used, for the fleet.
@@ -44,11 +44,11 @@
 }
 
 impl Pool {
-    fn new(part: &Part, rooms: impl Iterator<Item = (usize, Amounts)>) -> Pool {
-        let mut pool = Pool { order: Vec::new(), room: vec![[0; 3]; part.machines.len()] };
+    fn new(scheduler: &Scheduler, rooms: impl Iterator<Item = (usize, Amounts)>) -> Pool {
+        let mut pool = Pool { order: Vec::new(), room: vec![[0; 3]; scheduler.machines.len()] };
         let mut ordinary = Vec::new();
         for (i, room) in rooms {
-            if part.machine(i).spot { &mut pool.order } else { &mut ordinary }.push(i);
+            if scheduler.machine(i).spot { &mut pool.order } else { &mut ordinary }.push(i);
             pool.room[i] = room;
         }
         pool.order.append(&mut ordinary);
@@ -56,19 +56,19 @@
     }
 
     /// Takes room for up to `left` tasks of a job, within its zones' caps; returns how many found none.
-    fn take(&mut self, part: &Part, job: &Job, mut left: u32, zones: &mut HashMap<usize, u32>) -> u32 {
+    fn take(&mut self, scheduler: &Scheduler, job: &Job, mut left: u32, zones: &mut HashMap<usize, u32>) -> u32 {
         let bound = job.record.spec.scatter || job.record.spec.together;
         for &i in &self.order {
             if left == 0 {
                 break;
             }
             let mut n = fits(&job.need, &self.room[i]).min(left);
-            let m = part.machine(i);
-            if n == 0 || !part.may_host(job, m) {
+            let m = scheduler.machine(i);
+            if n == 0 || !scheduler.may_host(job, m) {
                 continue;
             }
             if bound {
-                n = n.min(part.zone_cap(job, m.zone).saturating_sub(zones.get(&m.zone).copied().unwrap_or(0)));
+                n = n.min(scheduler.zone_cap(job, m.zone).saturating_sub(zones.get(&m.zone).copied().unwrap_or(0)));
                 *zones.entry(m.zone).or_default() += n;
             }
             self.room[i] = less(&self.room[i], &job.need, n as u64);
@@ -90,7 +90,7 @@
 /// Who looked for somebody to displace in vain: priority, within a guarantee, team, need.
 type Asked = (Priority, bool, Option<usize>, Amounts);
 
-impl Part {
+impl Scheduler {
     /// Looks ahead: stops lower work where a higher job or a guarantee has a claim, and returns what finds no room even
     /// on the machines that are coming up.
     pub fn look_ahead(&mut self, preempt: bool) -> Vec<Need> {
--- a/src/part/machines.rs
+++ b/src/scheduler/machines.rs
@@ -1,6 +1,6 @@
 //! Machines: what becomes of them, what is sent to them, what time alone brings.
 
-use super::starts::plain;
+use super::start_log::plain;
 use super::*;
 use crate::protocol::Report;
 
@@ -15,7 +15,7 @@
 /// Between two ticks of a node that has its processor.
 const TICK_GAP_MS: u64 = 1000;
 
-impl Part {
+impl Scheduler {
     /// Takes in a machine that the store records. One of an earlier epoch may have been released or taken meanwhile; an heir
     /// once counted on the room of such machines for most of a minute.
     pub fn add_machine(&mut self, name: &str, of: Hardware, origin: Origin) {
--- a/src/part/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,26 +1,27 @@
-//! A part: a set of machines and what runs there. Pure logic: events in, actions out, no I/O and no clock.
+//! The scheduler: machines, what runs on them, and where tasks go. Pure logic: events in, actions out, no I/O and no clock.
 //!
 //! The invariant that everything here serves: a task may be on a machine until it is proven gone, and until then it is
-//! started nowhere else and counts for its team's quota and its zone. An heir knows where tasks may be from the start
-//! log (`starts`): nothing is sent before its line there is durable.
+//! started nowhere else and counts for its team's quota and its zone. A new leader knows where tasks may be from the start
+//! log (`start_log`): nothing is sent before its line there is durable.
 //!
-//! `machines`: what is known of each; `reports`: what workers say; `placing`: where tasks go; `look`: what finds no room.
+//! `machines`: what is known of each; `reports`: what workers say; `scheduling_pass`: where tasks go; `demand`: what finds no
+//! room; `boot_times`: how long machines take to come up.
 
-mod boot;
-mod look;
+mod boot_times;
+mod demand;
 mod machines;
-mod placing;
 mod reports;
-mod starts;
+mod scheduling_pass;
+mod start_log;
 
-pub use look::{Load, Need};
-pub use starts::Append;
+pub use demand::{Load, Need};
+pub use start_log::Append;
 
 use crate::placement::{self, Capability};
 use crate::protocol::{Kind, MachineType, Order, Priority, ReportReply};
 use crate::store::{LiveRecord, CHUNK};
-use boot::BootTimes;
-use starts::StartLog;
+use boot_times::BootTimes;
+use start_log::StartLog;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
 /// A job that has failed on so many machines, and of which no task has finished, is taken for one with a mistake.
@@ -107,7 +108,7 @@
     }
 }
 
-/// Fixed numbers of a part, from the settings.
+/// Fixed numbers of a scheduler, from the settings.
 #[derive(Debug, Clone)]
 pub struct Params {
     /// Lease of the workers.
@@ -353,7 +354,7 @@
     Inherited,
 }
 
-/// A machine of the part.
+/// A machine of the scheduler.
 pub struct Machine {
     /// Name.
     pub name: String,
@@ -428,7 +429,7 @@
     pub orders: Vec<Order>,
 }
 
-/// A durable write that the part asks for.
+/// A durable write that the scheduler asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DoneChunk {
     /// Job.
@@ -452,8 +453,8 @@
     Stranger,
 }
 
-/// The state of a part in one epoch.
-pub struct Part {
+/// The state of a scheduler in one epoch.
+pub struct Scheduler {
     p: Params,
     epoch: u64,
     now: u64,
@@ -499,11 +500,11 @@
     }
 }
 
-impl Part {
-    /// An empty part of an epoch that began now.
+impl Scheduler {
+    /// An empty scheduler of an epoch that began now.
     pub fn new(p: Params, epoch: u64, now: u64) -> Self {
         let teams = p.teams.len();
-        Part {
+        Scheduler {
             p,
             epoch,
             now,
--- a/src/part/reports.rs
+++ b/src/scheduler/reports.rs
@@ -14,7 +14,7 @@
     Order::Stop { task: line.task.clone(), attempt: line.attempt, grace_s: 0.0 }
 }
 
-impl Part {
+impl Scheduler {
     /// Takes in a report. `live`: it arrived as a report, so the answer renews the lease; otherwise it is the answer to
     /// a direct order. `start`: the node has the right to start tasks.
     pub fn report(&mut self, r: &Report, live: bool, start: bool) -> Taken {
--- a/src/part/placing.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -51,7 +51,7 @@
     vain: Vain,
 }
 
-impl Part {
+impl Scheduler {
     /// Jobs with tasks to place, in the order in which they are served.
     pub(super) fn queue(&mut self) -> Vec<usize> {
         let mut asked = vec![[0u64; 2]; self.p.teams.len()];
--- a/src/part/starts.rs
+++ b/src/scheduler/start_log.rs
@@ -82,7 +82,7 @@
     !name.is_empty() && name.len() <= 100 && !name.contains([' ', ';', '/', '"', '\\']) && name.is_ascii()
 }
 
-impl Part {
+impl Scheduler {
     fn at_work(&self, l: &Line) -> bool {
         let job = self.jobs[l.job].as_ref();
         job.and_then(|j| j.active.get(&l.task)).is_some_and(|a| a.attempt == l.attempt && a.machine == l.machine)
--- a/src/part/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! The part under a fake clock, with scripted workers.
+//! The scheduler under a fake clock, with scripted workers.
 
 use super::*;
 use crate::protocol::{JobSpec, Report, TaskReport, TaskState, Why};
@@ -32,9 +32,9 @@
     }
 }
 
-/// A part of epoch 5, at time 1000.
+/// A scheduler of epoch 5, at time 1000.
 struct World {
-    part: Part,
+    scheduler: Scheduler,
     seq: u64,
 }
 
@@ -59,7 +59,7 @@
             teams: vec![team("t", 0), team("u", 4000)],
             finish_ms: HashMap::new(),
         };
-        let mut part = Part::new(params, 5, 1000);
+        let mut scheduler = Scheduler::new(params, 5, 1000);
         let kind = MachineType {
             name: "m8".into(),
             cpus: 8.0,
@@ -72,24 +72,24 @@
             boot_s: 30.0,
             zones: vec!["a".into(), "b".into()],
         };
-        part.set_types(&[kind]);
-        World { part, seq: 0 }
+        scheduler.set_types(&[kind]);
+        World { scheduler, seq: 0 }
     }
 
     fn job(&mut self, spec: JobSpec, version: u64) {
-        self.part.add_job(LiveRecord { spec, at_ms: 0 }, version, &[], 0, false);
+        self.scheduler.add_job(LiveRecord { spec, at_ms: 0 }, version, &[], 0, false);
     }
 
     /// A machine of this epoch, up.
     fn machine(&mut self, name: &str, zone: &str) {
-        self.part.add_machine(name, Hardware { machine_type: "m8", zone, spot: false }, Origin::Rented);
+        self.scheduler.add_machine(name, Hardware { machine_type: "m8", zone, spot: false }, Origin::Rented);
         self.tell_token(name, 0, &[]);
         self.tell_token(name, self.token(), &[]);
     }
 
     /// A machine of a hire that was made before this epoch.
     fn known(&mut self, name: &str) {
-        self.part.add_machine(name, Hardware { machine_type: "m8", zone: "a", spot: false }, Origin::Inherited);
+        self.scheduler.add_machine(name, Hardware { machine_type: "m8", zone: "a", spot: false }, Origin::Inherited);
     }
 
     /// The start log of earlier epochs: machine, task, attempt.
@@ -101,13 +101,13 @@
                 format!("{m} 1.2.3.4:9 /{job} {t}.{attempt:x}")
             })
             .collect();
-        self.part.inherit(slots.iter().enumerate().map(|(i, s)| (i as u32, 50, s.as_str())));
+        self.scheduler.inherit(slots.iter().enumerate().map(|(i, s)| (i as u32, 50, s.as_str())));
     }
 
     /// Makes the lines of assigned starts durable.
     fn log(&mut self) {
-        while let Some(append) = self.part.append(8000, 60) {
-            self.part.appended(append, 200);
+        while let Some(append) = self.scheduler.append(8000, 60) {
+            self.scheduler.appended(append, 200);
         }
     }
 
@@ -117,7 +117,11 @@
 
     fn report(&mut self, machine: &str, token: u64, tasks: &[(&str, u64, TaskState, Option<Why>)]) -> Report {
         self.seq += 1;
-        let zone = self.part.machine_index.get(machine).map(|i| self.part.zone_name(self.part.machine(*i).zone));
+        let zone = self
+            .scheduler
+            .machine_index
+            .get(machine)
+            .map(|i| self.scheduler.zone_name(self.scheduler.machine(*i).zone));
         let lines = tasks.iter().map(|(task, attempt, state, why)| TaskReport {
             task: (*task).into(),
             attempt: *attempt,
@@ -140,9 +144,9 @@
     }
 
     fn answer(&mut self, r: &Report) -> Vec<Order> {
-        self.part.place();
+        self.scheduler.place();
         self.log();
-        match self.part.report(r, true, true) {
+        match self.scheduler.report(r, true, true) {
             Taken::Reply(reply) => reply.orders,
             other => panic!("{other:?}"),
         }
@@ -160,27 +164,27 @@
 
     /// Lets time pass tick by tick, as a node that has its processor does.
     fn pass_to(&mut self, now: u64) {
-        while self.part.now + 500 < now {
-            self.part.tick(self.part.now + 500);
+        while self.scheduler.now + 500 < now {
+            self.scheduler.tick(self.scheduler.now + 500);
         }
-        self.part.tick(now);
+        self.scheduler.tick(now);
     }
 
     fn tick(&mut self, now: u64) {
-        self.part.tick(now);
-        self.part.reconsider();
-        self.part.place();
+        self.scheduler.tick(now);
+        self.scheduler.reconsider();
+        self.scheduler.place();
         self.log();
     }
 }
 
-/// A part with one start of `wk-1` that waits for its line, and the machine it is for.
-pub fn with_a_start_to_log(version: u64) -> (Part, &'static str) {
+/// A scheduler with one start of `wk-1` that waits for its line, and the machine it is for.
+pub fn with_a_start_to_log(version: u64) -> (Scheduler, &'static str) {
     let mut w = World::new();
     w.machine("n-1", "a");
     w.job(spec("wk-1", 1), version);
-    w.part.place();
-    (w.part, "n-1")
+    w.scheduler.place();
+    (w.scheduler, "n-1")
 }
 
 /// The starts among orders.
@@ -211,7 +215,7 @@
     assert!(starts(&w.tell("n-1", &all)).is_empty());
     // A report under the old token says nothing: an old start may still be on its way to the worker.
     assert!(w.tell_token("n-2", 4 << TOKEN_BITS, &[]).is_empty());
-    assert_eq!(w.part.unsettled(), 1);
+    assert_eq!(w.scheduler.unsettled(), 1);
     let mut got = starts(&w.tell("n-2", &[]));
     got.extend(starts(&w.tell("n-1", &all)));
     assert_eq!(got[0].0, "wk-1/1");
@@ -233,7 +237,7 @@
     // Without an heir's knowledge of n-2 the task would be started here a second time.
     let line = [("wk-1/1", got[0].1, TaskState::Running, None)];
     assert!(starts(&w.tell("n-1", &line)).is_empty());
-    w.part.machine_gone("n-2");
+    w.scheduler.machine_gone("n-2");
     assert_eq!(starts(&w.tell("n-1", &line)).len(), 1);
 }
 
@@ -242,19 +246,19 @@
     let mut w = World::new();
     w.machine("n-1", "a");
     w.job(spec("wk-1", 2), 101);
-    w.part.place();
-    let first = w.part.append(8000, 60).expect("two starts wait");
-    assert!(w.part.append(8000, 60).is_none(), "their lines are being written");
+    w.scheduler.place();
+    let first = w.scheduler.append(8000, 60).expect("two starts wait");
+    assert!(w.scheduler.append(8000, 60).is_none(), "their lines are being written");
     let r = w.report("n-1", w.token(), &[]);
-    assert_eq!(w.part.report(&r, true, true), Taken::Reply(ReportReply { token: w.token(), orders: vec![] }));
-    assert!(w.part.direct(9).is_empty());
+    assert_eq!(w.scheduler.report(&r, true, true), Taken::Reply(ReportReply { token: w.token(), orders: vec![] }));
+    assert!(w.scheduler.direct(9).is_empty());
     // The write failed since the slot had changed: an earlier write without an answer had gone through after all.
-    w.part.not_appended(first, Some((150, "n-1 - /wk-1 0.1")));
-    let again = w.part.append(8000, 60).expect("they wait again");
+    w.scheduler.not_appended(first, Some((150, "n-1 - /wk-1 0.1")));
+    let again = w.scheduler.append(8000, 60).expect("they wait again");
     assert_eq!((again.slot, again.version), (0, 150));
     let text = again.text.clone();
-    w.part.appended(again, 151);
-    let sent = w.part.direct(9);
+    w.scheduler.appended(again, 151);
+    let sent = w.scheduler.direct(9);
     let got = starts(&sent[0].orders);
     assert_eq!(got.len(), 2);
     for (task, attempt) in &got {
@@ -263,10 +267,10 @@
     }
     // What has ended is not carried over when its slot is taken again.
     let answer = w.report("n-1", w.token(), &[(&got[1].0, got[1].1, TaskState::Running, None)]);
-    w.part.direct_answer(&sent[0], Some(&answer));
-    let third = w.part.append(8000, 60).or_else(|| {
-        w.part.place();
-        w.part.append(8000, 60)
+    w.scheduler.direct_answer(&sent[0], Some(&answer));
+    let third = w.scheduler.append(8000, 60).or_else(|| {
+        w.scheduler.place();
+        w.scheduler.append(8000, 60)
     });
     let third = third.expect("the lost task is started again");
     assert_eq!((third.slot, third.version), (0, 151));
@@ -283,7 +287,7 @@
     // The earlier leader may have renewed its lease until GRACE after this epoch began.
     for (after, placed) in [(0, 0), (1000, 1)] {
         // A machine that is heard just now could take the task.
-        w.part.at(1000 + LEASE + GRACE + after);
+        w.scheduler.at(1000 + LEASE + GRACE + after);
         w.tell("n-9", &[]);
         w.tick(1000 + LEASE + GRACE + after);
         assert_eq!(starts(&w.tell("n-9", &[])).len(), placed);
@@ -300,7 +304,7 @@
     // Neither runs anything any more, but n-2 has fetched the image.
     for n in ["n-1", "n-2"] {
         let r = w.report(n, w.token(), &[]);
-        w.part.report(&r, true, true);
+        w.scheduler.report(&r, true, true);
     }
     w.tick(1100);
     assert_eq!(starts(&w.tell("n-1", &[])).len(), 0);
@@ -314,12 +318,12 @@
     w.job(spec("wk-1", 4), 50);
     w.job(JobSpec { kind: Kind::Service, priority: Priority::Production, spot: false, ..spec("wk-2", 1) }, 50);
     w.inherit(&[("n-2", "wk-1/0", 7), ("n-2", "wk-1/1", 8), ("n-3", "wk-2/0", 9)]);
-    let asked: Vec<String> = w.part.probes(9).into_iter().map(|d| d.machine).collect();
+    let asked: Vec<String> = w.scheduler.probes(9).into_iter().map(|d| d.machine).collect();
     assert_eq!(asked, vec!["n-3", "n-2"]);
     for i in 0..3 {
-        w.part.enter(i, MachineState::Releasing, "silent");
+        w.scheduler.enter(i, MachineState::Releasing, "silent");
     }
-    assert_eq!(w.part.leaving(2), vec!["n-3", "n-2"]);
+    assert_eq!(w.scheduler.leaving(2), vec!["n-3", "n-2"]);
 }
 
 #[test]
@@ -330,9 +334,9 @@
     w.job(spec("wk-1", 1), 50);
     w.inherit(&[("n-1", "wk-1/0", 7)]);
     w.tell("n-9", &[]);
-    w.part.reconsider();
+    w.scheduler.reconsider();
     assert!(starts(&w.tell("n-9", &[])).is_empty());
-    w.part.machine_gone("n-1");
+    w.scheduler.machine_gone("n-1");
     assert_eq!(starts(&w.tell("n-9", &[])).len(), 1);
 }
 
@@ -342,15 +346,15 @@
     w.machine("n-1", "a");
     w.job(spec("wk-1", 1), 101);
     w.tick(2000);
-    let sent = w.part.direct(9);
+    let sent = w.scheduler.direct(9);
     assert_eq!(starts(&sent[0].orders).len(), 1);
     // A report that left before the order arrived lacks the task: nothing follows from it while the answer is out.
     assert!(starts(&w.tell("n-1", &[])).is_empty());
-    w.part.direct_answer(&sent[0], None);
+    w.scheduler.direct_answer(&sent[0], None);
     // The token was raised; until the worker has seen it, the order may still execute.
     assert!(starts(&w.tell("n-1", &[])).is_empty());
     w.tick(3000);
-    assert!(w.part.direct(9).is_empty());
+    assert!(w.scheduler.direct(9).is_empty());
     let raised = w.token() + 1;
     w.tell_token("n-1", raised, &[]);
     let again = starts(&w.tell_token("n-1", raised, &[]));
@@ -365,12 +369,12 @@
     w.machine("n-2", "a");
     w.job(spec("wk-1", 1), 101);
     w.tick(2000);
-    let sent = w.part.direct(9);
-    w.part.direct_answer(&sent[0], None);
+    let sent = w.scheduler.direct(9);
+    w.scheduler.direct_answer(&sent[0], None);
     let other = if sent[0].machine == "n-1" { "n-2" } else { "n-1" };
-    w.part.tick(12_500);
+    w.scheduler.tick(12_500);
     assert!(starts(&w.tell(other, &[])).is_empty());
-    w.part.tick(14_000);
+    w.scheduler.tick(14_000);
     assert_eq!(starts(&w.tell(other, &[])).len(), 1);
 }
 
@@ -384,7 +388,7 @@
     assert_eq!(got.len(), 1);
     w.tell("n-1", &[("wk-1/0", got[0].1, TaskState::Running, None)]);
     assert!(w.answer(&late).is_empty());
-    assert_eq!(w.part.counts("wk-1"), Some((0, 1)));
+    assert_eq!(w.scheduler.counts("wk-1"), Some((0, 1)));
 }
 
 #[test]
@@ -392,7 +396,7 @@
     let mut w = World::new();
     w.machine("n-1", "a");
     let r = w.report("n-1", 6 << TOKEN_BITS, &[]);
-    assert_eq!(w.part.report(&r, true, true), Taken::Superseded);
+    assert_eq!(w.scheduler.report(&r, true, true), Taken::Superseded);
 }
 
 #[test]
@@ -403,13 +407,13 @@
     w.tick(1100);
     let r = w.report("n-1", w.token(), &[]);
     assert_eq!(
-        w.part.report(&r, true, false),
+        w.scheduler.report(&r, true, false),
         Taken::Reply(ReportReply { token: w.token(), orders: vec![] }),
         "renewing in an outage starts nothing"
     );
     assert_eq!(starts(&w.tell("n-1", &[])).len(), 1);
     let stranger = w.report("n-77", w.token(), &[]);
-    assert_eq!(w.part.report(&stranger, true, true), Taken::Stranger);
+    assert_eq!(w.scheduler.report(&stranger, true, true), Taken::Stranger);
 }
 
 #[test]
@@ -428,7 +432,7 @@
     let line = [(running.0.as_str(), running.1, TaskState::Running, None)];
     w.tell("n-9", &line);
     // Cancelled work counts until it is proven gone.
-    w.part.drop_job("wk-2");
+    w.scheduler.drop_job("wk-2");
     w.job(spec("wk-3", 4), 102);
     w.tick(1600);
     let orders = w.tell("n-9", &line);
@@ -443,12 +447,12 @@
     w.machine("n-1", "a");
     w.job(spec("wk-1", 1), 101);
     let got = starts(&w.tell("n-1", &[]));
-    w.part.drop_job("wk-1");
+    w.scheduler.drop_job("wk-1");
     // The start was in flight when its user cancelled: it is stopped once it shows.
-    assert!(w.part.stopped_jobs().is_empty());
+    assert!(w.scheduler.stopped_jobs().is_empty());
     assert_eq!(stops(&w.tell("n-1", &[("wk-1/0", got[0].1, TaskState::Fetching, None)])), 1);
     w.tell("n-1", &[("wk-1/0", got[0].1, TaskState::Exited, Some(Why::Stopped))]);
-    assert_eq!(w.part.stopped_jobs(), vec!["wk-1".to_string()]);
+    assert_eq!(w.scheduler.stopped_jobs(), vec!["wk-1".to_string()]);
     assert!(starts(&w.tell("n-1", &[])).is_empty());
 }
 
@@ -456,13 +460,13 @@
 fn a_cancelled_job_of_an_earlier_epoch_is_kept_until_nothing_of_it_can_run() {
     let mut w = World::new();
     w.known("n-1");
-    w.part.add_job(LiveRecord { spec: spec("wk-1", 1), at_ms: 0 }, 50, &[], 0, true);
+    w.scheduler.add_job(LiveRecord { spec: spec("wk-1", 1), at_ms: 0 }, 50, &[], 0, true);
     w.inherit(&[("n-1", "wk-1/0", 7)]);
-    assert!(w.part.stopped_jobs().is_empty());
+    assert!(w.scheduler.stopped_jobs().is_empty());
     assert_eq!(stops(&w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)])), 1);
-    assert!(w.part.stopped_jobs().is_empty());
+    assert!(w.scheduler.stopped_jobs().is_empty());
     w.tell("n-1", &[]);
-    assert_eq!(w.part.stopped_jobs().len(), 1);
+    assert_eq!(w.scheduler.stopped_jobs().len(), 1);
 }
 
 #[test]
@@ -474,22 +478,22 @@
     let done = |i: usize| (got[i].0.as_str(), got[i].1, TaskState::Exited, Some(Why::Done));
     let run = |i: usize| (got[i].0.as_str(), got[i].1, TaskState::Running, None);
     assert!(w.tell("n-1", &[done(0), run(1)]).is_empty());
-    assert!(w.part.complete_jobs().is_empty());
-    let rows = w.part.unsaved(9);
+    assert!(w.scheduler.complete_jobs().is_empty());
+    let rows = w.scheduler.unsaved(9);
     assert_eq!(rows.len(), 1);
-    w.part.saved(&rows[0]);
+    w.scheduler.saved(&rows[0]);
     let orders = w.tell("n-1", &[done(0), run(1)]);
     assert!(matches!(orders[..], [Order::Forget { .. }]));
-    assert!(w.part.complete_jobs().is_empty());
+    assert!(w.scheduler.complete_jobs().is_empty());
     w.tell("n-1", &[done(0), done(1)]);
-    assert_eq!(w.part.complete_jobs(), vec![("wk-1".to_string(), 101, 2)]);
+    assert_eq!(w.scheduler.complete_jobs(), vec![("wk-1".to_string(), 101, 2)]);
 }
 
 #[test]
 fn stored_results_survive_a_crash_of_every_node() {
     let mut w = World::new();
     w.machine("n-1", "a");
-    w.part.add_job(LiveRecord { spec: spec("wk-1", 3), at_ms: 0 }, 50, &[(0, vec![0b101])], 0, false);
+    w.scheduler.add_job(LiveRecord { spec: spec("wk-1", 3), at_ms: 0 }, 50, &[(0, vec![0b101])], 0, false);
     let got = starts(&w.tell("n-1", &[]));
     assert_eq!(got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(), vec!["wk-1/1"]);
 }
@@ -529,9 +533,9 @@
     w.machine("n-1", "a");
     for (n, id) in ["wk-1", "wk-2"].into_iter().enumerate() {
         w.job(spec(id, 1), 101 + n as u64);
-        w.part.reconsider();
+        w.scheduler.reconsider();
         let now = 1000 + n as u64 * 6_000;
-        w.part.tick(now);
+        w.scheduler.tick(now);
         let mut got = starts(&w.tell("n-1", &[]));
         if got.is_empty() {
             got = starts(&w.tell("n-1", &[]));
@@ -539,7 +543,7 @@
         let failed: Vec<_> = got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Exited, Some(Why::Error))).collect();
         w.tell("n-1", &failed);
     }
-    let state = w.part.machines().next().map(|(_, m)| m.state);
+    let state = w.scheduler.machines().next().map(|(_, m)| m.state);
     assert_eq!(state, Some(MachineState::Draining));
 
     let mut w = World::new();
@@ -552,7 +556,7 @@
         let got = starts(&w.tell(name, &[]));
         w.tell(name, &[(got[0].0.as_str(), got[0].1, TaskState::Exited, Some(Why::Error))]);
     }
-    assert!(w.part.machines().all(|(_, m)| m.state == MachineState::Up));
+    assert!(w.scheduler.machines().all(|(_, m)| m.state == MachineState::Up));
     w.tick(1200);
     assert!(starts(&w.tell("n-1", &[])).is_empty(), "a job with a mistake backs off");
 }
@@ -567,23 +571,23 @@
         w.tell("n-1", &lines);
     };
     let stopping = |w: &World| {
-        let job = w.part.jobs().find(|j| j.record.spec.id == "wk-1");
+        let job = w.scheduler.jobs().find(|j| j.record.spec.id == "wk-1");
         job.map_or(0, |j| j.active.values().filter(|a| matches!(a.phase, Phase::Stopping { .. })).count())
     };
     let mut w = World::new();
     full(&mut w);
     w.job(JobSpec { priority: Priority::Production, ..spec("wk-2", 2) }, 102);
-    w.part.look_ahead(true);
+    w.scheduler.look_ahead(true);
     assert_eq!(stopping(&w), 2);
-    w.part.look_ahead(true);
+    w.scheduler.look_ahead(true);
     assert_eq!(stopping(&w), 2, "room that is on its way is not won twice");
     let mut w = World::new();
     full(&mut w);
     w.job(spec("wk-3", 2), 102);
-    assert_eq!((w.part.look_ahead(true).len(), stopping(&w)), (1, 0));
+    assert_eq!((w.scheduler.look_ahead(true).len(), stopping(&w)), (1, 0));
     // Team u is guaranteed 4 CPUs, and team t, which has no guarantee, must give them back.
     w.job(JobSpec { team: "u".into(), ..spec("wk-4", 2) }, 103);
-    w.part.look_ahead(true);
+    w.scheduler.look_ahead(true);
     assert_eq!(stopping(&w), 2);
 }
 
@@ -616,16 +620,16 @@
     w.inherit(&[("n-2", "wk-2/0", 7)]);
     w.job(spec("wk-1", 1), 101);
     w.tick(2000);
-    let probe = w.part.probes(9);
+    let probe = w.scheduler.probes(9);
     assert_eq!(probe.iter().map(|d| d.machine.as_str()).collect::<Vec<_>>(), vec!["n-2"]);
-    let sent = w.part.direct(9);
-    w.part.direct_answer(&sent[0], None);
+    let sent = w.scheduler.direct(9);
+    w.scheduler.direct_answer(&sent[0], None);
     w.pass_to(9000);
     // It was once left out, being no longer current, and its tasks waited for the lease.
-    assert_eq!(w.part.silent(5000, 9000).len(), 2);
+    assert_eq!(w.scheduler.silent(5000, 9000).len(), 2);
     // An unanswered probe gave no orders: the token stays.
-    w.part.direct_answer(&probe[0], None);
-    assert_eq!(w.part.machines().find(|(_, m)| m.name == "n-2").map(|(_, m)| m.counter), Some(0));
+    w.scheduler.direct_answer(&probe[0], None);
+    assert_eq!(w.scheduler.machines().find(|(_, m)| m.name == "n-2").map(|(_, m)| m.counter), Some(0));
 }
 
 #[test]
@@ -674,8 +678,8 @@
         orders: vec![Order::Stop { task: got[0].0.clone(), attempt: got[0].1, grace_s: 0.0 }],
     };
     let answer = w.report("n-1", w.token(), &[]);
-    w.part.direct_answer(&sent, Some(&answer));
-    assert_eq!(w.part.jobs().map(Job::pending).sum::<u32>(), 0);
+    w.scheduler.direct_answer(&sent, Some(&answer));
+    assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 0);
     // Its next report is the truth.
     assert_eq!(starts(&w.tell("n-1", &[])).len() + starts(&w.tell("n-2", &[])).len(), 1);
 }
@@ -691,16 +695,16 @@
     for s in 1..8 {
         w.tick(2000 + s * 1500);
         assert!(starts(&w.tell("n-1", &[])).is_empty());
-        assert!(w.part.direct(9).is_empty());
+        assert!(w.scheduler.direct(9).is_empty());
     }
     // Whatever it reports under the old token, it is not heard.
-    assert_eq!(w.part.silent(5000, 9000).len(), 1);
+    assert_eq!(w.scheduler.silent(5000, 9000).len(), 1);
     // It holds nothing for ever: another machine gets the task as soon as the release is confirmed.
-    let i = w.part.silent(5000, 9000)[0];
-    w.part.enter(i, MachineState::Releasing, "silent");
+    let i = w.scheduler.silent(5000, 9000)[0];
+    w.scheduler.enter(i, MachineState::Releasing, "silent");
     w.machine("n-2", "a");
-    w.part.machine_gone("n-1");
-    w.part.reconsider();
+    w.scheduler.machine_gone("n-1");
+    w.scheduler.reconsider();
     assert_eq!(starts(&w.tell("n-2", &[])).len(), 1);
 }
 
@@ -722,11 +726,11 @@
     for s in 4..8 {
         w.pass_to(s * 1000);
         tell_some(&mut w, &up);
-        assert!(w.part.silent(5000, 40_000).is_empty(), "at {s} s the first ones were given up once");
+        assert!(w.scheduler.silent(5000, 40_000).is_empty(), "at {s} s the first ones were given up once");
     }
-    let a = w.part.zone_index("a").unwrap();
-    assert_eq!(w.part.zones_dark(), HashSet::from([a]));
-    assert!(!w.part.deaf());
+    let a = w.scheduler.zone_index("a").unwrap();
+    assert_eq!(w.scheduler.zones_dark(), HashSet::from([a]));
+    assert!(!w.scheduler.deaf());
     // One that falls silent in the other zone is given up at once, as ever.
     w.pass_to(8000);
     tell_some(&mut w, &up[1..]);
@@ -734,13 +738,13 @@
         w.pass_to(s * 1000);
         tell_some(&mut w, &up[1..]);
     }
-    assert_eq!(w.part.silent(5000, 40_000).len(), 1);
+    assert_eq!(w.scheduler.silent(5000, 40_000).len(), 1);
     // A zone that stays away is not paid for for ever.
     for s in 14..45 {
         w.pass_to(s * 1000);
         tell_some(&mut w, &up[1..]);
     }
-    assert_eq!(w.part.silent(5000, 40_000).len(), 9);
+    assert_eq!(w.scheduler.silent(5000, 40_000).len(), 9);
 }
 
 #[test]
@@ -750,17 +754,17 @@
     all.iter().for_each(|n| w.machine(n, "a"));
     for s in 2..20 {
         w.pass_to(s * 1000);
-        assert!(w.part.silent(5000, 40_000).is_empty());
+        assert!(w.scheduler.silent(5000, 40_000).is_empty());
     }
     // Most have reported; the others are about to.
     for s in 20..24 {
         w.pass_to(s * 1000);
         all[..5].iter().for_each(|n| drop(w.tell(n, &[])));
-        assert!(w.part.silent(5000, 40_000).is_empty());
+        assert!(w.scheduler.silent(5000, 40_000).is_empty());
     }
     w.pass_to(25_500);
     all[..5].iter().for_each(|n| drop(w.tell(n, &[])));
-    assert_eq!(w.part.silent(5000, 40_000).len(), 3);
+    assert_eq!(w.scheduler.silent(5000, 40_000).len(), 3);
 }
 
 #[test]
@@ -773,14 +777,14 @@
         tell_all(&mut w);
     }
     // It did not run for most of a minute: the reports of that time wait at its door.
-    w.part.tick(50_000);
-    assert!(!w.part.deaf() && w.part.silent(5000, 40_000).is_empty());
+    w.scheduler.tick(50_000);
+    assert!(!w.scheduler.deaf() && w.scheduler.silent(5000, 40_000).is_empty());
     tell_all(&mut w);
     w.pass_to(52_000);
-    assert!(!w.part.deaf());
+    assert!(!w.scheduler.deaf());
     // Nobody within the time in which everybody reports: given up before a single lease has run out.
     w.pass_to(53_000);
-    assert!(w.part.deaf() && w.part.silent(5000, 40_000).is_empty());
+    assert!(w.scheduler.deaf() && w.scheduler.silent(5000, 40_000).is_empty());
 }
 
 #[test]
@@ -788,20 +792,20 @@
     let heir = |answered: bool| {
         let mut w = World::new();
         // Reports come so seldom that waiting for them would take most of a lease.
-        w.part.p.report_ms = 5000;
+        w.scheduler.p.report_ms = 5000;
         ["n-1", "n-2", "n-3"].iter().for_each(|n| w.known(n));
         w.job(spec("wk-1", 3), 50);
         w.inherit(&[("n-1", "wk-1/0", 7), ("n-2", "wk-1/1", 8), ("n-3", "wk-1/2", 9)]);
-        let probes = w.part.probes(9);
+        let probes = w.scheduler.probes(9);
         assert_eq!(probes.len(), 3);
         w.pass_to(5500);
-        assert!(!w.part.deaf());
+        assert!(!w.scheduler.deaf());
         if answered {
             let answer = w.report(&probes[0].machine, w.token(), &[]);
-            w.part.direct_answer(&probes[0], Some(&answer));
+            w.scheduler.direct_answer(&probes[0], Some(&answer));
         }
         w.pass_to(6500);
-        w.part.deaf()
+        w.scheduler.deaf()
     };
     assert!(heir(false));
     // One answer, by whichever way, and it is the others that are out.
@@ -819,7 +823,7 @@
     r.session = 2;
     // Its tasks are gone, but until it shows that it hears us it gets no others.
     assert!(w.answer(&r).is_empty());
-    assert_eq!(w.part.jobs().map(Job::pending).sum::<u32>(), 1);
+    assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 1);
     let mut r = w.report("n-1", w.token(), &[]);
     r.session = 2;
     assert!(w.answer(&r).is_empty());
@@ -842,17 +846,17 @@
     let running = w.report("n-1", w.token(), &[line]);
     w.answer(&running);
     let exited = w.report("n-1", w.token(), &[(got[0].0.as_str(), got[0].1, TaskState::Exited, Some(Why::Done))]);
-    w.part.at(5000);
+    w.scheduler.at(5000);
     w.answer(&exited);
-    assert_eq!(w.part.complete_jobs().len(), 1);
+    assert_eq!(w.scheduler.complete_jobs().len(), 1);
     // Copies in any order, from before the start, of the run, of the end: no task comes back, ends or ends again.
-    w.part.at(9000);
+    w.scheduler.at(9000);
     for copy in [&empty, &running, &exited, &running] {
         assert!(w.answer(copy).is_empty());
     }
-    assert_eq!(w.part.counts("wk-1"), Some((1, 0)));
+    assert_eq!(w.scheduler.counts("wk-1"), Some((1, 0)));
     // Nor does a copy renew what is assumed of the lease or pass for a sign of life.
-    let m = w.part.machines().next().unwrap().1;
+    let m = w.scheduler.machines().next().unwrap().1;
     assert_eq!((m.last_answer, m.last_heard), (5000, 5000));
 }
 
@@ -872,8 +876,8 @@
     w.pass_to(8000);
     let copy = w.report("n-1", 4 << TOKEN_BITS, &[]);
     w.answer(&copy);
-    let n1 = w.part.machines().find(|(_, m)| m.name == "n-1").map(|(i, m)| (i, m.current)).unwrap();
-    assert!(!n1.1 && w.part.silent(5000, 9000).contains(&n1.0));
+    let n1 = w.scheduler.machines().find(|(_, m)| m.name == "n-1").map(|(i, m)| (i, m.current)).unwrap();
+    assert!(!n1.1 && w.scheduler.silent(5000, 9000).contains(&n1.0));
 }
 
 #[test]
@@ -890,12 +894,12 @@
         now += 10_000;
         w.job(JobSpec { deadline_s: Some(9000.0), ..spec(&format!("wk-{next}"), 1) }, 100 + next);
         next += 1;
-        w.part.at(now);
+        w.scheduler.at(now);
         match running.take() {
             Some((task, attempt)) => w.tell("n-1", &[(task.as_str(), attempt, TaskState::Exited, Some(Why::Done))]),
             None => w.tell("n-1", &[]),
         };
-        w.part.reconsider();
+        w.scheduler.reconsider();
         let got = starts(&w.tell("n-1", &[]));
         begun = got.iter().any(|g| g.0.starts_with("wk-1/")).then_some(now);
         running = got.into_iter().next();
@@ -915,9 +919,9 @@
         w.tell("n-1", &lines);
         let id = format!("wk-{}", round + 10);
         w.job(JobSpec { priority: Priority::Production, ..spec(&id, 1) }, 110 + round);
-        w.part.look_ahead(true);
+        w.scheduler.look_ahead(true);
         let stopped: Vec<(String, u64)> = {
-            let job = w.part.jobs().find(|j| j.record.spec.id == "wk-1").unwrap();
+            let job = w.scheduler.jobs().find(|j| j.record.spec.id == "wk-1").unwrap();
             let of = |(t, a): (&u32, &Active)| {
                 matches!(a.phase, Phase::Stopping { .. }).then(|| (format!("wk-1/{t}"), a.attempt))
             };
@@ -928,14 +932,14 @@
         // It ends, the production job takes its place, ends, and the task comes back.
         let kept: Vec<_> = lines.iter().filter(|l| l.0 != stopped[0].0).copied().collect();
         w.tell("n-1", &kept);
-        w.part.drop_job(&id);
-        w.part.stopped_jobs();
+        w.scheduler.drop_job(&id);
+        w.scheduler.stopped_jobs();
         let back = starts(&w.tell("n-1", &kept));
         let kept: Vec<(String, u64)> = kept.iter().map(|k| (k.0.to_string(), k.1)).collect();
         got = kept.into_iter().chain(back).collect();
         if got.len() < 4 {
             let lines: Vec<_> = got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Running, None)).collect();
-            w.part.reconsider();
+            w.scheduler.reconsider();
             let more = starts(&w.tell("n-1", &lines));
             got.extend(more);
         }
@@ -949,14 +953,14 @@
     w.machine("n-1", "a");
     w.job(JobSpec { kind: Kind::Service, ..spec("wk-1", 1) }, 101);
     w.tick(2000);
-    let sent = w.part.direct(9);
+    let sent = w.scheduler.direct(9);
     let got = starts(&sent[0].orders);
     let line = |state, why| [(got[0].0.as_str(), got[0].1, state, why)];
     let r = w.report("n-1", w.token(), &line(TaskState::Running, None));
-    w.part.direct_answer(&sent[0], Some(&r));
-    w.part.drop_job("wk-1");
+    w.scheduler.direct_answer(&sent[0], Some(&r));
+    w.scheduler.drop_job("wk-1");
     let r = w.report("n-1", w.token(), &line(TaskState::Exited, Some(Why::Stopped)));
-    match w.part.report(&r, true, true) {
+    match w.scheduler.report(&r, true, true) {
         // A copy of the direct order carries the old token.
         Taken::Reply(reply) => {
             assert_eq!(reply.token, w.token() + 1);
@@ -967,7 +971,7 @@
     // The machine goes on taking work.
     w.job(spec("wk-2", 1), 102);
     w.tick(2100);
-    assert_eq!(w.part.direct(9)[0].token, w.token() + 1);
+    assert_eq!(w.scheduler.direct(9)[0].token, w.token() + 1);
 }
 
 #[test]
@@ -977,14 +981,14 @@
     w.machine("n-2", "a");
     w.job(spec("wk-1", 1), 101);
     w.tick(2000);
-    let sent = w.part.direct(9);
+    let sent = w.scheduler.direct(9);
     let host = sent[0].machine.clone();
     let got = starts(&sent[0].orders);
     let lines =
         [("wk-1/0", 3, TaskState::Running, None), (got[0].0.as_str(), got[0].1, TaskState::Exited, Some(Why::Busy))];
     let r = w.report(&host, w.token(), &lines);
-    w.part.direct_answer(&sent[0], Some(&r));
-    assert_eq!(w.part.jobs().map(Job::pending).sum::<u32>(), 0);
+    w.scheduler.direct_answer(&sent[0], Some(&r));
+    assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 0);
 }
 
 #[test]
@@ -994,23 +998,23 @@
     w.machine("n-2", "a");
     w.job(JobSpec { cpus: 8.0, ..spec("wk-1", 2) }, 101);
     w.tick(2000);
-    let sent = w.part.direct(9);
+    let sent = w.scheduler.direct(9);
     let d = sent.iter().find(|d| d.machine == "n-1").unwrap().clone();
     let got = starts(&d.orders);
     let line = [(got[0].0.as_str(), got[0].1, TaskState::Running, None)];
     let r = w.report("n-1", w.token(), &line);
-    w.part.direct_answer(&d, Some(&r));
+    w.scheduler.direct_answer(&d, Some(&r));
     // Every report is overtaken by the answer to a probe. It is as old as its tasks, but its worker waits for the answer
     // and counts its lease from it: taken for run out, the task was once started a second time.
     for s in 1..10u64 {
         let overtaken = w.report("n-1", w.token(), &line);
         let answer = w.report("n-1", w.token(), &line);
-        w.part.at(2000 + s * 1500);
-        w.part.direct_answer(&Direct { orders: vec![], ..d.clone() }, Some(&answer));
+        w.scheduler.at(2000 + s * 1500);
+        w.scheduler.direct_answer(&Direct { orders: vec![], ..d.clone() }, Some(&answer));
         w.answer(&overtaken);
-        w.part.tick(2000 + s * 1500);
+        w.scheduler.tick(2000 + s * 1500);
     }
-    assert_eq!(w.part.machines().find(|(_, m)| m.name == "n-1").map(|(_, m)| m.tasks.len()), Some(1));
+    assert_eq!(w.scheduler.machines().find(|(_, m)| m.name == "n-1").map(|(_, m)| m.tasks.len()), Some(1));
 }
 
 #[test]
@@ -1022,7 +1026,7 @@
     w.inherit(&[("n-1", "wk-1/0", 9)]);
     w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)]);
     assert!(starts(&w.tell("n-2", &[])).is_empty());
-    assert_eq!(w.part.counts("wk-1"), Some((0, 1)));
+    assert_eq!(w.scheduler.counts("wk-1"), Some((0, 1)));
 }
 
 #[test]
@@ -1032,17 +1036,17 @@
     w.machine("n-2", "a");
     w.job(JobSpec { cpus: 8.0, estimate_s: 300.0, ..spec("wk-1", 1) }, 101);
     w.tick(1100);
-    let got = w.part.direct(9).remove(0);
+    let got = w.scheduler.direct(9).remove(0);
     let task = starts(&got.orders).remove(0);
     let r = w.report(&got.machine, w.token(), &[(task.0.as_str(), task.1, TaskState::Running, None)]);
-    w.part.direct_answer(&got, Some(&r));
+    w.scheduler.direct_answer(&got, Some(&r));
     // The holder is full and a little faster than the machine that has room.
-    let holder = w.part.machine_index[&got.machine];
-    w.part.machine_mut(holder).c.measure(0, 0.95);
-    w.part.machine_mut(1 - holder).c.measure(0, 1.0);
+    let holder = w.scheduler.machine_index[&got.machine];
+    w.scheduler.machine_mut(holder).c.measure(0, 0.95);
+    w.scheduler.machine_mut(1 - holder).c.measure(0, 1.0);
     w.job(JobSpec { kind: Kind::Service, estimate_s: 0.0, ..spec("wk-2", 1) }, 102);
     w.tick(1200);
-    assert_eq!(w.part.direct(9).len(), 1);
+    assert_eq!(w.scheduler.direct(9).len(), 1);
 }
 
 #[test]
@@ -1052,25 +1056,25 @@
     w.machine("n-2", "a");
     w.job(JobSpec { priority: Priority::Low, checkpoint_s: 10.0, save_s: 3.0, ..spec("wk-1", 4) }, 101);
     w.tick(1100);
-    for d in w.part.direct(9) {
+    for d in w.scheduler.direct(9) {
         let got = starts(&d.orders);
         let lines: Vec<_> = got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Running, None)).collect();
         let r = w.report(&d.machine, w.token(), &lines);
-        w.part.direct_answer(&d, Some(&r));
+        w.scheduler.direct_answer(&d, Some(&r));
     }
     w.job(JobSpec { kind: Kind::Service, priority: Priority::Production, ..spec("wk-2", 1) }, 102);
-    let ending = |w: &World| w.part.team_ending[0][0];
+    let ending = |w: &World| w.scheduler.team_ending[0][0];
     for _ in 0..3 {
         w.tick(1200);
-        w.part.make_room();
+        w.scheduler.make_room();
         // One task saves and ends, once.
         assert_eq!(ending(&w), 2000);
     }
-    let stop = w.part.direct(9).remove(0);
+    let stop = w.scheduler.direct(9).remove(0);
     assert!(matches!(stop.orders[..], [Order::Stop { grace_s, .. }] if grace_s == 3.0));
     // Equal work does not yield.
     w.job(JobSpec { priority: Priority::Low, ..spec("wk-3", 4) }, 103);
-    w.part.make_room();
+    w.scheduler.make_room();
     assert_eq!(ending(&w), 2000);
 }
 
@@ -1080,15 +1084,15 @@
     w.known("n-1");
     w.job(spec("wk-1", 2), 101);
     w.tick(1100);
-    assert_eq!(w.part.look_ahead(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
-    let i = w.part.machine_index["n-1"];
-    w.part.listed(i, false, "", 0);
-    assert!(w.part.look_ahead(false).is_empty());
+    assert_eq!(w.scheduler.look_ahead(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
+    let i = w.scheduler.machine_index["n-1"];
+    w.scheduler.listed(i, false, "", 0);
+    assert!(w.scheduler.look_ahead(false).is_empty());
     // Listed as running, it is missed if it does not report.
-    w.part.listed(i, true, "1.2.3.4:9", 0);
+    w.scheduler.listed(i, true, "1.2.3.4:9", 0);
     w.pass_to(9000);
-    assert_eq!(w.part.silent(5000, 9000), vec![i]);
-    assert_eq!(w.part.probes(9).len(), 1);
+    assert_eq!(w.scheduler.silent(5000, 9000), vec![i]);
+    assert_eq!(w.scheduler.probes(9).len(), 1);
 }
 
 #[test]
@@ -1102,8 +1106,8 @@
     // Two of the four may be in zone a; there is no other zone with machines.
     w.job(JobSpec { kind: Kind::Service, priority: Priority::Production, scatter: true, ..spec("wk-2", 4) }, 102);
     w.tick(1200);
-    w.part.make_room();
-    assert_eq!(w.part.team_ending[0][0], 4000);
+    w.scheduler.make_room();
+    assert_eq!(w.scheduler.team_ending[0][0], 4000);
 }
 
 #[test]
@@ -1113,11 +1117,11 @@
     w.job(spec("wk-1", 1), 50);
     w.inherit(&[("n-1", "wk-1/0", 7)]);
     w.tick(1100);
-    let probe = w.part.probes(9).remove(0);
+    let probe = w.scheduler.probes(9).remove(0);
     let answer = w.report("n-1", w.token(), &[]);
-    w.part.direct_answer(&probe, Some(&answer));
+    w.scheduler.direct_answer(&probe, Some(&answer));
     // The worker has seen the new token: no start of an earlier epoch is under way to it any more.
-    assert_eq!(w.part.jobs().map(Job::pending).sum::<u32>(), 1);
+    assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 1);
 }
 
 #[test]
@@ -1125,9 +1129,9 @@
     let mut w = World::new();
     w.machine("n-9", "a");
     w.job(spec("wk-1", 1), 50);
-    w.part.outwait();
+    w.scheduler.outwait();
     for (after, placed) in [(0, 0), (2000, 1)] {
-        w.part.at(1000 + LEASE + GRACE + after);
+        w.scheduler.at(1000 + LEASE + GRACE + after);
         let mut got = starts(&w.tell("n-9", &[]));
         w.tick(1000 + LEASE + GRACE + after);
         if got.is_empty() {
@@ -1143,18 +1147,18 @@
     w.machine("n-1", "a");
     w.job(spec("wk-1", 1), 101);
     w.job(spec("wk-2", 1), 102);
-    w.part.place();
-    let append = w.part.append(8000, 60).unwrap();
+    w.scheduler.place();
+    let append = w.scheduler.append(8000, 60).unwrap();
     assert_eq!(append.jobs, vec![("wk-1".to_string(), 101), ("wk-2".to_string(), 102)]);
     // Another node has confirmed the cancellation of one, which this one's mirror does not show yet: the write is refused,
     // and says why.
-    w.part.drop_job("wk-1");
-    w.part.not_appended(append, None);
-    let again = w.part.append(8000, 60).unwrap();
+    w.scheduler.drop_job("wk-1");
+    w.scheduler.not_appended(append, None);
+    let again = w.scheduler.append(8000, 60).unwrap();
     assert_eq!(again.jobs, vec![("wk-2".to_string(), 102)]);
     assert!(!again.text.contains("wk-1"));
-    w.part.appended(again, 200);
-    let sent = w.part.direct(9);
+    w.scheduler.appended(again, 200);
+    let sent = w.scheduler.direct(9);
     assert_eq!(starts(&sent[0].orders).len(), 1);
     assert_eq!(starts(&sent[0].orders)[0].0, "wk-2/0");
 }
@@ -1164,12 +1168,12 @@
     let mut w = World::new();
     (0..5).for_each(|n| w.machine(&format!("n-{n}"), "a"));
     (0..5).for_each(|n| w.job(spec(&format!("wk-{n}"), 2), 100 + n));
-    w.part.place();
+    w.scheduler.place();
     let mut written = Vec::new();
-    while let Some(a) = w.part.append(8000, 2) {
+    while let Some(a) = w.scheduler.append(8000, 2) {
         assert!(a.jobs.len() <= 2);
         written.extend(a.jobs.iter().map(|(id, _)| id.clone()));
-        w.part.appended(a, 200 + written.len() as u64);
+        w.scheduler.appended(a, 200 + written.len() as u64);
     }
     written.sort();
     written.dedup();
@@ -1180,7 +1184,7 @@
 fn an_heirs_first_answer_already_stops_what_is_cancelled() {
     let mut w = World::new();
     w.known("n-1");
-    w.part.add_job(LiveRecord { spec: spec("wk-1", 2), at_ms: 0 }, 101, &[], 0, true);
+    w.scheduler.add_job(LiveRecord { spec: spec("wk-1", 2), at_ms: 0 }, 101, &[], 0, true);
     w.job(spec("wk-2", 1), 102);
     w.inherit(&[("n-1", "wk-1/0", 71), ("n-1", "wk-2/0", 72)]);
     // The worker still shows the token of an earlier epoch: nothing is concluded, but the cancelled task is stopped, and
@@ -1189,7 +1193,7 @@
     let lines =
         [("wk-1/0", 71, run, None), ("wk-2/0", 72, run, None), ("wk-9/0", 7, run, None), ("wk-1/1", 70, done, None)];
     let r = w.report("n-1", 4 << TOKEN_BITS, &lines);
-    let Taken::Reply(reply) = w.part.report(&r, true, false) else { panic!() };
+    let Taken::Reply(reply) = w.scheduler.report(&r, true, false) else { panic!() };
     let stopped: Vec<&str> = reply
         .orders
         .iter()
@@ -1200,7 +1204,7 @@
         .collect();
     assert_eq!(stopped, ["wk-1/0", "wk-9/0"]);
     // It counts until it is gone.
-    assert_eq!(w.part.team_use[0][0], 4000);
+    assert_eq!(w.scheduler.team_use[0][0], 4000);
 }
 
 #[test]
@@ -1211,28 +1215,28 @@
     // From now on it reaches no controller; direct orders and their answers get through. It begins its second session
     // without an answer, which a probe tells shortly before the first one's lease would be over here.
     w.pass_to(1000 + LEASE / 2 - 1000);
-    let at = w.part.now;
+    let at = w.scheduler.now;
     let mut r = w.report("n-1", w.token(), &[]);
     r.session = 2;
-    w.part.report(&r, false, false);
+    w.scheduler.report(&r, false, false);
     let token = w.token() + 1;
     let mut r = w.report("n-1", token, &[]);
     r.session = 2;
-    w.part.report(&r, false, false);
+    w.scheduler.report(&r, false, false);
     w.job(spec("wk-1", 1), 101);
-    w.part.reconsider();
-    w.part.place();
+    w.scheduler.reconsider();
+    w.scheduler.place();
     w.log();
-    let sent = w.part.direct(9);
+    let sent = w.scheduler.direct(9);
     let started = starts(&sent[0].orders);
     let mut r = w.report("n-1", token, &[(&started[0].0, started[0].1, TaskState::Running, None)]);
     r.session = 2;
-    w.part.direct_answer(&sent[0], Some(&r));
+    w.scheduler.direct_answer(&sent[0], Some(&r));
     // The task is there until the lease of the second session has surely run out.
     w.pass_to(at + LEASE);
-    assert_eq!(w.part.machine(0).tasks.len(), 1);
+    assert_eq!(w.scheduler.machine(0).tasks.len(), 1);
     w.pass_to(at + LEASE + 1000);
-    assert!(w.part.machine(0).tasks.is_empty());
+    assert!(w.scheduler.machine(0).tasks.is_empty());
 }
 
 #[test]
@@ -1258,15 +1262,15 @@
             most = most.max(tried);
         }
     }
-    assert!(w.part.machines().all(|(_, m)| m.state == MachineState::Up && m.errors.is_empty()));
-    assert!(w.part.jobs().all(|j| j.mistaken(w.part.now)) && most <= 2, "{most}");
+    assert!(w.scheduler.machines().all(|(_, m)| m.state == MachineState::Up && m.errors.is_empty()));
+    assert!(w.scheduler.jobs().all(|j| j.mistaken(w.scheduler.now)) && most <= 2, "{most}");
     // Nothing is rented for them, and others find room beside the one place each.
     w.tick(202_000);
-    let needs = w.part.look_ahead(false);
+    let needs = w.scheduler.look_ahead(false);
     assert!(needs.iter().map(|n| n.tasks).sum::<u32>() <= 2);
     w.job(JobSpec { cpus: 8.0, ..spec("wk-3", 3) }, 103);
     w.tick(202_500);
-    assert!(!w.part.job(w.part.job_index["wk-3"]).active.is_empty());
+    assert!(!w.scheduler.job(w.scheduler.job_index["wk-3"]).active.is_empty());
 }
 
 #[test]
@@ -1293,8 +1297,8 @@
     panic!("left waiting for 90 s while a machine had room");
 }
 
-impl Part {
-    /// What a test wants to see of a part that does not do what it should.
+impl Scheduler {
+    /// What a test wants to see of a scheduler that does not do what it should.
     pub fn describe(&self) -> String {
         let machine = |(i, m): (usize, &Machine)| {
             format!(
@@ -1335,27 +1339,27 @@
     w.job(spec("wk-1", 2), 101);
     w.known("n-1");
     w.known("n-2");
-    let (late, up) = (w.part.machine_index["n-1"], w.part.machine_index["n-2"]);
+    let (late, up) = (w.scheduler.machine_index["n-1"], w.scheduler.machine_index["n-2"]);
     w.tick(5000);
     // Both were rented 70 s before this epoch began; then the list shows one of them running.
     for i in [late, up] {
-        w.part.listed(i, false, "", 74_000);
+        w.scheduler.listed(i, false, "", 74_000);
     }
-    let never = |w: &World, i: usize| w.part.never_came_up(w.part.machine(i));
+    let never = |w: &World, i: usize| w.scheduler.never_came_up(w.scheduler.machine(i));
     // Past the time in which it was expected, it counts no more as room to come.
-    assert_eq!(w.part.look_ahead(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
+    assert_eq!(w.scheduler.look_ahead(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
     w.pass_to(18_000);
-    w.part.listed(up, true, "1.2.3.4:9", 87_000);
+    w.scheduler.listed(up, true, "1.2.3.4:9", 87_000);
     // A list may be older than the one before it, and is no reason to wait longer.
-    w.part.listed(late, false, "", 80_000);
+    w.scheduler.listed(late, false, "", 80_000);
     assert!(!never(&w, late));
     // 90 s: 1.5 times twice the nominal 30 s. Counted from the epoch's beginning it was once 72 s more.
     w.pass_to(22_000);
     assert!(never(&w, late) && !never(&w, up));
-    let (offer, pause_ms) = w.part.give_up_boot(late).unwrap();
+    let (offer, pause_ms) = w.scheduler.give_up_boot(late).unwrap();
     assert_eq!((offer, pause_ms), (Offer { kind: 0, zone: 0, spot: false }, 91_000));
-    assert_eq!(w.part.leaving(9), ["n-1"]);
+    assert_eq!(w.scheduler.leaving(9), ["n-1"]);
     // A list that nobody can believe does no harm.
-    w.part.listed(up, false, "", u64::MAX);
+    w.scheduler.listed(up, false, "", u64::MAX);
     assert!(!never(&w, up));
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -5,8 +5,8 @@
 #[cfg(test)]
 mod tests;
 
-use crate::part::{Append, Hardware};
 use crate::protocol::{self as wire, Change, Event, Guard, Item, JobSpec, MachineType, Txn};
+use crate::scheduler::{Append, Hardware};
 use ciborium::Value;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn live(id: &str, version: u64) -> Event {
-    let record = LiveRecord { spec: crate::part::tests::spec(id, 1), at_ms: 5 };
+    let record = LiveRecord { spec: crate::scheduler::tests::spec(id, 1), at_ms: 5 };
     Event::Put { put: live_key(id), value: Value::serialized(&record).unwrap(), version }
 }
 
@@ -108,7 +108,7 @@
 
 #[test]
 fn late_and_repeated_transactions_do_nothing() {
-    let record = LiveRecord { spec: crate::part::tests::spec("wk-1", 1), at_ms: 5 };
+    let record = LiveRecord { spec: crate::scheduler::tests::spec("wk-1", 1), at_ms: 5 };
     let mut s = Service::default();
     assert!(s.run(&Txn { guards: vec![], apply: vec![put(epoch_key(), &1, None)] }));
     let epoch = guard(epoch_key(), 1);
@@ -125,12 +125,12 @@
 
 #[test]
 fn the_start_log_takes_no_start_of_a_job_whose_cancellation_is_durable() {
-    let record = LiveRecord { spec: crate::part::tests::spec("wk-1", 1), at_ms: 5 };
+    let record = LiveRecord { spec: crate::scheduler::tests::spec("wk-1", 1), at_ms: 5 };
     let mut s = Service::default();
     s.run(&Txn { guards: vec![], apply: vec![put(epoch_key(), &1, None)] });
     s.run(&submit_txn("wk-1", &record));
     let live = Versioned { record, version: s.revision };
-    let (mut w, _) = crate::part::tests::with_a_start_to_log(live.version);
+    let (mut w, _) = crate::scheduler::tests::with_a_start_to_log(live.version);
     let txn = log_txn(&guard(epoch_key(), 1), &w.append(8000, 60).unwrap());
     assert!(s.run(&abort_txn("wk-1", &live)));
     assert!(!s.run(&txn) && !s.has(starts_key(0)));
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_leader_of_an_earlier_epoch_writes_nothing() {
-    let record = LiveRecord { spec: crate::part::tests::spec("wk-2", 1), at_ms: 5 };
+    let record = LiveRecord { spec: crate::scheduler::tests::spec("wk-2", 1), at_ms: 5 };
     let mut s = Service::default();
     s.run(&Txn { guards: vec![], apply: vec![put(epoch_key(), &1, None)] });
     let old = guard(epoch_key(), s.revision);
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,7 +1,7 @@
 //! HTTP calls out of this process: the one exchange that every client uses, and direct orders to workers.
 
-use crate::part::Direct;
 use crate::protocol::{decode, encode, DirectOrders, Report};
+use crate::scheduler::Direct;
 use std::time::Duration;
 
 /// The client all calls go through; every call sets its own time limit.
