--- a/src/node/core.rs
+++ b/src/node/controller.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-/// Most machines in no hire that are looked at at a time.
+/// Most unregistered machines that are looked at at a time.
 pub(super) const STRANGERS: usize = 1000;
 /// Time between looks at what time alone brings.
 pub(super) const TICK_MS: u64 = 100;
@@ -57,7 +57,7 @@
 /// Number, version of the epoch key and hold of a term.
 pub(super) type Term = (u64, u64, u64);
 
-/// A machine in no hire.
+/// A machine that no rental in the store names.
 pub(super) struct Stranger {
     pub(super) machine_type: String,
     pub(super) zone: String,
@@ -68,7 +68,7 @@
 }
 
 /// What the loops share; borrowed for short moments only, never across a wait.
-pub(super) struct Core {
+pub(super) struct ControllerState {
     pub(super) settings: Settings,
     pub(super) clock: Clock,
     pub(super) me: LeaderRecord,
@@ -89,7 +89,7 @@
     pub(super) released: HashMap<String, u64>,
     pub(super) gone: HashSet<String>,
     pub(super) strangers: BTreeMap<String, Stranger>,
-    pub(super) hires: u64,
+    pub(super) rentals: u64,
     pub(super) readers: Vec<oneshot::Sender<u64>>,
     pub(super) pacer: Pacer,
     /// How often the cloud may be called.
@@ -106,16 +106,16 @@
     passed_at: u64,
 }
 
-impl Core {
+impl ControllerState {
     /// A node that has yet to read the store.
-    pub(super) fn new(settings: Settings, incarnation: u64, clock: Clock) -> Core {
+    pub(super) fn new(settings: Settings, incarnation: u64, clock: Clock) -> ControllerState {
         let me = LeaderRecord { node: settings.platform.node.clone(), incarnation };
         let ttl = (settings.operator.hold_s * 1000.0) as u64;
         let state = &settings.platform.deployment.state;
         let user_changes = users_share(state.write_rps, settings.platform.peers.len() + 1, None);
         let user_reads = state.rps * USER_READS / (settings.platform.peers.len() + 1) as f64;
         let cloud_rps = settings.platform.deployment.cloud.rps * CLOUD_SHARE;
-        Core {
+        ControllerState {
             lead: Leadership::new(ttl, settings.grace_ms()),
             settings,
             clock,
@@ -135,7 +135,7 @@
             released: HashMap::new(),
             gone: HashSet::new(),
             strangers: BTreeMap::new(),
-            hires: 0,
+            rentals: 0,
             readers: Vec::new(),
             pacer: Pacer::new(user_changes),
             cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
@@ -274,7 +274,7 @@
         let (now, wall) = (self.now(), self.wall());
         let mut scheduler = Scheduler::new(Params::new(&self.settings), epoch, now);
         scheduler.set_types(&self.types);
-        for h in self.mirror.hires.values() {
+        for h in self.mirror.rentals.values() {
             let h = &h.record;
             for machine in h.machines.iter().flatten() {
                 scheduler.add_machine(machine, h.hardware(), Origin::Inherited);
@@ -292,8 +292,8 @@
             scheduler.outwait();
         }
         self.leads_since = now;
-        let (jobs, hires) = (self.mirror.live.len(), self.mirror.hires.len());
-        tracing::info!(epoch, jobs, hires, unsettled = scheduler.unsettled(), "epoch begins");
+        let (jobs, rentals) = (self.mirror.live.len(), self.mirror.rentals.len());
+        tracing::info!(epoch, jobs, rentals, unsettled = scheduler.unsettled(), "epoch begins");
         self.scheduler = Some(scheduler);
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,14 +1,14 @@
 //! A controller: the actor that joins the pure parts to the state service, the cloud, the workers and the users.
 
-mod books;
-mod core;
-mod leading;
-mod renting;
+mod controller;
+mod election;
+mod persistence;
+mod provisioning;
 #[cfg(test)]
 mod tests;
-mod users;
+mod user_requests;
 
-use self::core::{over_view, Clock, Core, Pass, Stranger, FLUSH_MS, PASS_MS, STRANGERS, TICK_MS};
+use self::controller::{over_view, Clock, ControllerState, Pass, Stranger, FLUSH_MS, PASS_MS, STRANGERS, TICK_MS};
 use crate::cloud::{CloudClient, Rented, RELEASE_MOST};
 use crate::config::Settings;
 use crate::fleet::{Fleet, Wish};
@@ -22,7 +22,8 @@
 use crate::rate::{RateMeter, TokenBucket};
 use crate::scheduler::{Direct, MachineState, Offer, Origin, Params, Scheduler, Taken};
 use crate::store::{
-    self, guard, put, Decided, HireRecord, LeaderRecord, LiveRecord, Mirror, OverRecord, Seen, StoreClient, StoreError,
+    self, guard, put, Decided, LeaderRecord, LiveRecord, Mirror, OverRecord, RentalRecord, Seen, StoreClient,
+    StoreError,
 };
 use crate::worker;
 use actix::prelude::*;
@@ -102,7 +103,7 @@
 /// The handles that the loops share.
 #[derive(Clone)]
 struct Shared {
-    core: Rc<RefCell<Core>>,
+    controller: Rc<RefCell<ControllerState>>,
     store: StoreClient,
     cloud: CloudClient,
     http: awc::Client,
@@ -130,8 +131,8 @@
     /// Notes whether the state service answers.
     fn noted<T>(&self, r: Result<T, StoreError>) -> Result<T, StoreError> {
         if matches!(r, Ok(_) | Err(StoreError::Gone | StoreError::Busy)) {
-            let mut core = self.core.borrow_mut();
-            core.state_ok_at = core.now();
+            let mut controller = self.controller.borrow_mut();
+            controller.state_ok_at = controller.now();
         }
         r
     }
@@ -141,9 +142,9 @@
         let mut tries = 0;
         loop {
             {
-                let mut core = self.core.borrow_mut();
-                let now = core.now();
-                core.own_changes.record(txn.apply.len(), now);
+                let mut controller = self.controller.borrow_mut();
+                let now = controller.now();
+                controller.own_changes.record(txn.apply.len(), now);
             }
             let r = self.noted(self.store.txn(txn).await);
             if r != Err(StoreError::Busy) || tries == 6 {
@@ -156,7 +157,7 @@
 
     async fn sync(self) {
         let (rps, nodes) = {
-            let c = self.core.borrow();
+            let c = self.controller.borrow();
             (c.settings.platform.deployment.state.rps, c.settings.platform.peers.len() + 1)
         };
         // A quarter of the request budget goes to watches, shared among the nodes.
@@ -167,7 +168,7 @@
                 match self.noted(self.store.load().await) {
                     Ok(fresh) => {
                         let revision = fresh.revision;
-                        self.core.borrow_mut().loaded(fresh);
+                        self.controller.borrow_mut().loaded(fresh);
                         self.revision.send_replace(revision);
                         loaded = true;
                         self.campaign.notify_one();
@@ -178,7 +179,7 @@
                     }
                 }
             }
-            let after = self.core.borrow().mirror.revision;
+            let after = self.controller.borrow().mirror.revision;
             let watch = Box::pin(self.store.watch(after, WATCH_MS));
             let watched = match select(watch, Box::pin(self.left_behind(patience))).await {
                 Either::Left((watched, _)) => watched,
@@ -192,7 +193,7 @@
                 Ok(w) => {
                     patience = PATIENCE_MS;
                     let quiet = w.events.is_empty();
-                    if self.core.borrow_mut().watched(w.revision, &w.events) {
+                    if self.controller.borrow_mut().watched(w.revision, &w.events) {
                         self.campaign.notify_one();
                     }
                     self.revision.send_replace(w.revision);
@@ -215,8 +216,8 @@
     async fn left_behind(&self, patience: u64) {
         loop {
             pause(patience).await;
-            let core = self.core.borrow();
-            if core.lead.behind(core.now().saturating_sub(patience)) {
+            let controller = self.controller.borrow();
+            if controller.lead.behind(controller.now().saturating_sub(patience)) {
                 return;
             }
         }
@@ -228,11 +229,11 @@
             self.reading.notified().await;
             pause(40).await;
             let (readers, txn, leads, sent) = {
-                let mut core = self.core.borrow_mut();
-                let (leads, sent) = (core.term().is_some(), core.now());
-                let version = core.mirror.epoch.as_ref().map_or(0, |e| e.version);
+                let mut controller = self.controller.borrow_mut();
+                let (leads, sent) = (controller.term().is_some(), controller.now());
+                let version = controller.mirror.epoch.as_ref().map_or(0, |e| e.version);
                 let txn = Txn { guards: vec![guard(store::epoch_key(), version)], apply: Vec::new() };
-                (std::mem::take(&mut core.readers), txn, leads, sent)
+                (std::mem::take(&mut controller.readers), txn, leads, sent)
             };
             if readers.is_empty() && !leads {
                 continue;
@@ -240,7 +241,7 @@
             let http = self.clone();
             actix::spawn(async move {
                 if let Ok(revision) = http.noted(http.store.barrier(&txn).await) {
-                    http.core.borrow_mut().lead_event(Event::Read { sent, revision });
+                    http.controller.borrow_mut().lead_event(Event::Read { sent, revision });
                     readers.into_iter().for_each(|r| {
                         let _ = r.send(revision);
                     });
@@ -253,7 +254,7 @@
     /// Waits until the mirror is at least as new as this moment.
     async fn current(&self) -> bool {
         let (tx, rx) = oneshot::channel();
-        self.core.borrow_mut().readers.push(tx);
+        self.controller.borrow_mut().readers.push(tx);
         self.reading.notify_one();
         let wait = async {
             let revision = rx.await.ok()?;
@@ -266,19 +267,19 @@
 
     /// Tells the others of cancellations, again until they know.
     async fn tell_cancelled(self) {
-        let peers = self.core.borrow().settings.platform.peers.clone();
+        let peers = self.controller.borrow().settings.platform.peers.clone();
         loop {
             let _ = tokio::time::timeout(Duration::from_millis(500), self.cancelled.notified()).await;
             for p in &peers {
                 let (told, revision) = {
-                    let core = self.core.borrow();
-                    let Some((jobs, revision)) = core.hints.unknown_to(&p.node) else { continue };
+                    let controller = self.controller.borrow();
+                    let Some((jobs, revision)) = controller.hints.unknown_to(&p.node) else { continue };
                     (Cancelled { jobs }, revision)
                 };
                 let (me, node, addr) = (self.clone(), p.node.clone(), p.peer_addr);
                 actix::spawn(async move {
                     if let Some(mirrored) = peer::tell_cancelled(&me.http, addr, &told).await {
-                        me.core.borrow_mut().hints.acknowledged(&node, revision.max(mirrored));
+                        me.controller.borrow_mut().hints.acknowledged(&node, revision.max(mirrored));
                     }
                 });
             }
@@ -288,20 +289,20 @@
     }
 
     async fn peers(self) {
-        let peers = self.core.borrow().settings.platform.peers.clone();
+        let peers = self.controller.borrow().settings.platform.peers.clone();
         loop {
             pause(900).await;
             for p in &peers {
                 let me = self.clone();
-                let (addr, own) = (p.peer_addr, View { counts: None, ..self.core.borrow().own_view() });
+                let (addr, own) = (p.peer_addr, View { counts: None, ..self.controller.borrow().own_view() });
                 actix::spawn(async move {
                     let from = Instant::now();
                     let answer = peer::ask(&me.http, addr, &own).await;
-                    let mut core = me.core.borrow_mut();
-                    let now = core.now();
+                    let mut controller = me.controller.borrow_mut();
+                    let now = controller.now();
                     match answer {
-                        Some(v) => core.take_view(v),
-                        None if from.elapsed().as_millis() < REFUSED_MS => core.others.refused(now),
+                        Some(v) => controller.take_view(v),
+                        None if from.elapsed().as_millis() < REFUSED_MS => controller.others.refused(now),
                         None => {}
                     }
                 });
@@ -322,9 +323,9 @@
         let http = worker::http_client(connections);
         let incarnation = rand::thread_rng().gen::<u64>() >> 1;
         let external = settings.platform.external.clone();
-        let core = Core::new(settings, incarnation, Clock::Steady(Instant::now()));
+        let controller = ControllerState::new(settings, incarnation, Clock::Steady(Instant::now()));
         let shared = Shared {
-            core: Rc::new(RefCell::new(core)),
+            controller: Rc::new(RefCell::new(controller)),
             store: StoreClient::new(http.clone(), external.state),
             cloud: CloudClient::new(http.clone(), external.cloud),
             http,
@@ -380,7 +381,7 @@
 impl Handler<Health> for Node {
     type Result = bool;
     fn handle(&mut self, _: Health, _: &mut Self::Context) -> bool {
-        self.shared.core.borrow().healthy()
+        self.shared.controller.borrow().healthy()
     }
 }
 
@@ -388,18 +389,18 @@
     type Result = MessageResult<WorkerReport>;
     fn handle(&mut self, m: WorkerReport, _: &mut Self::Context) -> Self::Result {
         self.shared.urgent.notify_one();
-        let mut core = self.shared.core.borrow_mut();
-        let answer = core.report(&m.0);
-        MessageResult(TimedAnswer { answer, valid_until: core.answer_valid_until() })
+        let mut controller = self.shared.controller.borrow_mut();
+        let answer = controller.report(&m.0);
+        MessageResult(TimedAnswer { answer, valid_until: controller.answer_valid_until() })
     }
 }
 
 impl Handler<PeerView> for Node {
     type Result = MessageResult<PeerView>;
     fn handle(&mut self, m: PeerView, _: &mut Self::Context) -> Self::Result {
-        let mut core = self.shared.core.borrow_mut();
-        core.take_view(m.0);
-        MessageResult(core.own_view())
+        let mut controller = self.shared.controller.borrow_mut();
+        controller.take_view(m.0);
+        MessageResult(controller.own_view())
     }
 }
 
@@ -407,7 +408,7 @@
     type Result = MessageResult<PeerCancelled>;
     fn handle(&mut self, m: PeerCancelled, _: &mut Self::Context) -> Self::Result {
         self.shared.urgent.notify_one();
-        MessageResult(self.shared.core.borrow_mut().take_cancelled(&m.0))
+        MessageResult(self.shared.controller.borrow_mut().take_cancelled(&m.0))
     }
 }
 
--- a/src/node/books.rs
+++ b/src/node/persistence.rs
@@ -1,10 +1,10 @@
 //! The leader's rounds and its books: what it sends, and the transactions that make its decisions durable.
 
-use super::core::{Core, Pass, Term, FLUSH_MS, PASS_MS, TICK_MS};
+use super::controller::{ControllerState, Pass, Term, FLUSH_MS, PASS_MS, TICK_MS};
 use super::*;
 use crate::scheduler::{Append, DoneChunk};
 
-impl Core {
+impl ControllerState {
     /// The transaction that claims the next epoch, and its record; none if somebody leads.
     pub(super) fn claim(&mut self, hold: u64) -> Option<(Txn, store::EpochRecord)> {
         self.unlogged = self.mirror.epoch.as_ref().is_some_and(|e| !e.record.logs_starts);
@@ -96,7 +96,7 @@
     }
 
     /// The guard of the leader's writes, while it may make any.
-    pub(super) fn books(&self) -> Option<wire::Guard> {
+    pub(super) fn write_guard(&self) -> Option<wire::Guard> {
         let (_, version, _) = self.term().filter(|_| self.right() == Right::Full && self.scheduler.is_some())?;
         Some(guard(store::epoch_key(), version))
     }
@@ -155,7 +155,7 @@
             return None;
         }
         let (mut txn, mut forgotten) = (Txn { guards: vec![epoch.clone()], apply: Vec::new() }, Vec::new());
-        for (name, h) in &self.mirror.hires {
+        for (name, h) in &self.mirror.rentals {
             let Some(machines) = &h.record.machines else { continue };
             let gone = machines.iter().any(|m| self.gone.contains(m)) || machines.is_empty();
             if !gone || txn.apply.len() >= self.rows() {
@@ -163,12 +163,12 @@
             }
             let (out, left): (Vec<String>, Vec<String>) = machines.iter().cloned().partition(|m| self.gone.contains(m));
             forgotten.extend(out);
-            let key = store::hire_key(name);
+            let key = store::rental_key(name);
             txn.guards.push(guard(key.clone(), h.version));
             txn.apply.push(if left.is_empty() {
                 wire::Change::Delete { key }
             } else {
-                put(key, &HireRecord { machines: Some(left), ..h.record.clone() }, None)
+                put(key, &RentalRecord { machines: Some(left), ..h.record.clone() }, None)
             });
         }
         (!txn.apply.is_empty()).then_some((forgotten, txn))
--- a/src/node/renting.rs
+++ b/src/node/provisioning.rs
@@ -12,7 +12,7 @@
 impl Shared {
     pub(super) async fn fleet(self) {
         let list_ms = {
-            let cloud = &self.core.borrow().settings.platform.deployment.cloud;
+            let cloud = &self.controller.borrow().settings.platform.deployment.cloud;
             ((cloud.list_lag_s * 1000.0) as u64).max(4000)
         };
         let (mut types_at, mut list_at) = (None::<u64>, 0);
@@ -25,19 +25,19 @@
                 pause(FLEET_MS).await;
             }
             rented = false;
-            let now = self.core.borrow().now();
+            let now = self.controller.borrow().now();
             let (leads, typeless) = {
-                let core = self.core.borrow();
+                let controller = self.controller.borrow();
                 (
-                    core.term().is_some() && core.right() == Right::Full && core.scheduler.is_some(),
-                    core.types.is_empty(),
+                    controller.term().is_some() && controller.right() == Right::Full && controller.scheduler.is_some(),
+                    controller.types.is_empty(),
                 )
             };
             if (leads || typeless) && types_at.is_none_or(|t| now > t + if typeless { 1000 } else { 20_000 }) {
                 types_at = Some(now);
                 self.await_cloud_call().await;
                 if let Some(types) = self.cloud.catalogue().await {
-                    self.core.borrow_mut().take_types(&types);
+                    self.controller.borrow_mut().take_types(&types);
                     self.store_types(types).await;
                 }
             }
@@ -55,7 +55,7 @@
                 page = self.list(&after).await;
             }
             // While the answer to a request is unknown, its machines may be on their way.
-            if self.settle_hires().await {
+            if self.settle_rentals().await {
                 continue;
             }
             rented = self.rent_most_urgent().await;
@@ -66,9 +66,9 @@
     async fn await_cloud_call(&self) {
         loop {
             let slot = {
-                let mut core = self.core.borrow_mut();
-                let now = core.now();
-                core.cloud_calls.take(now)
+                let mut controller = self.controller.borrow_mut();
+                let now = controller.now();
+                controller.cloud_calls.take(now)
             };
             match slot {
                 Ok(()) => return,
@@ -89,13 +89,13 @@
         self.await_cloud_call().await;
         let wishes = self.decide();
         let next = {
-            let mut core = self.core.borrow_mut();
-            let now = core.now();
-            let call_ms = 1000.0 / (core.settings.platform.deployment.cloud.rps * core::CLOUD_SHARE);
-            core.fleet.next_request(wishes, (REST_CALLS * call_ms) as u64, now)
+            let mut controller = self.controller.borrow_mut();
+            let now = controller.now();
+            let call_ms = 1000.0 / (controller.settings.platform.deployment.cloud.rps * controller::CLOUD_SHARE);
+            controller.fleet.next_request(wishes, (REST_CALLS * call_ms) as u64, now)
         };
         match next {
-            Some(wish) => self.hire(wish.offer, wish.count).await,
+            Some(wish) => self.rent(wish.offer, wish.count).await,
             None => false,
         }
     }
@@ -103,9 +103,9 @@
     /// Keeps the machine types in the store, so that a node that starts while the cloud is down knows them.
     pub(super) async fn store_types(&self, types: Vec<MachineType>) {
         let (guards, same) = {
-            let core = self.core.borrow();
-            let Some((_, epoch, _)) = core.term() else { return };
-            let old = core.mirror.catalogue.as_ref();
+            let controller = self.controller.borrow();
+            let Some((_, epoch, _)) = controller.term() else { return };
+            let old = controller.mirror.catalogue.as_ref();
             let shape = |l: &[MachineType]| {
                 l.iter().map(|t| (t.name.clone(), t.cpus as u64, t.zones.clone())).collect::<Vec<_>>()
             };
@@ -120,21 +120,21 @@
 
     /// What to rent and what to return.
     pub(super) fn decide(&self) -> Vec<Wish> {
-        let mut core = self.core.borrow_mut();
+        let mut controller = self.controller.borrow_mut();
         // The calls before this one may have taken seconds: a leader cut off meanwhile once gave up machines that its
         // heir was using.
-        if core.right() != Right::Full {
+        if controller.right() != Right::Full {
             return Vec::new();
         }
-        let now = core.now();
-        let core = &mut *core;
-        let w = &core.settings.platform.deployment.workers;
+        let now = controller.now();
+        let controller = &mut *controller;
+        let w = &controller.settings.platform.deployment.workers;
         // Long enough for two probes; a machine silent for longer rarely comes back within its lease.
         let silent_ms = ((2.0 * w.report_s + 2.0).max(0.4 * w.lease_s) * 1000.0) as u64;
-        let idle_ms = (core.settings.operator.idle_return_s * 1000.0) as u64;
+        let idle_ms = (controller.settings.operator.idle_return_s * 1000.0) as u64;
         // Dead machines are listed as failed; what is silent for so long though its whole zone is, is not worth its price.
         let lost_ms = (4000.0 * w.lease_s) as u64;
-        let Some(scheduler) = core.scheduler.as_mut() else { return Vec::new() };
+        let Some(scheduler) = controller.scheduler.as_mut() else { return Vec::new() };
         scheduler.at(now);
         for i in scheduler.silent(silent_ms, lost_ms) {
             scheduler.enter(i, MachineState::Releasing, "silent");
@@ -153,10 +153,10 @@
         let boot_s = scheduler.types().iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min).min(600.0);
         // Until a machine that is rented now is up, with some room for slow ones.
         let rise_ms = (boot_s * 1500.0) as u64 + 5000;
-        core.fleet.surplus(scheduler, &needs, idle_ms + (boot_s * 1000.0) as u64, rise_ms, now);
-        core.fleet.returns(scheduler, idle_ms, rise_ms, now);
-        let mut wishes = core.fleet.wishes(scheduler, &needs, now);
-        wishes.extend(core.fleet.ahead(scheduler, rise_ms, now));
+        controller.fleet.surplus(scheduler, &needs, idle_ms + (boot_s * 1000.0) as u64, rise_ms, now);
+        controller.fleet.returns(scheduler, idle_ms, rise_ms, now);
+        let mut wishes = controller.fleet.wishes(scheduler, &needs, now);
+        wishes.extend(controller.fleet.ahead(scheduler, rise_ms, now));
         wishes
     }
 
@@ -170,20 +170,20 @@
         if names.is_empty() {
             return;
         }
-        let term = self.core.borrow().term();
-        let permitted = || self.core.borrow().may_send(term);
+        let term = self.controller.borrow().term();
+        let permitted = || self.controller.borrow().may_send(term);
         let ok = while_permitted(permitted, self.cloud.release(&names)).await.unwrap_or(false);
-        let mut core = self.core.borrow_mut();
+        let mut controller = self.controller.borrow_mut();
         if ok {
             tracing::info!(machines = ?names, "released");
-            let now = core.now();
-            core.released.retain(|_, at| now < *at + 600_000);
+            let now = controller.now();
+            controller.released.retain(|_, at| now < *at + 600_000);
             for n in names {
-                core.released.insert(n.clone(), now);
-                if let Some(scheduler) = core.scheduler.as_mut() {
+                controller.released.insert(n.clone(), now);
+                if let Some(scheduler) = controller.scheduler.as_mut() {
                     scheduler.machine_gone(&n);
                 }
-                core.gone.insert(n);
+                controller.gone.insert(n);
             }
         } else {
             tracing::info!(machines = ?names, "release not confirmed");
@@ -192,9 +192,9 @@
 
     /// Machines that this node may release now.
     fn leaving(&self) -> Vec<String> {
-        let core = self.core.borrow();
-        match core.scheduler.as_ref() {
-            Some(scheduler) if core.right() == Right::Full => scheduler.leaving(RELEASE_MOST),
+        let controller = self.controller.borrow();
+        match controller.scheduler.as_ref() {
+            Some(scheduler) if controller.right() == Right::Full => scheduler.leaving(RELEASE_MOST),
             _ => Vec::new(),
         }
     }
@@ -206,9 +206,9 @@
         let room = ADOPTIONS.saturating_sub(flying.get());
         let mut some = Vec::new();
         {
-            let mut core = self.core.borrow_mut();
+            let mut controller = self.controller.borrow_mut();
             while some.len() < room {
-                let Some(next) = core.strangers.pop_first() else { break };
+                let Some(next) = controller.strangers.pop_first() else { break };
                 some.push(next);
             }
         }
@@ -224,13 +224,13 @@
 
     async fn take_in(&self, machine: String, Stranger { machine_type, zone, spot, ask }: Stranger) {
         let (token, epoch) = {
-            let core = self.core.borrow();
-            let Some((number, version, _)) = core.term() else { return };
+            let controller = self.controller.borrow();
+            let Some((number, version, _)) = controller.term() else { return };
             let open =
-                core.mirror.hires.values().any(|h| {
+                controller.mirror.rentals.values().any(|h| {
                     h.record.machines.is_none() && h.record.machine_type == machine_type && h.record.zone == zone
                 });
-            if open || core.scheduler.as_ref().is_none_or(|p| p.knows(&machine)) {
+            if open || controller.scheduler.as_ref().is_none_or(|p| p.knows(&machine)) {
                 return;
             }
             (crate::scheduler::first_token(number), version)
@@ -242,31 +242,31 @@
             }
         }
         let name = format!("found-{machine}");
-        let record = HireRecord { machine_type, zone, spot, count: 1, machines: Some(vec![machine.clone()]) };
-        let txn = store::hire_txn(&guard(store::epoch_key(), epoch), &name, 0, &record);
+        let record = RentalRecord { machine_type, zone, spot, count: 1, machines: Some(vec![machine.clone()]) };
+        let txn = store::rental_txn(&guard(store::epoch_key(), epoch), &name, 0, &record);
         let known = match self.txn(&txn).await {
             Ok(Decided::Applied(_)) => true,
             // An earlier try that was not answered went through after all: without this the machine was never used, nor
             // returned, until the next change of leader.
-            Ok(Decided::Failed(keys)) if keys == [store::hire_key(&name)] => {
-                let core = self.core.borrow();
-                core.mirror.hires.get(&name).is_some_and(|h| h.record == record)
+            Ok(Decided::Failed(keys)) if keys == [store::rental_key(&name)] => {
+                let controller = self.controller.borrow();
+                controller.mirror.rentals.get(&name).is_some_and(|h| h.record == record)
             }
             _ => false,
         };
         if known {
             tracing::info!(%machine, "unexpected machine taken in");
             // Of another epoch this one knows from the store.
-            if self.core.borrow().term().is_some_and(|(_, version, _)| version == epoch) {
+            if self.controller.borrow().term().is_some_and(|(_, version, _)| version == epoch) {
                 self.add_machines(&record, Origin::Found);
             }
         }
     }
 
-    pub(super) fn add_machines(&self, r: &HireRecord, origin: Origin) {
-        let mut core = self.core.borrow_mut();
-        let now = core.now();
-        let Some(scheduler) = core.scheduler.as_mut() else { return };
+    pub(super) fn add_machines(&self, r: &RentalRecord, origin: Origin) {
+        let mut controller = self.controller.borrow_mut();
+        let now = controller.now();
+        let Some(scheduler) = controller.scheduler.as_mut() else { return };
         scheduler.at(now);
         for m in r.machines.iter().flatten() {
             scheduler.add_machine(m, r.hardware(), origin);
@@ -277,23 +277,25 @@
     pub(super) async fn list(&self, after: &str) -> Option<String> {
         self.await_cloud_call().await;
         let (machines, more) = self.cloud.list(after).await?;
-        let mut core = self.core.borrow_mut();
-        let now = core.now();
-        let core = &mut *core;
+        let mut controller = self.controller.borrow_mut();
+        let now = controller.now();
+        let controller = &mut *controller;
         // The list may still show what an earlier leader has released: an heir once took such machines in and counted
         // on them for a minute. Workers that report are taken in at once.
-        let lag_ms = (core.settings.platform.deployment.cloud.list_lag_s * 2000.0) as u64 + 2000;
-        let settled = now > core.leads_since + lag_ms;
-        let scheduler = core.scheduler.as_mut()?;
+        let lag_ms = (controller.settings.platform.deployment.cloud.list_lag_s * 2000.0) as u64 + 2000;
+        let settled = now > controller.leads_since + lag_ms;
+        let scheduler = controller.scheduler.as_mut()?;
         let next = machines.last().map(|m| m.id.clone());
         for m in machines {
             match scheduler.index(&m.id) {
                 Some(i) if m.state == "failed" => scheduler.enter(i, MachineState::Releasing, "failed"),
                 Some(i) => scheduler.listed(i, m.state == "running", &m.address, (m.age_s * 1000.0) as u64),
-                None if !settled || core.released.contains_key(&m.id) || core.strangers.len() > STRANGERS => {}
+                None if !settled
+                    || controller.released.contains_key(&m.id)
+                    || controller.strangers.len() > STRANGERS => {}
                 None => {
                     let (machine_type, zone, spot) = (m.machine_type, m.zone, m.spot);
-                    core.strangers.insert(m.id, Stranger { machine_type, zone, spot, ask: None });
+                    controller.strangers.insert(m.id, Stranger { machine_type, zone, spot, ask: None });
                 }
             }
         }
@@ -301,46 +303,46 @@
     }
 
     /// Repeats rental requests whose answer is not known; true while some remain.
-    pub(super) async fn settle_hires(&self) -> bool {
-        let open: Vec<(String, HireRecord, u64)> = {
-            let core = self.core.borrow();
-            let unknown = core.mirror.hires.iter().filter(|(_, h)| h.record.machines.is_none());
+    pub(super) async fn settle_rentals(&self) -> bool {
+        let open: Vec<(String, RentalRecord, u64)> = {
+            let controller = self.controller.borrow();
+            let unknown = controller.mirror.rentals.iter().filter(|(_, h)| h.record.machines.is_none());
             unknown.map(|(n, h)| (n.clone(), h.record.clone(), h.version)).collect()
         };
         let mut left = false;
         for (name, record, version) in open {
             self.await_cloud_call().await;
-            left |= !self.call_hire(&name, record, version).await;
+            left |= !self.call_rental(&name, record, version).await;
         }
         left
     }
 
     /// Rents: the request's name is stored before the call.
-    pub(super) async fn hire(&self, offer: Offer, count: u32) -> bool {
+    pub(super) async fn rent(&self, offer: Offer, count: u32) -> bool {
         let (name, record, epoch) = {
-            let mut core = self.core.borrow_mut();
-            core.hires += 1;
-            let Some((_, epoch, _)) = core.term() else { return false };
-            let Some(scheduler) = core.scheduler.as_ref() else { return false };
-            let record = HireRecord {
+            let mut controller = self.controller.borrow_mut();
+            controller.rentals += 1;
+            let Some((_, epoch, _)) = controller.term() else { return false };
+            let Some(scheduler) = controller.scheduler.as_ref() else { return false };
+            let record = RentalRecord {
                 machine_type: scheduler.types()[offer.kind].name.clone(),
                 zone: scheduler.zone_name(offer.zone).to_string(),
                 spot: offer.spot,
                 count,
                 machines: None,
             };
-            (format!("{}-{:x}-{}", core.me.node, core.me.incarnation, core.hires), record, epoch)
+            (format!("{}-{:x}-{}", controller.me.node, controller.me.incarnation, controller.rentals), record, epoch)
         };
-        match self.txn(&store::hire_txn(&guard(store::epoch_key(), epoch), &name, 0, &record)).await {
-            Ok(Decided::Applied(version)) => self.call_hire(&name, record, version).await,
+        match self.txn(&store::rental_txn(&guard(store::epoch_key(), epoch), &name, 0, &record)).await {
+            Ok(Decided::Applied(version)) => self.call_rental(&name, record, version).await,
             _ => false,
         }
     }
 
     /// Calls the cloud for a stored request. True if its fate is known and stored.
-    pub(super) async fn call_hire(&self, name: &str, mut record: HireRecord, version: u64) -> bool {
-        let Some((_, epoch, _)) = self.core.borrow().term() else { return false };
-        if self.core.borrow().right() != Right::Full {
+    pub(super) async fn call_rental(&self, name: &str, mut record: RentalRecord, version: u64) -> bool {
+        let Some((_, epoch, _)) = self.controller.borrow().term() else { return false };
+        if self.controller.borrow().right() != Right::Full {
             return false;
         }
         let request = RentRequest {
@@ -350,10 +352,10 @@
             spot: record.spot,
             count: record.count,
         };
-        let term = self.core.borrow().term();
-        let permitted = || self.core.borrow().may_send(term);
+        let term = self.controller.borrow().term();
+        let permitted = || self.controller.borrow().may_send(term);
         let rented = while_permitted(permitted, self.cloud.rent(&request)).await.unwrap_or(Rented::Unknown);
-        tracing::info!(hire = name, kind = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, ?rented, "rental");
+        tracing::info!(request = name, kind = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, ?rented, "rental");
         let got = match rented {
             Rented::Machines(m) => m,
             Rented::NoCapacity => Vec::new(),
@@ -361,10 +363,10 @@
         };
         self.note_offer(&record, got.len());
         record.machines = Some(got);
-        match self.txn(&store::hire_txn(&guard(store::epoch_key(), epoch), name, version, &record)).await {
+        match self.txn(&store::rental_txn(&guard(store::epoch_key(), epoch), name, version, &record)).await {
             Ok(Decided::Applied(version)) => {
                 // Until the watch brings it, the request would be taken for one whose answer is unknown, and called again.
-                self.core.borrow_mut().mirror.put_hire(name, record.clone(), version);
+                self.controller.borrow_mut().mirror.put_rental(name, record.clone(), version);
                 self.add_machines(&record, Origin::Rented);
                 true
             }
@@ -372,18 +374,18 @@
         }
     }
 
-    pub(super) fn note_offer(&self, r: &HireRecord, got: usize) {
-        let mut core = self.core.borrow_mut();
-        let now = core.now();
-        let core = &mut *core;
-        let Some(scheduler) = core.scheduler.as_ref() else { return };
+    pub(super) fn note_offer(&self, r: &RentalRecord, got: usize) {
+        let mut controller = self.controller.borrow_mut();
+        let now = controller.now();
+        let controller = &mut *controller;
+        let Some(scheduler) = controller.scheduler.as_ref() else { return };
         let kind = scheduler.types().iter().position(|t| t.name == r.machine_type);
         let (Some(kind), Some(zone)) = (kind, scheduler.zone_index(&r.zone)) else { return };
         let offer = Offer { kind, zone, spot: r.spot };
         if got < r.count as usize {
-            core.fleet.refused(offer, now);
+            controller.fleet.refused(offer, now);
         } else {
-            core.fleet.filled(offer);
+            controller.fleet.filled(offer);
         }
     }
 }
--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -553,14 +553,15 @@
     let row = store::done_key("wk-1", 0);
     let late = |guards| Txn { guards, apply: vec![store::put(row.clone(), &"07", None)] };
     w.later(40_000, late(vec![epoch.clone(), live, store::guard(row.clone(), 0)]));
-    let hire = store::HireRecord { machine_type: "m8".into(), zone: "a".into(), spot: false, count: 1, machines: None };
-    w.later(41_000, store::hire_txn(&epoch, "r-late", 0, &hire));
+    let record =
+        store::RentalRecord { machine_type: "m8".into(), zone: "a".into(), spot: false, count: 1, machines: None };
+    w.later(41_000, store::rental_txn(&epoch, "r-late", 0, &record));
     w.run(1000);
     let leader = w.leader().unwrap();
     w.crash(leader, 100);
     w.run(45_000);
     assert!(w.over("wk-1").is_some());
-    assert!(!w.service.keys.contains_key(&row) && !w.service.keys.contains_key(&store::hire_key("r-late")));
+    assert!(!w.service.keys.contains_key(&row) && !w.service.keys.contains_key(&store::rental_key("r-late")));
     assert!(matches!(late(Vec::new()).apply[0], Change::Put { .. }));
     whole(&w);
 }
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -1,17 +1,17 @@
 //! A scripted world under a fake clock: a state service with holds, watches, refusals and late transactions; workers with
-//! leases, sessions, tokens and images; a cloud; users. The controllers in it are the service's own `Core`s; this module
+//! leases, sessions, tokens and images; a cloud; users. The controllers in it are the service's own `ControllerState`s; this module
 //! only carries out what they ask for, as the loops of `node` do, and checks the rules after each step.
 
 use crate::config::Settings;
 use crate::leader::{Event as LeadEvent, Right, Role};
-use crate::node::core::{Clock, Core, Pass, Term};
+use crate::node::controller::{Clock, ControllerState, Pass, Term};
 use crate::node::WorkerAnswer;
 use crate::protocol::{
     split_task, Change, Event, Guard, JobSpec, Kind, MachineType, Order, Report, ReportReply, TaskReport, TaskState,
     Txn, Why,
 };
 use crate::scheduler::{Append, Direct, Hardware, MachineState, Origin};
-use crate::store::{self, guard, Decided, HireRecord, LiveRecord, Mirror, OverRecord, StoreError, Versioned};
+use crate::store::{self, guard, Decided, LiveRecord, Mirror, OverRecord, RentalRecord, StoreError, Versioned};
 use ciborium::Value;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::cell::Cell;
@@ -127,7 +127,7 @@
 
 /// A controller's process and its calls.
 pub struct Controller {
-    pub core: Option<Core>,
+    pub controller: Option<ControllerState>,
     back_at: u64,
     pub frozen_until: u64,
     life: u64,
@@ -315,7 +315,7 @@
         };
         for _ in 0..3 {
             w.nodes.push(Controller {
-                core: None,
+                controller: None,
                 back_at: 0,
                 frozen_until: 0,
                 life: 0,
@@ -345,7 +345,8 @@
 
     /// The controller with the right to start.
     pub fn leader(&self) -> Option<usize> {
-        let full = |c: &Controller| c.core.as_ref().is_some_and(|c| c.scheduler.is_some() && c.right() == Right::Full);
+        let full =
+            |c: &Controller| c.controller.as_ref().is_some_and(|c| c.scheduler.is_some() && c.right() == Right::Full);
         self.nodes.iter().position(full)
     }
 
@@ -370,7 +371,7 @@
     pub fn crash(&mut self, node: usize, back_after: u64) {
         let back_at = self.now() + back_after;
         let n = &mut self.nodes[node];
-        (n.core, n.watch, n.awaits, n.writing, n.back_at) = (None, None, None, None, back_at);
+        (n.controller, n.watch, n.awaits, n.writing, n.back_at) = (None, None, None, None, back_at);
         n.life += 1;
     }
 
@@ -400,12 +401,12 @@
         if self.service.reach(node).is_err() || now < self.nodes[node].frozen_until {
             return false;
         }
-        let Some(core) = self.nodes[node].core.as_mut() else { return false };
-        let Some(live) = core.mirror.live.get(id).cloned() else { return false };
+        let Some(controller) = self.nodes[node].controller.as_mut() else { return false };
+        let Some(live) = controller.mirror.live.get(id).cloned() else { return false };
         let Decided::Applied(revision) = self.service.decide(&store::abort_txn(id, &live)) else { return false };
         let tasks = live.record.spec.tasks;
-        core.cancelled(id, tasks);
-        core.hints.add(id, tasks, revision);
+        controller.cancelled(id, tasks);
+        controller.hints.add(id, tasks, revision);
         self.jobs.get_mut(id).unwrap().answering = Some((node, revision, now));
         true
     }
@@ -512,15 +513,18 @@
 
     fn drive(&mut self, n: usize) {
         let now = self.now();
-        if self.nodes[n].core.is_none() {
+        if self.nodes[n].controller.is_none() {
             if now < self.nodes[n].back_at || self.service.reach(n).is_err() {
                 return;
             }
-            let mut core =
-                Core::new(settings(n, self.nodes.len(), self.limit), now + 1, Clock::Scripted(self.clock.clone()));
-            core.take_types(&[kind()]);
-            core.loaded(self.service.load());
-            self.nodes[n].core = Some(core);
+            let mut controller = ControllerState::new(
+                settings(n, self.nodes.len(), self.limit),
+                now + 1,
+                Clock::Scripted(self.clock.clone()),
+            );
+            controller.take_types(&[kind()]);
+            controller.loaded(self.service.load());
+            self.nodes[n].controller = Some(controller);
         }
         if now < self.nodes[n].frozen_until {
             return;
@@ -528,7 +532,7 @@
         self.watch(n);
         self.lead(n);
         self.write_log(n);
-        self.books(n);
+        self.persist(n);
         self.pass(n);
         self.cloud(n);
     }
@@ -537,10 +541,10 @@
     fn watch(&mut self, n: usize) {
         let now = self.now();
         let (reach, stuck) = (self.service.reach(n).is_ok(), self.watches_stuck);
-        let Controller { core: Some(core), watch, .. } = &mut self.nodes[n] else { return };
+        let Controller { controller: Some(controller), watch, .. } = &mut self.nodes[n] else { return };
         if let Some((opened, silent)) = watch {
             *silent |= !reach;
-            let left_behind = now >= *opened + 500 && core.lead.behind(now - 500);
+            let left_behind = now >= *opened + 500 && controller.lead.behind(now - 500);
             if (now > *opened + WATCH || (left_behind && reach)) && !(stuck && *silent) {
                 *watch = None;
             }
@@ -548,13 +552,13 @@
         if watch.is_none() && reach {
             *watch = Some((now, false));
         }
-        if watch.is_some_and(|(_, silent)| !silent) && self.service.revision > core.mirror.revision {
-            let from = core.mirror.revision;
+        if watch.is_some_and(|(_, silent)| !silent) && self.service.revision > controller.mirror.revision {
+            let from = controller.mirror.revision;
             let newer = |e: &&Event| match e {
                 Event::Put { version, .. } | Event::Delete { version, .. } => *version > from,
             };
             let events: Vec<Event> = self.service.events.iter().filter(newer).cloned().collect();
-            core.watched(self.service.revision, &events);
+            controller.watched(self.service.revision, &events);
             *watch = Some((now, false));
         }
     }
@@ -564,62 +568,66 @@
         let reach = self.service.reach(n);
         let revision = self.service.revision;
         let awaits = self.nodes[n].awaits;
-        let core = self.nodes[n].core.as_mut().unwrap();
+        let controller = self.nodes[n].controller.as_mut().unwrap();
         if let Some((epoch, version, sent, until)) = awaits {
-            if core.mirror.revision >= version && core.term().is_some() {
-                core.lead_event(LeadEvent::Read { sent, revision: version });
-                core.rebuild(epoch);
+            if controller.mirror.revision >= version && controller.term().is_some() {
+                controller.lead_event(LeadEvent::Read { sent, revision: version });
+                controller.rebuild(epoch);
                 self.nodes[n].awaits = None;
             } else if now > until {
-                core.lead_event(LeadEvent::Ended);
+                controller.lead_event(LeadEvent::Ended);
                 self.nodes[n].awaits = None;
             }
             return;
         }
-        if let Some((_, _, hold)) = core.term() {
+        if let Some((_, _, hold)) = controller.term() {
             if now < self.nodes[n].renew_at {
                 return;
             }
             self.nodes[n].renew_at = now + 500;
-            let core = self.nodes[n].core.as_mut().unwrap();
+            let controller = self.nodes[n].controller.as_mut().unwrap();
             match (reach, self.service.holds.get_mut(&hold)) {
                 (Ok(()), Some((end, ttl))) => {
                     *end = now + *ttl;
-                    core.lead_event(LeadEvent::Read { sent: now, revision });
-                    core.lead_event(LeadEvent::Renewed(now));
-                    if core.scheduler.is_some() && core.right() == Right::None {
+                    controller.lead_event(LeadEvent::Read { sent: now, revision });
+                    controller.lead_event(LeadEvent::Renewed(now));
+                    if controller.scheduler.is_some() && controller.right() == Right::None {
                         self.give_up(n);
                     }
                 }
-                (Ok(()), None) => core.lead_event(LeadEvent::Ended),
-                _ if core.right() == Right::None => core.lead_event(LeadEvent::Ended),
+                (Ok(()), None) => controller.lead_event(LeadEvent::Ended),
+                _ if controller.right() == Right::None => controller.lead_event(LeadEvent::Ended),
                 _ => {}
             }
             return;
         }
-        if reach.is_err() || !core.mirror.loaded || !core.free_to_claim() || now < core.no_campaign_until {
+        if reach.is_err()
+            || !controller.mirror.loaded
+            || !controller.free_to_claim()
+            || now < controller.no_campaign_until
+        {
             return;
         }
-        let ttl = (core.settings.operator.hold_s * 1000.0) as u64;
-        core.lead_event(LeadEvent::Campaign);
+        let ttl = (controller.settings.operator.hold_s * 1000.0) as u64;
+        controller.lead_event(LeadEvent::Campaign);
         let hold = self.service.next_hold + 1;
         self.service.next_hold = hold;
         self.service.holds.insert(hold, (now + ttl, ttl));
-        let core = self.nodes[n].core.as_mut().unwrap();
-        let claim = core.claim(hold);
+        let controller = self.nodes[n].controller.as_mut().unwrap();
+        let claim = controller.claim(hold);
         let won = claim.and_then(|(txn, record)| match self.txn(n, &txn) {
             Ok(Decided::Applied(version)) => Some((record.number, version)),
             _ => None,
         });
-        let core = self.nodes[n].core.as_mut().unwrap();
+        let controller = self.nodes[n].controller.as_mut().unwrap();
         match won {
             Some((epoch, version)) => {
-                core.lead_event(LeadEvent::Won { epoch, version, hold, sent: now });
+                controller.lead_event(LeadEvent::Won { epoch, version, hold, sent: now });
                 self.nodes[n].awaits = Some((epoch, version, now, now + ttl * 3 / 4));
             }
             None => {
-                core.lead_event(LeadEvent::Lost);
-                core.no_campaign_until = now + 200;
+                controller.lead_event(LeadEvent::Lost);
+                controller.no_campaign_until = now + 200;
                 self.service.end_hold(hold);
             }
         }
@@ -627,10 +635,10 @@
 
     fn give_up(&mut self, n: usize) {
         let now = self.now();
-        let core = self.nodes[n].core.as_mut().unwrap();
-        let hold = core.term().map(|t| t.2);
-        core.no_campaign_until = now + 10_000;
-        core.lead_event(LeadEvent::Ended);
+        let controller = self.nodes[n].controller.as_mut().unwrap();
+        let hold = controller.term().map(|t| t.2);
+        controller.no_campaign_until = now + 10_000;
+        controller.lead_event(LeadEvent::Ended);
         if self.service.reach(n).is_ok() {
             hold.into_iter().for_each(|h| self.service.end_hold(h));
         }
@@ -645,52 +653,52 @@
             let key = store::starts_key(w.append.slot);
             let demand = !matches!(w.done, Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused));
             let found = if demand && self.service.reach(n).is_ok() { self.service.get::<String>(&key) } else { None };
-            self.nodes[n].core.as_mut().unwrap().logged(w.term, w.append, w.done, found);
+            self.nodes[n].controller.as_mut().unwrap().logged(w.term, w.append, w.done, found);
         }
-        let Some((append, term, txn)) = self.nodes[n].core.as_mut().unwrap().next_append() else { return };
+        let Some((append, term, txn)) = self.nodes[n].controller.as_mut().unwrap().next_append() else { return };
         let done = self.txn(n, &txn);
         let unanswered = done == Err(StoreError::Unknown);
         self.nodes[n].writing =
             Some(Writing { append, term, done, at: now + if unanswered { 1500 } else { self.write_ms } });
     }
 
-    fn books(&mut self, n: usize) {
+    fn persist(&mut self, n: usize) {
         let now = self.now();
         if now < self.nodes[n].flush_at {
             return;
         }
         self.nodes[n].flush_at = now + 500;
-        let Some(epoch) = self.nodes[n].core.as_ref().unwrap().books() else { return };
-        for (id, tasks, txn) in self.nodes[n].core.as_ref().unwrap().completions(&epoch) {
+        let Some(epoch) = self.nodes[n].controller.as_ref().unwrap().write_guard() else { return };
+        for (id, tasks, txn) in self.nodes[n].controller.as_ref().unwrap().completions(&epoch) {
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
-                self.nodes[n].core.as_mut().unwrap().completed(&id, tasks);
+                self.nodes[n].controller.as_mut().unwrap().completed(&id, tasks);
             }
         }
-        if let Some((rows, txn)) = self.nodes[n].core.as_ref().unwrap().ranges(&epoch) {
+        if let Some((rows, txn)) = self.nodes[n].controller.as_ref().unwrap().ranges(&epoch) {
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
-                self.nodes[n].core.as_mut().unwrap().stored(&epoch, &rows);
+                self.nodes[n].controller.as_mut().unwrap().stored(&epoch, &rows);
             }
         }
-        if let Some((gone, txn)) = self.nodes[n].core.as_ref().unwrap().forgettable(&epoch) {
+        if let Some((gone, txn)) = self.nodes[n].controller.as_ref().unwrap().forgettable(&epoch) {
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
                 gone.iter().for_each(|m| {
-                    self.nodes[n].core.as_mut().unwrap().gone.remove(m);
+                    self.nodes[n].controller.as_mut().unwrap().gone.remove(m);
                 });
             }
         }
-        if let Some(txn) = self.nodes[n].core.as_mut().unwrap().sweep(&epoch) {
+        if let Some(txn) = self.nodes[n].controller.as_mut().unwrap().sweep(&epoch) {
             let _ = self.txn(n, &txn);
         }
     }
 
     fn pass(&mut self, n: usize) {
-        let pass = self.nodes[n].core.as_mut().unwrap().pass(16, 8);
+        let pass = self.nodes[n].controller.as_mut().unwrap().pass(16, 8);
         let sends = match pass {
             Pass::Sends(sends) => sends,
             Pass::Nothing => return,
             Pass::GiveUp => return self.give_up(n),
         };
-        let (life, term) = (self.nodes[n].life, self.nodes[n].core.as_ref().unwrap().term());
+        let (life, term) = (self.nodes[n].life, self.nodes[n].controller.as_ref().unwrap().term());
         let starts = |d: &Direct| d.orders.iter().any(|o| matches!(o, Order::Start { .. }));
         if self.stands_still_ms > 0 && sends.iter().any(starts) {
             let pause = std::mem::take(&mut self.stands_still_ms);
@@ -738,31 +746,32 @@
             return;
         }
         self.nodes[n].cloud_at = now + 400;
-        let Some(epoch) = self.nodes[n].core.as_ref().unwrap().books() else { return };
-        let core = self.nodes[n].core.as_mut().unwrap();
-        let w = core.settings.platform.deployment.workers.clone();
-        let scheduler = core.scheduler.as_mut().unwrap();
+        let Some(epoch) = self.nodes[n].controller.as_ref().unwrap().write_guard() else { return };
+        let controller = self.nodes[n].controller.as_mut().unwrap();
+        let w = controller.settings.platform.deployment.workers.clone();
+        let scheduler = controller.scheduler.as_mut().unwrap();
         let silent_ms = ((2.0 * w.report_s + 2.0).max(0.4 * w.lease_s) * 1000.0) as u64;
         for i in scheduler.silent(silent_ms, (4000.0 * w.lease_s) as u64) {
             scheduler.enter(i, MachineState::Releasing, "silent");
         }
         for name in scheduler.leaving(100) {
             scheduler.machine_gone(&name);
-            core.gone.insert(name.clone());
-            core.released.insert(name.clone(), now);
+            controller.gone.insert(name.clone());
+            controller.released.insert(name.clone(), now);
             self.workers.remove(&name);
         }
         if self.workers.len() < self.machines_wanted {
             self.made += 1;
             let in_a = self.workers.values().filter(|w| w.zone == ZONES[0]).count();
             let (name, zone) = (format!("n-{:04}", self.made), ZONES[(in_a * 2 > self.workers.len()) as usize]);
-            let of = HireRecord { machine_type: "m8".into(), zone: zone.into(), spot: false, count: 1, machines: None };
-            let record = HireRecord { machines: Some(vec![name.clone()]), ..of };
-            let txn = store::hire_txn(&epoch, &format!("r-{}", self.made), 0, &record);
+            let of =
+                RentalRecord { machine_type: "m8".into(), zone: zone.into(), spot: false, count: 1, machines: None };
+            let record = RentalRecord { machines: Some(vec![name.clone()]), ..of };
+            let txn = store::rental_txn(&epoch, &format!("r-{}", self.made), 0, &record);
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
-                let core = self.nodes[n].core.as_mut().unwrap();
+                let controller = self.nodes[n].controller.as_mut().unwrap();
                 let of = Hardware { machine_type: "m8", zone, spot: false };
-                core.scheduler.as_mut().unwrap().add_machine(&name, of, Origin::Rented);
+                controller.scheduler.as_mut().unwrap().add_machine(&name, of, Origin::Rented);
                 self.boot(name, zone);
             }
         }
@@ -801,15 +810,15 @@
                 continue;
             }
             let name = format!("drover-{b}");
-            let Some(hint) = self.nodes[a].core.as_ref().map(|c| c.hints.unknown_to(&name)) else { continue };
-            let Some(other) = self.nodes[b].core.as_mut() else { continue };
+            let Some(hint) = self.nodes[a].controller.as_ref().map(|c| c.hints.unknown_to(&name)) else { continue };
+            let Some(other) = self.nodes[b].controller.as_mut() else { continue };
             if let Some((jobs, revision)) = hint {
                 let mirrored = other.take_cancelled(&crate::peer::Cancelled { jobs });
-                self.nodes[a].core.as_mut().unwrap().hints.acknowledged(&name, revision.max(mirrored));
+                self.nodes[a].controller.as_mut().unwrap().hints.acknowledged(&name, revision.max(mirrored));
             }
             if now % 900 < STEP {
-                let view = self.nodes[b].core.as_ref().unwrap().own_view();
-                self.nodes[a].core.as_mut().unwrap().take_view(view);
+                let view = self.nodes[b].controller.as_ref().unwrap().own_view();
+                self.nodes[a].controller.as_mut().unwrap().take_view(view);
             }
         }
     }
@@ -819,7 +828,7 @@
         for job in self.jobs.values_mut() {
             let Some((node, revision, since)) = job.answering else { continue };
             let most = 2500 * 1001 / 1000;
-            let known = match self.nodes[node].core.as_ref() {
+            let known = match self.nodes[node].controller.as_ref() {
                 Some(c) => c.stops_known(revision) || now > since + most,
                 // Its user hears nothing from it and asks another, to which the job is cancelled.
                 None => now > since + 5000,
@@ -994,8 +1003,8 @@
                 if now < frozen {
                     return self.send(frozen - now, Message::Report { node, report, copy });
                 }
-                let Some(core) = self.nodes[node].core.as_mut() else { return };
-                let answer = core.report(&report);
+                let Some(controller) = self.nodes[node].controller.as_mut() else { return };
+                let answer = controller.report(&report);
                 if let WorkerAnswer::Reply(ReportReply { orders, .. }) = &answer {
                     let orders = orders.clone();
                     if !copy {
@@ -1040,11 +1049,11 @@
                 if self.nodes[node].life != life {
                     return;
                 }
-                let Some(core) = self.nodes[node].core.as_mut() else { return };
-                if core.may_send(term) {
+                let Some(controller) = self.nodes[node].controller.as_mut() else { return };
+                if controller.may_send(term) {
                     self.send_direct(node, life, term, vec![direct]);
                 } else {
-                    core.direct_answer(term, &direct, None);
+                    controller.direct_answer(term, &direct, None);
                 }
             }
             Message::Direct { node, life, term, direct, sent } => {
@@ -1077,8 +1086,8 @@
             Message::DirectAnswer { node, life, term, direct, report } => {
                 let n = &mut self.nodes[node];
                 if n.life == life {
-                    if let Some(core) = n.core.as_mut() {
-                        core.direct_answer(term, &direct, report.as_ref());
+                    if let Some(controller) = n.controller.as_mut() {
+                        controller.direct_answer(term, &direct, report.as_ref());
                     }
                 }
             }
@@ -1114,7 +1123,7 @@
             }
             if self.now() > until {
                 let roles: Vec<Option<Role>> =
-                    self.nodes.iter().map(|n| n.core.as_ref().map(|c| c.lead.role().clone())).collect();
+                    self.nodes.iter().map(|n| n.controller.as_ref().map(|c| c.lead.role().clone())).collect();
                 let machines: Vec<String> = self
                     .workers
                     .iter()
@@ -1124,7 +1133,7 @@
                     })
                     .collect();
                 self.breaks(format!("not settled: {open:?}, {roles:?}, {machines:#?}"));
-                if let Some(c) = self.leader().and_then(|l| self.nodes[l].core.as_ref()) {
+                if let Some(c) = self.leader().and_then(|l| self.nodes[l].controller.as_ref()) {
                     eprintln!("{}", c.scheduler.as_ref().unwrap().describe());
                 }
                 return;
--- a/src/node/users.rs
+++ b/src/node/user_requests.rs
@@ -8,7 +8,7 @@
 impl Shared {
     /// A final state read from the store; `Gone` if there is none.
     pub(super) async fn read_over(&self, id: &str) -> Result<OverRecord, StoreError> {
-        if let Some(r) = self.core.borrow().mirror.over(id) {
+        if let Some(r) = self.controller.borrow().mirror.over(id) {
             return Ok(r);
         }
         Ok(self.final_state(id).await?.record)
@@ -17,31 +17,31 @@
     /// A final state as the store has it.
     async fn final_state(&self, id: &str) -> Result<store::Versioned<OverRecord>, StoreError> {
         let read = self.noted(self.store.get::<OverRecord>(&store::over_key(id)).await)?;
-        self.core.borrow_mut().mirror.remember_over(id, read.record);
+        self.controller.borrow_mut().mirror.remember_over(id, read.record);
         Ok(read)
     }
 
     pub(super) async fn poll(self, id: String) -> Answer {
-        if let Some(over) = self.core.borrow().mirror.over(&id) {
+        if let Some(over) = self.controller.borrow().mirror.over(&id) {
             return Answer::Job(200, over_view(&id, over));
         }
         if !self.current().await {
             return Answer::Later(1);
         }
-        if let Some(view) = self.core.borrow().view(&id) {
+        if let Some(view) = self.controller.borrow().view(&id) {
             return Answer::Job(200, view);
         }
-        if self.core.borrow().mirror.absent(&id) {
+        if self.controller.borrow().mirror.absent(&id) {
             return Answer::Unknown;
         }
         if let Err(later) = self.admit_read() {
             return later;
         }
-        let generation = self.core.borrow().mirror.generation;
+        let generation = self.controller.borrow().mirror.generation;
         match self.read_over(&id).await {
             Ok(over) => Answer::Job(200, over_view(&id, over)),
             Err(StoreError::Gone) => {
-                self.core.borrow_mut().mirror.remember_absent(&id, generation);
+                self.controller.borrow_mut().mirror.remember_absent(&id, generation);
                 Answer::Unknown
             }
             Err(_) => Answer::Later(1),
@@ -50,26 +50,26 @@
 
     /// Whether a user's question may cost a read of its own now.
     fn admit_read(&self) -> Result<(), Answer> {
-        let mut core = self.core.borrow_mut();
-        let now = core.now();
-        core.user_reads.take(now).map_err(|wait_ms| Answer::Later(wait_ms.div_ceil(1000) as u32))
+        let mut controller = self.controller.borrow_mut();
+        let now = controller.now();
+        controller.user_reads.take(now).map_err(|wait_ms| Answer::Later(wait_ms.div_ceil(1000) as u32))
     }
 
     /// Whether a user may cause a number of changes now.
     fn admit(&self, changes: u32) -> Result<(), Answer> {
-        let mut core = self.core.borrow_mut();
-        let now = core.now();
-        core.adjust_pace();
-        core.pacer.take(changes, now).map_err(Answer::Later)
+        let mut controller = self.controller.borrow_mut();
+        let now = controller.now();
+        controller.adjust_pace();
+        controller.pacer.take(changes, now).map_err(Answer::Later)
     }
 
     /// A user's transaction: tried once, since the user is told when to come back.
     async fn user_txn(&self, txn: &Txn) -> Result<Decided, StoreError> {
         let done = self.noted(self.store.txn(txn).await);
-        let mut core = self.core.borrow_mut();
+        let mut controller = self.controller.borrow_mut();
         match done {
-            Err(StoreError::Busy) => core.pacer.refused(),
-            Ok(_) => core.pacer.taken(),
+            Err(StoreError::Busy) => controller.pacer.refused(),
+            Ok(_) => controller.pacer.taken(),
             _ => {}
         }
         done
@@ -77,13 +77,13 @@
 
     pub(super) async fn submit(self, spec: JobSpec) -> Answer {
         let id = spec.id.clone();
-        if let Some(over) = self.core.borrow().mirror.over(&id) {
+        if let Some(over) = self.controller.borrow().mirror.over(&id) {
             return Answer::Job(200, over_view(&id, over));
         }
         let (known, ready, never, at_ms) = {
-            let core = self.core.borrow();
-            let ready = core.mirror.loaded && !core.types.is_empty();
-            (core.mirror.live.contains_key(&id), ready, core.impossible(&spec), core.wall())
+            let controller = self.controller.borrow();
+            let ready = controller.mirror.loaded && !controller.types.is_empty();
+            (controller.mirror.live.contains_key(&id), ready, controller.impossible(&spec), controller.wall())
         };
         if known {
             // Repeated: a failed transaction would count as a change, and crowds of repeats would use up the changes.
@@ -114,9 +114,9 @@
                 Err(_) => Answer::Later(1),
             },
             Ok(Decided::Failed(_)) => {
-                let core = self.core.borrow();
-                match core.mirror.live.contains_key(&id) {
-                    true => Answer::Job(200, core.view(&id).unwrap_or(queued)),
+                let controller = self.controller.borrow();
+                match controller.mirror.live.contains_key(&id) {
+                    true => Answer::Job(200, controller.view(&id).unwrap_or(queued)),
                     false => Answer::Job(200, queued),
                 }
             }
@@ -132,9 +132,9 @@
     /// Confirms a cancellation that is durable at a revision.
     async fn confirm(&self, id: &str, over: OverRecord, revision: u64) -> Answer {
         {
-            let mut core = self.core.borrow_mut();
-            core.cancelled(id, over.tasks);
-            core.hints.add(id, over.tasks, revision);
+            let mut controller = self.controller.borrow_mut();
+            controller.cancelled(id, over.tasks);
+            controller.hints.add(id, over.tasks, revision);
         }
         self.cancelled.notify_one();
         self.stops_known(revision).await;
@@ -145,13 +145,13 @@
     /// has been told, mostly milliseconds, or its right to start has surely ended without a word.
     async fn stops_known(&self, revision: u64) {
         let (begun, most) = {
-            let core = self.core.borrow();
-            (core.now(), (core.settings.operator.hold_s * 1000.0 * (1.0 + crate::leader::DRIFT)) as u64)
+            let controller = self.controller.borrow();
+            (controller.now(), (controller.settings.operator.hold_s * 1000.0 * (1.0 + crate::leader::DRIFT)) as u64)
         };
         loop {
             {
-                let core = self.core.borrow();
-                if core.stops_known(revision) || core.now() > begun + most {
+                let controller = self.controller.borrow();
+                if controller.stops_known(revision) || controller.now() > begun + most {
                     return;
                 }
             }
@@ -161,13 +161,13 @@
 
     pub(super) async fn abort(self, id: String) -> Answer {
         for _ in 0..3 {
-            if let Some(over) = self.core.borrow().mirror.over(&id) {
+            if let Some(over) = self.controller.borrow().mirror.over(&id) {
                 return Answer::Job(200, over_view(&id, over));
             }
-            let live = self.core.borrow().mirror.live.get(&id).cloned();
+            let live = self.controller.borrow().mirror.live.get(&id).cloned();
             let Some(live) = live else {
                 match self.clone().poll(id.clone()).await {
-                    Answer::Job(..) if self.core.borrow().mirror.live.contains_key(&id) => continue,
+                    Answer::Job(..) if self.controller.borrow().mirror.live.contains_key(&id) => continue,
                     other => return other,
                 }
             };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -311,7 +311,7 @@
 /// Where a machine stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Known from a hire; not heard in this epoch.
+    /// Known from a rental; not heard in this epoch.
     Waiting,
     /// Takes tasks.
     Up,
@@ -449,7 +449,7 @@
     Reply(ReportReply),
     /// The worker has seen a later epoch.
     Superseded,
-    /// The machine is in no hire.
+    /// No rental names the machine.
     Stranger,
 }
 
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -191,7 +191,7 @@
     }
 
     /// Takes in the log of earlier epochs, after the machines and jobs: each task's last line says where it may be.
-    /// Machines that are in no hire any more were released, and lines of jobs that are over are of no interest.
+    /// Machines that no rental names any more were released, and lines of jobs that are over are of no interest.
     pub fn inherit<'a>(&mut self, slots: impl Iterator<Item = (u32, u64, &'a str)>) {
         let mut last: BTreeMap<(usize, u32), Line> = BTreeMap::new();
         for (slot, version, text) in slots {
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -87,7 +87,7 @@
         self.tell_token(name, self.token(), &[]);
     }
 
-    /// A machine of a hire that was made before this epoch.
+    /// A machine that was rented before this epoch.
     fn known(&mut self, name: &str) {
         self.scheduler.add_machine(name, Hardware { machine_type: "m8", zone: "a", spot: false }, Origin::Inherited);
     }
@@ -228,7 +228,7 @@
     w.known("n-1");
     w.known("n-2");
     w.job(spec("wk-1", 2), 50);
-    // Task 0 was first on n-1 and then, once that was proven gone, on n-2. Task 1 was last on n-9, which is in no hire
+    // Task 0 was first on n-1 and then, once that was proven gone, on n-2. Task 1 was last on n-9, which no rental names
     // any more; its older line names a machine on which it is known to be no longer.
     w.inherit(&[("n-1", "wk-1/0", 7), ("n-2", "wk-1/0", 9), ("n-1", "wk-1/1", 7), ("n-9", "wk-1/1", 8)]);
     w.tell("n-1", &[]);
--- a/src/store.rs
+++ b/src/store.rs
@@ -57,8 +57,8 @@
     format!("{ROOT}starts/{slot}")
 }
 /// Key of a rental request and its machines.
-pub fn hire_key(hire: &str) -> String {
-    format!("{ROOT}hire/{hire}")
+pub fn rental_key(rental: &str) -> String {
+    format!("{ROOT}hire/{rental}")
 }
 
 /// An unfinished job.
@@ -112,7 +112,7 @@
 
 /// A rental request, written before the cloud is called, and the machines it brought.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HireRecord {
+pub struct RentalRecord {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
@@ -125,7 +125,7 @@
     pub machines: Option<Vec<String>>,
 }
 
-impl HireRecord {
+impl RentalRecord {
     /// What its machines are.
     pub fn hardware(&self) -> Hardware<'_> {
         Hardware { machine_type: &self.machine_type, zone: &self.zone, spot: self.spot }
@@ -172,7 +172,7 @@
     /// The start log by slot, as text: only an heir reads it.
     pub starts: BTreeMap<u32, Versioned<String>>,
     /// Hires.
-    pub hires: BTreeMap<String, Versioned<HireRecord>>,
+    pub rentals: BTreeMap<String, Versioned<RentalRecord>>,
     /// Leader.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// Epoch.
@@ -271,7 +271,7 @@
                 }
                 Some(())
             }),
-            "hire" => record::<HireRecord>(value).map(|record| self.put_hire(name, record, version)),
+            "hire" => record::<RentalRecord>(value).map(|record| self.put_rental(name, record, version)),
             "leader" => record::<LeaderRecord>(value).map(|record| {
                 if newer(self.leader.as_ref(), version) {
                     self.leader = Some(Versioned { record, version });
@@ -296,9 +296,9 @@
     }
 
     /// Takes in a rental request, read or just written by this node; a version older than the known one is ignored.
-    pub fn put_hire(&mut self, name: &str, record: HireRecord, version: u64) {
-        if self.hires.get(name).is_none_or(|known| known.version < version) {
-            self.hires.insert(name.to_string(), Versioned { record, version });
+    pub fn put_rental(&mut self, name: &str, record: RentalRecord, version: u64) {
+        if self.rentals.get(name).is_none_or(|known| known.version < version) {
+            self.rentals.insert(name.to_string(), Versioned { record, version });
         }
     }
 
@@ -327,8 +327,8 @@
                     self.starts.remove(&slot);
                 }
             }
-            "hire" if self.hires.get(name).is_some_and(|v| v.version < version) => {
-                self.hires.remove(name);
+            "hire" if self.rentals.get(name).is_some_and(|v| v.version < version) => {
+                self.rentals.remove(name);
             }
             "leader" if self.leader.as_ref().is_some_and(|v| v.version < version) => {
                 self.leader = None;
@@ -461,9 +461,9 @@
     }
 }
 
-/// Writes a hire in the leader's epoch: a new one (`version` 0) or an answered one; without machines it is dropped.
-pub fn hire_txn(epoch: &Guard, name: &str, version: u64, record: &HireRecord) -> Txn {
-    let key = hire_key(name);
+/// Writes a rental in the leader's epoch: a new one (`version` 0) or an answered one; without machines it is dropped.
+pub fn rental_txn(epoch: &Guard, name: &str, version: u64, record: &RentalRecord) -> Txn {
+    let key = rental_key(name);
     let empty = record.machines.as_ref().is_some_and(|m| m.is_empty());
     let change = if empty { Change::Delete { key: key.clone() } } else { put(key.clone(), record, None) };
     Txn { guards: vec![epoch.clone(), guard(key, version)], apply: vec![change] }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -62,22 +62,22 @@
 
 #[test]
 fn a_request_whose_answer_this_node_has_written_is_no_longer_open() {
-    let open = HireRecord { machine_type: "m".into(), zone: "a".into(), spot: false, count: 2, machines: None };
-    let answered = HireRecord { machines: Some(vec!["n-1".into()]), ..open.clone() };
-    let event = |record: &HireRecord, version| {
+    let open = RentalRecord { machine_type: "m".into(), zone: "a".into(), spot: false, count: 2, machines: None };
+    let answered = RentalRecord { machines: Some(vec!["n-1".into()]), ..open.clone() };
+    let event = |record: &RentalRecord, version| {
         let value = Value::serialized(record).unwrap();
-        Event::Put { put: hire_key("r-1"), value, version }
+        Event::Put { put: rental_key("r-1"), value, version }
     };
     let mut m = Mirror::default();
     m.apply(4, &[event(&open, 4)]);
-    m.put_hire("r-1", answered.clone(), 6);
+    m.put_rental("r-1", answered.clone(), 6);
     // The watch is behind: what it brings now is older. Without this, each request was called a second time.
     m.apply(5, &[event(&open, 4)]);
-    assert_eq!(m.hires["r-1"].record, answered);
+    assert_eq!(m.rentals["r-1"].record, answered);
     m.apply(6, &[event(&answered, 6)]);
-    assert_eq!(m.hires["r-1"].version, 6);
-    m.apply(7, &[Event::Delete { key: hire_key("r-1"), version: 7 }]);
-    assert!(m.hires.is_empty());
+    assert_eq!(m.rentals["r-1"].version, 6);
+    m.apply(7, &[Event::Delete { key: rental_key("r-1"), version: 7 }]);
+    assert!(m.rentals.is_empty());
 }
 
 /// A stand-in for the state service's transactions.
@@ -147,16 +147,16 @@
     s.run(&submit_txn("wk-2", &record));
     let version = s.revision;
     s.run(&Txn { guards: vec![old.clone()], apply: vec![put(epoch_key(), &2, None)] });
-    let hire = HireRecord { machine_type: "x".into(), zone: "z".into(), spot: true, count: 2, machines: None };
+    let rental = RentalRecord { machine_type: "x".into(), zone: "z".into(), spot: true, count: 2, machines: None };
     assert!(!s.run(&complete_txn(&old, "wk-2", version, 1)));
-    assert!(!s.run(&hire_txn(&old, "a-1-1", 0, &hire)));
+    assert!(!s.run(&rental_txn(&old, "a-1-1", 0, &rental)));
     // The current leader's request is stored before the call, and once only: names are unique for ever.
     let now = guard(epoch_key(), s.revision);
-    assert!(s.run(&hire_txn(&now, "a-1-1", 0, &hire)) && !s.run(&hire_txn(&now, "a-1-1", 0, &hire)));
+    assert!(s.run(&rental_txn(&now, "a-1-1", 0, &rental)) && !s.run(&rental_txn(&now, "a-1-1", 0, &rental)));
     // Without an answer it stays open, to be repeated under the same name; an answer closes it.
     let version = s.revision;
-    let answered = HireRecord { machines: Some(Vec::new()), ..hire };
-    assert!(s.run(&hire_txn(&now, "a-1-1", version, &answered)) && !s.has(hire_key("a-1-1")));
+    let answered = RentalRecord { machines: Some(Vec::new()), ..rental };
+    assert!(s.run(&rental_txn(&now, "a-1-1", version, &answered)) && !s.has(rental_key("a-1-1")));
 }
 
 #[test]
