--- a/src/api.rs
+++ b/src/api.rs
@@ -5,7 +5,7 @@
 
 use crate::limiter::{Limiter, Request};
 use crate::node::{
-    Abort, Answer, Health, Node, PeerCancelled, PeerView, Poll, Submit, TimedAnswer, WorkerAnswer, WorkerReport,
+    Abort, Answer, Health, Node, PeerCancelled, PeerView, Poll, Submit, WorkerAnswer, WorkerReport, WorkerResponse,
 };
 use crate::peer;
 use crate::protocol::{self as wire, decode, encode, JobSpec, Report, BODY_LIMIT};
@@ -133,14 +133,14 @@
     }
 }
 
-/// The response to a report. One that was decided under a right that has ended since, while the process stood still, is not
+/// The response to a report. One that was decided under an authority that has ended since, while the process stood still, is not
 /// sent: it might start what has been cancelled meanwhile, or renew a lease.
-fn worker_response(timed: TimedAnswer, now: Instant) -> HttpResponse {
+fn worker_response(timed: WorkerResponse, now: Instant) -> HttpResponse {
     let valid = timed.valid_until.is_some_and(|until| now < until);
     match timed.answer {
         WorkerAnswer::Reply(orders) if valid => reply(200, encode(&orders)),
         WorkerAnswer::Elsewhere(report_to) => reply(421, encode(&wire::Redirect { report_to })),
-        WorkerAnswer::Reply(_) | WorkerAnswer::Later => plain(503, "no right to act"),
+        WorkerAnswer::Reply(_) | WorkerAnswer::Later => plain(503, "no authority to act"),
     }
 }
 
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -27,11 +27,11 @@
     let now = Instant::now();
     let decided = |valid_until| {
         let answer = WorkerAnswer::Reply(wire::ReportReply { token: 5, orders: Vec::new() });
-        worker_response(TimedAnswer { answer, valid_until }, now).status().as_u16()
+        worker_response(WorkerResponse { answer, valid_until }, now).status().as_u16()
     };
     assert_eq!(decided(Some(now + Duration::from_millis(1))), 200);
     assert_eq!(decided(Some(now)), 503);
     assert_eq!(decided(None), 503);
-    let elsewhere = TimedAnswer { answer: WorkerAnswer::Elsewhere(None), valid_until: Some(now) };
+    let elsewhere = WorkerResponse { answer: WorkerAnswer::Elsewhere(None), valid_until: Some(now) };
     assert_eq!(worker_response(elsewhere, now).status().as_u16(), 421);
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -282,8 +282,8 @@
         Ok(())
     }
 
-    /// The grace period: how long after its right to start has ended a leader may go on renewing leases, in milliseconds.
-    /// Short enough that a task of a job cancelled elsewhere meanwhile is gone in time. The right to start ends within a
+    /// The grace period: how long after its authority to start has ended a leader may go on renewing leases, in milliseconds.
+    /// Short enough that a task of a job cancelled elsewhere meanwhile is gone in time. The authority to start ends within a
     /// hold of the sending of the last read that the mirror has reached, so that a cancellation the leader does not know
     /// of was confirmed after that; from then on a hold, this period and a worker's lease pass at most.
     pub fn grace_ms(&self) -> u64 {
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,7 +1,7 @@
 //! Leadership of one epoch: who may start tasks, until when, and who may still renew leases.
 //!
 //! Rights follow knowledge. A hold that was renewed says that nobody else leads; it does not say that this node has heard
-//! of the cancellations which the others confirmed. So every right counts from the *sending* of the older of two requests:
+//! of the cancellations which the others confirmed. So every authority counts from the *sending* of the older of two requests:
 //! the last good renewal of the hold, and the last read of the store whose answer this node's mirror has reached.
 //!
 //! Pure: times come in as milliseconds of the steady clock.
@@ -11,9 +11,9 @@
 
 /// Most by which a steady clock may run wrong, with room to spare (the wire promises 0.05%).
 pub const DRIFT: f64 = 0.001;
-/// Kept back from every right that ends at a time.
+/// Kept back from every authority that ends at a time.
 const MARGIN_MS: u64 = 150;
-/// Most reads that wait for the mirror; beyond that the oldest is given up, which only delays a right.
+/// Most reads that wait for the mirror; beyond that the oldest is given up, which only delays an authority.
 const READS: usize = 64;
 
 /// Where a node stands.
@@ -36,7 +36,7 @@
 
 /// What a leader may do at a moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Right {
+pub enum Authority {
     /// Nothing.
     None,
     /// Renew leases and stop tasks, but start nothing: the hold may have ended unseen, or a job may have been cancelled.
@@ -92,7 +92,7 @@
 }
 
 impl Leadership {
-    /// A follower whose holds live `ttl_ms` and who may renew leases `grace_ms` beyond its right to start.
+    /// A follower whose holds live `ttl_ms` and who may renew leases `grace_ms` beyond its authority to start.
     pub fn new(ttl_ms: u64, grace_ms: u64) -> Self {
         Leadership { role: Role::Follower, ttl_ms, grace_ms, renewed: 0, known: 0, mirrored: 0, reads: Vec::new() }
     }
@@ -155,7 +155,7 @@
         });
     }
 
-    /// When the full right ends.
+    /// When the full authority ends.
     fn full_until(&self) -> u64 {
         let full = (self.ttl_ms as f64 * (1.0 - DRIFT)) as u64;
         self.renewed.min(self.known) + full.saturating_sub(MARGIN_MS)
@@ -163,30 +163,30 @@
 
     /// What may be done now.
     ///
-    /// A renewal alone once gave the full right back: after a refusal or an outage, in which open watches wait silently and
+    /// A renewal alone once gave the full authority back: after a refusal or an outage, in which open watches wait silently and
     /// holds have their full time again, a leader started tasks of jobs that others had confirmed as cancelled meanwhile,
     /// and short refusals in a row stretched the time for which such tasks were kept alive.
-    pub fn right(&self, now: u64) -> Right {
+    pub fn authority(&self, now: u64) -> Authority {
         if !matches!(self.role, Role::Leading { .. }) {
-            return Right::None;
+            return Authority::None;
         }
         let until = self.full_until();
         if now < until {
-            Right::Full
+            Authority::Full
         } else if now < until + self.grace_ms {
-            Right::Renew
+            Authority::Renew
         } else {
-            Right::None
+            Authority::None
         }
     }
 
-    /// When the present right ends, unless a renewal or a read that is under way extends it.
-    pub fn right_ends(&self, now: u64) -> u64 {
+    /// When the present authority ends, unless a renewal or a read that is under way extends it.
+    pub fn authority_ends(&self, now: u64) -> u64 {
         let until = self.full_until();
-        match self.right(now) {
-            Right::None => now,
-            Right::Full => until,
-            Right::Renew => until + self.grace_ms,
+        match self.authority(now) {
+            Authority::None => now,
+            Authority::Full => until,
+            Authority::Renew => until + self.grace_ms,
         }
     }
 
--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// Most unregistered machines that are looked at at a time.
-pub(super) const STRANGERS: usize = 1000;
+pub(super) const UNREGISTERED_LIMIT: usize = 1000;
 /// Time between looks at what time alone brings.
 pub(super) const TICK_MS: u64 = 100;
 /// A longer time between two rounds means that the process stood still.
@@ -58,7 +58,7 @@
 pub(super) type Term = (u64, u64, u64);
 
 /// A machine that no rental in the store names.
-pub(super) struct Stranger {
+pub(super) struct UnregisteredMachine {
     pub(super) machine_type: String,
     pub(super) zone: String,
     pub(super) spot: bool,
@@ -78,8 +78,8 @@
     pub(super) fleet: Fleet,
     pub(super) types: Vec<MachineType>,
     pub(super) counts: HashMap<String, (u32, u32)>,
-    pub(super) others: Others,
-    pub(super) hints: Hints,
+    pub(super) peer_health: PeerHealth,
+    pub(super) notices: CancellationNotices,
     pub(super) newest_epoch: u64,
     pub(super) state_ok_at: u64,
     pub(super) no_campaign_until: u64,
@@ -88,7 +88,7 @@
     pub(super) unlogged: bool,
     pub(super) released: HashMap<String, u64>,
     pub(super) gone: HashSet<String>,
-    pub(super) strangers: BTreeMap<String, Stranger>,
+    pub(super) unregistered: BTreeMap<String, UnregisteredMachine>,
     pub(super) rentals: u64,
     pub(super) readers: Vec<oneshot::Sender<u64>>,
     pub(super) pacer: Pacer,
@@ -125,8 +125,8 @@
             fleet: Fleet::default(),
             types: Vec::new(),
             counts: HashMap::new(),
-            others: Others::default(),
-            hints: Hints::default(),
+            peer_health: PeerHealth::default(),
+            notices: CancellationNotices::default(),
             newest_epoch: 0,
             state_ok_at: 0,
             no_campaign_until: 0,
@@ -134,7 +134,7 @@
             unlogged: false,
             released: HashMap::new(),
             gone: HashSet::new(),
-            strangers: BTreeMap::new(),
+            unregistered: BTreeMap::new(),
             rentals: 0,
             readers: Vec::new(),
             pacer: Pacer::new(user_changes),
@@ -165,20 +165,20 @@
         }
     }
 
-    pub(super) fn right(&self) -> Right {
-        self.lead.right(self.now())
+    pub(super) fn authority(&self) -> Authority {
+        self.lead.authority(self.now())
     }
 
-    /// Whether what was decided in a term may still be sent. Asked again right before each send: the process may have stood
+    /// Whether what was decided in a term may still be sent. Asked again authority before each send: the process may have stood
     /// still since the decision, while a cancellation was confirmed or another node began to lead.
     pub(super) fn may_send(&self, term: Option<Term>) -> bool {
-        term.is_some() && self.term() == term && self.right() == Right::Full
+        term.is_some() && self.term() == term && self.authority() == Authority::Full
     }
 
     /// The moment at which an answer to a worker that is decided now becomes void.
     pub(super) fn answer_valid_until(&self) -> Option<Instant> {
         let now = self.now();
-        let left_ms = self.lead.right_ends(now).saturating_sub(now);
+        let left_ms = self.lead.authority_ends(now).saturating_sub(now);
         Instant::now().checked_add(Duration::from_millis(left_ms))
     }
 
@@ -194,7 +194,7 @@
     pub(super) fn lead_event(&mut self, event: Event) {
         if self.lead.apply(event) && self.term().is_none() {
             self.scheduler = None;
-            self.strangers.clear();
+            self.unregistered.clear();
             self.gone.clear();
         }
     }
@@ -218,8 +218,8 @@
         self.mirrored(seen)
     }
 
-    fn mirrored(&mut self, seen: Vec<Seen>) -> bool {
-        // What has changed is in the scheduler before any right follows from it.
+    fn mirrored(&mut self, seen: Vec<MirrorChange>) -> bool {
+        // What has changed is in the scheduler before any authority follows from it.
         let vacant = self.seen(seen);
         let revision = self.mirror.revision;
         self.lead_event(Event::Mirrored(revision));
@@ -227,13 +227,13 @@
     }
 
     /// Takes in what has changed in the mirror. True if the leader's key went away.
-    fn seen(&mut self, seen: Vec<Seen>) -> bool {
+    fn seen(&mut self, seen: Vec<MirrorChange>) -> bool {
         let mut vacant = false;
         let wall = self.wall();
         let now = self.now();
         for s in seen {
             match s {
-                Seen::Job(id) => {
+                MirrorChange::Job(id) => {
                     let (Some(scheduler), Some(v)) = (self.scheduler.as_mut(), self.mirror.live.get(&id)) else {
                         continue;
                     };
@@ -245,15 +245,15 @@
                     let done = done_rows(&self.mirror, &id);
                     scheduler.add_job(v.record.clone(), v.version, &done, wall, false);
                 }
-                Seen::JobGone(id) => {
+                MirrorChange::JobGone(id) => {
                     self.counts.remove(&id);
                     if let Some(scheduler) = self.scheduler.as_mut() {
                         scheduler.at(now);
                         scheduler.drop_job(&id);
                     }
                 }
-                Seen::LeaderGone => vacant = true,
-                Seen::Catalogue => {
+                MirrorChange::LeaderGone => vacant = true,
+                MirrorChange::Catalogue => {
                     if let Some(c) = &self.mirror.catalogue {
                         let types = c.record.clone();
                         self.take_types(&types);
@@ -309,7 +309,7 @@
     }
 
     pub(super) fn own_view(&self) -> View {
-        let counts = self.scheduler.as_ref().filter(|_| self.right() != Right::None).map(|p| p.all_counts());
+        let counts = self.scheduler.as_ref().filter(|_| self.authority() != Authority::None).map(|p| p.all_counts());
         let (node, revision) = (self.me.node.clone(), self.mirror.revision);
         let leader_changes_per_s = self.term().map(|_| self.own_changes.per_s(self.now()));
         View { node, epoch: self.newest_epoch, revision, state_ok: self.state_ok(), leader_changes_per_s, counts }
@@ -333,8 +333,8 @@
         if let Some(counts) = v.counts.filter(|_| self.scheduler.is_none() && v.epoch >= self.newest_epoch) {
             self.counts = counts.into_iter().map(|(id, done, running)| (id, (done, running))).collect();
         }
-        self.hints.acknowledged(&v.node, v.revision);
-        self.others.told(v.node, v.state_ok, now);
+        self.notices.acknowledged(&v.node, v.revision);
+        self.peer_health.told(v.node, v.state_ok, now);
     }
 
     /// Adjusts the pace of users' changes to what the leader leaves.
@@ -373,7 +373,7 @@
         self.mirror.revision >= revision
             && (leader.record == self.me
                 || leader.version > revision
-                || self.hints.known_by(&leader.record.node) >= revision)
+                || self.notices.known_by(&leader.record.node) >= revision)
     }
 
     /// Notes that this node runs. After it stood still, or had no processor, what it has not heard meanwhile says nothing of
@@ -385,7 +385,7 @@
             let pause = gap - TICK_MS;
             tracing::info!(pause, "stood still");
             self.state_ok_at = (self.state_ok_at + pause).min(now);
-            self.others.stood_still(pause, now);
+            self.peer_health.stood_still(pause, now);
         }
         self.passed_at = now;
     }
@@ -393,34 +393,35 @@
     /// Whether this node should get users: it is loaded, and if the state service does not answer it, then not it alone.
     /// A node that had lost the service and the others kept its users, and with its few connections was given more.
     pub(super) fn healthy(&self) -> bool {
-        let alone = !self.settings.platform.peers.is_empty() && self.others.alone(self.now());
+        let alone = !self.settings.platform.peers.is_empty() && self.peer_health.alone(self.now());
         self.mirror.loaded && !self.types.is_empty() && (self.state_ok() || !alone)
     }
 
     pub(super) fn report(&mut self, r: &Report) -> WorkerAnswer {
         let now = self.now();
-        let right = self.right();
+        let authority = self.authority();
         let leader = self.mirror.leader.as_ref().map(|l| l.record.node.clone());
         let elsewhere = |l: Option<String>, me: &str| match l.filter(|l| l != me) {
             Some(l) => WorkerAnswer::Elsewhere(Some(l)),
             None => WorkerAnswer::Later,
         };
-        if right == Right::None {
+        if authority == Authority::None {
             return elsewhere(leader, &self.me.node);
         }
         let Some(scheduler) = self.scheduler.as_mut() else { return WorkerAnswer::Later };
         scheduler.at(now);
-        match scheduler.report(r, true, right == Right::Full) {
+        match scheduler.report(r, true, authority == Authority::Full) {
             Taken::Reply(reply) => WorkerAnswer::Reply(reply),
             Taken::Superseded => {
                 self.lead_event(Event::Ended);
                 WorkerAnswer::Later
             }
-            Taken::Stranger => {
-                if !self.released.contains_key(&r.machine) && self.strangers.len() < STRANGERS {
+            Taken::UnregisteredMachine => {
+                if !self.released.contains_key(&r.machine) && self.unregistered.len() < UNREGISTERED_LIMIT {
                     let (machine_type, zone) = (r.machine_type.clone(), r.zone.clone());
                     let ask = Some((r.address.clone(), r.session));
-                    self.strangers.insert(r.machine.clone(), Stranger { machine_type, zone, spot: r.spot, ask });
+                    self.unregistered
+                        .insert(r.machine.clone(), UnregisteredMachine { machine_type, zone, spot: r.spot, ask });
                 }
                 WorkerAnswer::Later
             }
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -24,14 +24,14 @@
                 match renewed {
                     Ok(()) => {
                         controller.lead_event(Event::Renewed(sent));
-                        if controller.scheduler.is_some() && controller.right() == Right::None {
+                        if controller.scheduler.is_some() && controller.authority() == Authority::None {
                             tracing::info!("does not catch up with the store, gives leadership up");
                             drop(controller);
                             self.give_up();
                         }
                     }
                     Err(StoreError::Gone) => controller.lead_event(Event::Ended),
-                    Err(_) if controller.right() == Right::None => controller.lead_event(Event::Ended),
+                    Err(_) if controller.authority() == Authority::None => controller.lead_event(Event::Ended),
                     Err(_) => {}
                 }
             } else if free {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -8,13 +8,15 @@
 mod tests;
 mod user_requests;
 
-use self::controller::{over_view, Clock, ControllerState, Pass, Stranger, FLUSH_MS, PASS_MS, STRANGERS, TICK_MS};
+use self::controller::{
+    over_view, Clock, ControllerState, Pass, UnregisteredMachine, FLUSH_MS, PASS_MS, TICK_MS, UNREGISTERED_LIMIT,
+};
 use crate::cloud::{CloudClient, Rented, RELEASE_MOST};
 use crate::config::Settings;
 use crate::fleet::{Fleet, Wish};
-use crate::leader::{Event, Leadership, Right};
+use crate::leader::{Authority, Event, Leadership};
 use crate::pacer::{users_share, Pacer};
-use crate::peer::{self, Cancelled, Hints, Others, View};
+use crate::peer::{self, CancellationNotices, Cancelled, PeerHealth, View};
 use crate::permit::while_permitted;
 use crate::protocol::{
     self as wire, JobSpec, JobState, JobView, Kind, MachineType, RentRequest, Report, ReportReply, Txn,
@@ -22,7 +24,7 @@
 use crate::rate::{RateMeter, TokenBucket};
 use crate::scheduler::{Direct, MachineState, Offer, Origin, Params, Scheduler, Taken};
 use crate::store::{
-    self, guard, put, Decided, LeaderRecord, LiveRecord, Mirror, OverRecord, RentalRecord, Seen, StoreClient,
+    self, guard, put, Decided, LeaderRecord, LiveRecord, Mirror, MirrorChange, OverRecord, RentalRecord, StoreClient,
     StoreError,
 };
 use crate::worker;
@@ -53,7 +55,7 @@
 pub struct Health;
 /// A worker reports.
 #[derive(Message)]
-#[rtype(result = "TimedAnswer")]
+#[rtype(result = "WorkerResponse")]
 pub struct WorkerReport(pub Report);
 /// Another controller tells its view.
 #[derive(Message)]
@@ -90,10 +92,10 @@
 
 /// What a worker is told, and until when that may be sent.
 #[derive(Debug)]
-pub struct TimedAnswer {
+pub struct WorkerResponse {
     /// The answer.
     pub answer: WorkerAnswer,
-    /// When the right under which it was decided ends.
+    /// When the authority under which it was decided ends.
     pub valid_until: Option<Instant>,
 }
 
@@ -110,7 +112,7 @@
     revision: Rc<watch::Sender<u64>>,
     campaign: Rc<Notify>,
     reading: Rc<Notify>,
-    /// Others have to be told of a cancellation.
+    /// PeerHealth have to be told of a cancellation.
     cancelled: Rc<Notify>,
     /// Something may have to be placed or sent at once.
     urgent: Rc<Notify>,
@@ -273,13 +275,13 @@
             for p in &peers {
                 let (told, revision) = {
                     let controller = self.controller.borrow();
-                    let Some((jobs, revision)) = controller.hints.unknown_to(&p.node) else { continue };
+                    let Some((jobs, revision)) = controller.notices.unknown_to(&p.node) else { continue };
                     (Cancelled { jobs }, revision)
                 };
                 let (me, node, addr) = (self.clone(), p.node.clone(), p.peer_addr);
                 actix::spawn(async move {
                     if let Some(mirrored) = peer::tell_cancelled(&me.http, addr, &told).await {
-                        me.controller.borrow_mut().hints.acknowledged(&node, revision.max(mirrored));
+                        me.controller.borrow_mut().notices.acknowledged(&node, revision.max(mirrored));
                     }
                 });
             }
@@ -302,7 +304,7 @@
                     let now = controller.now();
                     match answer {
                         Some(v) => controller.take_view(v),
-                        None if from.elapsed().as_millis() < REFUSED_MS => controller.others.refused(now),
+                        None if from.elapsed().as_millis() < REFUSED_MS => controller.peer_health.refused(now),
                         None => {}
                     }
                 });
@@ -391,7 +393,7 @@
         self.shared.urgent.notify_one();
         let mut controller = self.shared.controller.borrow_mut();
         let answer = controller.report(&m.0);
-        MessageResult(TimedAnswer { answer, valid_until: controller.answer_valid_until() })
+        MessageResult(WorkerResponse { answer, valid_until: controller.answer_valid_until() })
     }
 }
 
--- a/src/node/persistence.rs
+++ b/src/node/persistence.rs
@@ -14,7 +14,7 @@
     /// A leader's round: what time brings, placing, and at most `room` messages, of them at most `probes` empty ones.
     pub(super) fn pass(&mut self, room: usize, probes: usize) -> Pass {
         self.notice_pause();
-        let (now, right) = (self.now(), self.right());
+        let (now, authority) = (self.now(), self.authority());
         let (direct, alone) = (self.settings.operator.direct_starts, self.settings.platform.peers.is_empty());
         let Some(scheduler) = self.scheduler.as_mut() else { return Pass::Nothing };
         scheduler.at(now);
@@ -22,7 +22,7 @@
             self.due.tick = now + TICK_MS;
             scheduler.tick(now);
         }
-        if right != Right::Full {
+        if authority != Authority::Full {
             return Pass::Nothing;
         }
         if now >= self.due.reconsider {
@@ -57,9 +57,9 @@
         }
     }
 
-    /// The next write of the start log, while there is a right to start.
+    /// The next write of the start log, while there is an authority to start.
     pub(super) fn next_append(&mut self) -> Option<(Append, Term, Txn)> {
-        let term = self.term().filter(|_| self.right() == Right::Full)?;
+        let term = self.term().filter(|_| self.authority() == Authority::Full)?;
         let s = &self.settings.platform.deployment.state;
         // Four conditions for each change are allowed, two are taken, and 100 bytes are enough for one.
         let most = (4 * s.txn_ops - 2).min(100);
@@ -97,7 +97,8 @@
 
     /// The guard of the leader's writes, while it may make any.
     pub(super) fn write_guard(&self) -> Option<wire::Guard> {
-        let (_, version, _) = self.term().filter(|_| self.right() == Right::Full && self.scheduler.is_some())?;
+        let (_, version, _) =
+            self.term().filter(|_| self.authority() == Authority::Full && self.scheduler.is_some())?;
         Some(guard(store::epoch_key(), version))
     }
 
--- a/src/node/provisioning.rs
+++ b/src/node/provisioning.rs
@@ -29,7 +29,9 @@
             let (leads, typeless) = {
                 let controller = self.controller.borrow();
                 (
-                    controller.term().is_some() && controller.right() == Right::Full && controller.scheduler.is_some(),
+                    controller.term().is_some()
+                        && controller.authority() == Authority::Full
+                        && controller.scheduler.is_some(),
                     controller.types.is_empty(),
                 )
             };
@@ -123,7 +125,7 @@
         let mut controller = self.controller.borrow_mut();
         // The calls before this one may have taken seconds: a leader cut off meanwhile once gave up machines that its
         // heir was using.
-        if controller.right() != Right::Full {
+        if controller.authority() != Authority::Full {
             return Vec::new();
         }
         let now = controller.now();
@@ -165,7 +167,7 @@
             return;
         }
         self.await_cloud_call().await;
-        // Asked again, since the right to release may have ended during the wait.
+        // Asked again, since the authority to release may have ended during the wait.
         let names = self.leaving();
         if names.is_empty() {
             return;
@@ -194,7 +196,7 @@
     fn leaving(&self) -> Vec<String> {
         let controller = self.controller.borrow();
         match controller.scheduler.as_ref() {
-            Some(scheduler) if controller.right() == Right::Full => scheduler.leaving(RELEASE_MOST),
+            Some(scheduler) if controller.authority() == Authority::Full => scheduler.leaving(RELEASE_MOST),
             _ => Vec::new(),
         }
     }
@@ -208,21 +210,25 @@
         {
             let mut controller = self.controller.borrow_mut();
             while some.len() < room {
-                let Some(next) = controller.strangers.pop_first() else { break };
+                let Some(next) = controller.unregistered.pop_first() else { break };
                 some.push(next);
             }
         }
-        for (machine, stranger) in some {
+        for (machine, unknown) in some {
             let (me, flying) = (self.clone(), flying.clone());
             flying.set(flying.get() + 1);
             actix::spawn(async move {
-                me.take_in(machine, stranger).await;
+                me.take_in(machine, unknown).await;
                 flying.set(flying.get() - 1);
             });
         }
     }
 
-    async fn take_in(&self, machine: String, Stranger { machine_type, zone, spot, ask }: Stranger) {
+    async fn take_in(
+        &self,
+        machine: String,
+        UnregisteredMachine { machine_type, zone, spot, ask }: UnregisteredMachine,
+    ) {
         let (token, epoch) = {
             let controller = self.controller.borrow();
             let Some((number, version, _)) = controller.term() else { return };
@@ -292,10 +298,10 @@
                 Some(i) => scheduler.listed(i, m.state == "running", &m.address, (m.age_s * 1000.0) as u64),
                 None if !settled
                     || controller.released.contains_key(&m.id)
-                    || controller.strangers.len() > STRANGERS => {}
+                    || controller.unregistered.len() > UNREGISTERED_LIMIT => {}
                 None => {
                     let (machine_type, zone, spot) = (m.machine_type, m.zone, m.spot);
-                    controller.strangers.insert(m.id, Stranger { machine_type, zone, spot, ask: None });
+                    controller.unregistered.insert(m.id, UnregisteredMachine { machine_type, zone, spot, ask: None });
                 }
             }
         }
@@ -342,7 +348,7 @@
     /// Calls the cloud for a stored request. True if its fate is known and stored.
     pub(super) async fn call_rental(&self, name: &str, mut record: RentalRecord, version: u64) -> bool {
         let Some((_, epoch, _)) = self.controller.borrow().term() else { return false };
-        if self.controller.borrow().right() != Right::Full {
+        if self.controller.borrow().authority() != Authority::Full {
             return false;
         }
         let request = RentRequest {
--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -156,7 +156,7 @@
     }
 }
 
-/// A leader stands still between a decision and its sending, for longer and for less than its right lasts, while users call
+/// A leader stands still between a decision and its sending, for longer and for less than its authority lasts, while users call
 /// the job off through another node.
 #[test]
 fn a_leader_stands_still_between_a_decision_and_its_sending() {
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -3,7 +3,7 @@
 //! only carries out what they ask for, as the loops of `node` do, and checks the rules after each step.
 
 use crate::config::Settings;
-use crate::leader::{Event as LeadEvent, Right, Role};
+use crate::leader::{Authority, Event as LeadEvent, Role};
 use crate::node::controller::{Clock, ControllerState, Pass, Term};
 use crate::node::WorkerAnswer;
 use crate::protocol::{
@@ -343,10 +343,11 @@
         }
     }
 
-    /// The controller with the right to start.
+    /// The controller with the authority to start.
     pub fn leader(&self) -> Option<usize> {
-        let full =
-            |c: &Controller| c.controller.as_ref().is_some_and(|c| c.scheduler.is_some() && c.right() == Right::Full);
+        let full = |c: &Controller| {
+            c.controller.as_ref().is_some_and(|c| c.scheduler.is_some() && c.authority() == Authority::Full)
+        };
         self.nodes.iter().position(full)
     }
 
@@ -406,7 +407,7 @@
         let Decided::Applied(revision) = self.service.decide(&store::abort_txn(id, &live)) else { return false };
         let tasks = live.record.spec.tasks;
         controller.cancelled(id, tasks);
-        controller.hints.add(id, tasks, revision);
+        controller.notices.add(id, tasks, revision);
         self.jobs.get_mut(id).unwrap().answering = Some((node, revision, now));
         true
     }
@@ -591,12 +592,12 @@
                     *end = now + *ttl;
                     controller.lead_event(LeadEvent::Read { sent: now, revision });
                     controller.lead_event(LeadEvent::Renewed(now));
-                    if controller.scheduler.is_some() && controller.right() == Right::None {
+                    if controller.scheduler.is_some() && controller.authority() == Authority::None {
                         self.give_up(n);
                     }
                 }
                 (Ok(()), None) => controller.lead_event(LeadEvent::Ended),
-                _ if controller.right() == Right::None => controller.lead_event(LeadEvent::Ended),
+                _ if controller.authority() == Authority::None => controller.lead_event(LeadEvent::Ended),
                 _ => {}
             }
             return;
@@ -810,11 +811,11 @@
                 continue;
             }
             let name = format!("drover-{b}");
-            let Some(hint) = self.nodes[a].controller.as_ref().map(|c| c.hints.unknown_to(&name)) else { continue };
+            let Some(hint) = self.nodes[a].controller.as_ref().map(|c| c.notices.unknown_to(&name)) else { continue };
             let Some(other) = self.nodes[b].controller.as_mut() else { continue };
             if let Some((jobs, revision)) = hint {
                 let mirrored = other.take_cancelled(&crate::peer::Cancelled { jobs });
-                self.nodes[a].controller.as_mut().unwrap().hints.acknowledged(&name, revision.max(mirrored));
+                self.nodes[a].controller.as_mut().unwrap().notices.acknowledged(&name, revision.max(mirrored));
             }
             if now % 900 < STEP {
                 let view = self.nodes[b].controller.as_ref().unwrap().own_view();
@@ -921,10 +922,10 @@
 
     /// A task starts on a machine.
     fn began(&mut self, name: &str, task: &str) {
-        let others: Vec<String> =
+        let elsewhere: Vec<String> =
             self.on_machines().filter(|(m, t, _)| *t == task && *m != name).map(|(m, ..)| m.to_string()).collect();
-        if !others.is_empty() {
-            self.breaks(format!("ran_twice: {task} starts on {name}, is on {others:?}"));
+        if !elsewhere.is_empty() {
+            self.breaks(format!("ran_twice: {task} starts on {name}, is on {elsewhere:?}"));
         }
         let (id, _) = split_task(task).unwrap();
         let job = &self.jobs[id];
--- a/src/node/user_requests.rs
+++ b/src/node/user_requests.rs
@@ -134,7 +134,7 @@
         {
             let mut controller = self.controller.borrow_mut();
             controller.cancelled(id, over.tasks);
-            controller.hints.add(id, over.tasks, revision);
+            controller.notices.add(id, over.tasks, revision);
         }
         self.cancelled.notify_one();
         self.stops_known(revision).await;
@@ -142,7 +142,7 @@
     }
 
     /// Waits until no start of a job can be sent any more whose cancellation is durable at a revision: until the leader
-    /// has been told, mostly milliseconds, or its right to start has surely ended without a word.
+    /// has been told, mostly milliseconds, or its authority to start has surely ended without a word.
     async fn stops_known(&self, revision: u64) {
         let (begun, most) = {
             let controller = self.controller.borrow();
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -43,14 +43,14 @@
 
 /// What this node has to tell of its users' cancellations, and which of the others know.
 #[derive(Debug, Default)]
-pub struct Hints {
+pub struct CancellationNotices {
     /// Job, tasks, revision of the cancellation, the oldest first.
     jobs: VecDeque<(String, u32, u64)>,
     /// Up to which revision each of the others knows.
     known: HashMap<String, u64>,
 }
 
-impl Hints {
+impl CancellationNotices {
     /// A cancellation became durable at a revision.
     pub fn add(&mut self, job: &str, tasks: u32, revision: u64) {
         self.jobs.push_back((job.to_string(), tasks, revision));
@@ -86,13 +86,13 @@
 
 /// What a node knows of the others; all times in milliseconds.
 #[derive(Debug, Default)]
-pub struct Others {
+pub struct PeerHealth {
     /// When each last told its view, and whether the state service answered it.
     told: HashMap<String, (u64, bool)>,
     reached_at: u64,
 }
 
-impl Others {
+impl PeerHealth {
     /// Another has told its view.
     pub fn told(&mut self, node: String, state_ok: bool, now: u64) {
         self.told.insert(node, (now, state_ok));
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_node_without_the_store_knows_whether_it_is_alone_with_that() {
-    let mut o = Others::default();
+    let mut o = PeerHealth::default();
     // An outage: the others are in the same case, or their connections are refused.
     o.told("b".into(), false, 1000);
     assert!(!o.alone(5000));
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_cancellation_is_told_until_the_other_knows() {
-    let mut h = Hints::default();
+    let mut h = CancellationNotices::default();
     assert!(h.unknown_to("b").is_none());
     h.add("wk-1", 3, 40);
     h.add("wk-2", 5, 42);
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_node_that_stood_still_does_not_take_itself_for_cut_off() {
-    let mut o = Others::default();
+    let mut o = PeerHealth::default();
     o.told("b".into(), false, 1000);
     // Silent for 30 s, through no fault of the others.
     assert!(o.alone(31_000));
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -1,6 +1,6 @@
 //! Calls that go on only while they are permitted.
 //!
-//! A process may stand still for seconds while its clocks run on, at any point: between the check of a right and the
+//! A process may stand still for seconds while its clocks run on, at any point: between the check of an authority and the
 //! connection, or between the connection and the request. What was permitted before it is not permitted after it, so the
 //! check is repeated before each step of the call.
 
--- a/src/scheduler/boot_times/tests.rs
+++ b/src/scheduler/boot_times/tests.rs
@@ -44,7 +44,7 @@
     assert_eq!(boots.give_up_ms(OFFER, NOMINAL) / 1000, 120);
     assert!(boots.gave_up(OFFER, NOMINAL, 6000, 126_000));
     assert_eq!(boots.give_up_ms(OFFER, NOMINAL) / 1000, 240);
-    // Others of that request tell nothing new.
+    // PeerHealth of that request tell nothing new.
     assert!(boots.gave_up(OFFER, NOMINAL, 6000, 127_000));
     assert_eq!(boots.give_up_ms(OFFER, NOMINAL) / 1000, 240);
     (0..9).for_each(|n| assert!(boots.gave_up(OFFER, NOMINAL, 200_000 * (n + 1), 200_000 * (n + 2))));
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,6 +1,6 @@
 //! Looking ahead: who may win room from others, what finds no room at all, and which machines are more than is needed.
 
-use super::scheduling_pass::Vain;
+use super::scheduling_pass::UnplaceableRequests;
 use super::*;
 
 /// How much of a machine is used, for the fleet.
@@ -102,7 +102,7 @@
         let queue = self.queue();
         let least = queue.iter().map(|j| self.job(*j).need).reduce(|a, b| std::array::from_fn(|r| a[r].min(b[r])));
         let least = least.unwrap_or([1; 3]);
-        let (mut needs, mut vain, mut asked) = (Vec::new(), Vain::default(), Vec::<Asked>::new());
+        let (mut needs, mut unplaceable, mut asked) = (Vec::new(), UnplaceableRequests::default(), Vec::<Asked>::new());
         for j in queue {
             let job = self.job(j);
             let Some(team) = job.team else { continue };
@@ -114,13 +114,13 @@
             let taken = left as u64;
             team_left[team] = std::array::from_fn(|r| team_left[team][r].saturating_sub(job.need[r] * taken));
             let mut zones: HashMap<usize, u32> = HashMap::new();
-            if !vain.covers(job) {
+            if !unplaceable.covers(job) {
                 left = room.take(self, job, left, &mut zones);
                 left = later.take(self, job, left, &mut zones);
                 room.trim(&least);
                 later.trim(&least);
                 if left > 0 && !(job.record.spec.scatter || job.record.spec.together) {
-                    vain.add(job);
+                    unplaceable.add(job);
                 }
             }
             if left == 0 {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -450,7 +450,7 @@
     /// The worker has seen a later epoch.
     Superseded,
     /// No rental names the machine.
-    Stranger,
+    UnregisteredMachine,
 }
 
 /// The state of a scheduler in one epoch.
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -16,12 +16,12 @@
 
 impl Scheduler {
     /// Takes in a report. `live`: it arrived as a report, so the answer renews the lease; otherwise it is the answer to
-    /// a direct order. `start`: the node has the right to start tasks.
+    /// a direct order. `start`: the node has the authority to start tasks.
     pub fn report(&mut self, r: &Report, live: bool, start: bool) -> Taken {
         if r.token >> TOKEN_BITS > self.epoch {
             return Taken::Superseded;
         }
-        let Some(&i) = self.machine_index.get(&r.machine) else { return Taken::Stranger };
+        let Some(&i) = self.machine_index.get(&r.machine) else { return Taken::UnregisteredMachine };
         let now = self.now;
         let token = self.token(self.machine(i));
         let m = self.machine_mut(i);
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -14,7 +14,7 @@
 /// What was asked for in vain in a pass. Room only shrinks in a pass, so whoever asks for as much or more, with as little
 /// choice or less, need not look again.
 #[derive(Default)]
-pub(super) struct Vain(Vec<Asked>);
+pub(super) struct UnplaceableRequests(Vec<Asked>);
 
 struct Asked {
     need: Amounts,
@@ -23,7 +23,7 @@
     zone: Option<usize>,
 }
 
-impl Vain {
+impl UnplaceableRequests {
     pub(super) fn covers(&self, j: &Job) -> bool {
         self.0.iter().any(|a| {
             (0..3).all(|r| j.need[r] >= a.need[r])
@@ -48,7 +48,7 @@
     mean: [f64; CLASSES],
     /// Places on full holders that tasks wait for already.
     waited: HashMap<usize, u32>,
-    vain: Vain,
+    unplaceable: UnplaceableRequests,
 }
 
 impl Scheduler {
@@ -153,7 +153,12 @@
         }
         let least = queue.iter().map(|j| self.job(*j).need).reduce(|a, b| std::array::from_fn(|r| a[r].min(b[r])));
         let least = least.unwrap_or([1; 3]);
-        let mut pass = Pass { open: Vec::new(), mean: [1.0; CLASSES], waited: HashMap::new(), vain: Vain::default() };
+        let mut pass = Pass {
+            open: Vec::new(),
+            mean: [1.0; CLASSES],
+            waited: HashMap::new(),
+            unplaceable: UnplaceableRequests::default(),
+        };
         let mut sums = [(0.0, 0u32); CLASSES];
         for (i, m) in self.machines() {
             if !self.open(m) {
@@ -176,7 +181,7 @@
             if pass.open.is_empty() && !production {
                 break;
             }
-            if !pass.open.is_empty() && !pass.vain.covers(self.job(j)) {
+            if !pass.open.is_empty() && !pass.unplaceable.covers(self.job(j)) {
                 self.place_job(j, &mut pass);
             }
             if self.job(j).pending() == 0 {
@@ -269,7 +274,7 @@
         }
         let mut candidates = self.candidates(job, pass);
         if candidates.is_empty() {
-            pass.vain.add(job);
+            pass.unplaceable.add(job);
             return;
         }
         if job.record.spec.together && job.zone_use.values().all(|n| *n == 0) {
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -233,7 +233,7 @@
             if self.job(j).ended {
                 self.step(j, t, Step::Stop { save: false });
             }
-            // An earlier leader may have renewed its lease until its right to do so ended.
+            // An earlier leader may have renewed its lease until its authority to do so ended.
             let until = self.now + self.p.grace_ms + self.p.grace_ms / 500;
             let m = self.machine_mut(l.machine);
             m.contacted = true;
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -412,8 +412,8 @@
         "renewing in an outage starts nothing"
     );
     assert_eq!(starts(&w.tell("n-1", &[])).len(), 1);
-    let stranger = w.report("n-77", w.token(), &[]);
-    assert_eq!(w.scheduler.report(&stranger, true, true), Taken::Stranger);
+    let unregistered = w.report("n-77", w.token(), &[]);
+    assert_eq!(w.scheduler.report(&unregistered, true, true), Taken::UnregisteredMachine);
 }
 
 #[test]
--- a/src/store.rs
+++ b/src/store.rs
@@ -143,7 +143,7 @@
 
 /// What a change of the mirror means to its node.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Seen {
+pub enum MirrorChange {
     /// A job appeared.
     Job(String),
     /// A job is no longer unfinished.
@@ -235,7 +235,7 @@
 
 impl Mirror {
     /// Takes in one key read in a listing or a watch; older versions than the known one are ignored.
-    pub fn put(&mut self, key: &str, value: &Value, version: u64, seen: &mut Vec<Seen>) {
+    pub fn put(&mut self, key: &str, value: &Value, version: u64, seen: &mut Vec<MirrorChange>) {
         fn newer<T>(old: Option<&Versioned<T>>, version: u64) -> bool {
             old.is_none_or(|o| o.version < version)
         }
@@ -246,7 +246,7 @@
                 if newer(self.live.get(name), version) {
                     self.absent.entries.remove(name);
                     self.live.insert(name.to_string(), Versioned { record, version });
-                    seen.push(Seen::Job(name.to_string()));
+                    seen.push(MirrorChange::Job(name.to_string()));
                 }
             }),
             "stopping" => record::<LiveRecord>(value).map(|record| {
@@ -285,7 +285,7 @@
             "catalogue" => record::<Vec<MachineType>>(value).map(|record| {
                 if newer(self.catalogue.as_ref(), version) {
                     self.catalogue = Some(Versioned { record, version });
-                    seen.push(Seen::Catalogue);
+                    seen.push(MirrorChange::Catalogue);
                 }
             }),
             _ => None,
@@ -302,13 +302,13 @@
         }
     }
 
-    fn delete(&mut self, key: &str, version: u64, seen: &mut Vec<Seen>) {
+    fn delete(&mut self, key: &str, version: u64, seen: &mut Vec<MirrorChange>) {
         let Some(rest) = key.strip_prefix(ROOT) else { return };
         let (family, name) = rest.split_once('/').unwrap_or((rest, ""));
         match family {
             "live" if self.live.get(name).is_some_and(|v| v.version < version) => {
                 self.live.remove(name);
-                seen.push(Seen::JobGone(name.to_string()));
+                seen.push(MirrorChange::JobGone(name.to_string()));
             }
             "stopping" if self.stopping.get(name).is_some_and(|v| v.version < version) => {
                 self.stopping.remove(name);
@@ -332,14 +332,14 @@
             }
             "leader" if self.leader.as_ref().is_some_and(|v| v.version < version) => {
                 self.leader = None;
-                seen.push(Seen::LeaderGone);
+                seen.push(MirrorChange::LeaderGone);
             }
             _ => {}
         }
     }
 
     /// Takes in the changes of a watch.
-    pub fn apply(&mut self, revision: u64, events: &[Event]) -> Vec<Seen> {
+    pub fn apply(&mut self, revision: u64, events: &[Event]) -> Vec<MirrorChange> {
         let mut seen = Vec::new();
         for event in events {
             match event {
@@ -382,18 +382,18 @@
     }
 
     /// Replaces the mirror by a fresh one, telling what differs.
-    pub fn replace(&mut self, mut fresh: Mirror) -> Vec<Seen> {
+    pub fn replace(&mut self, mut fresh: Mirror) -> Vec<MirrorChange> {
         let mut seen = Vec::new();
         for job in self.live.keys().filter(|j| !fresh.live.contains_key(*j)) {
-            seen.push(Seen::JobGone(job.clone()));
+            seen.push(MirrorChange::JobGone(job.clone()));
         }
         for job in fresh.live.keys().filter(|j| !self.live.contains_key(*j)) {
-            seen.push(Seen::Job(job.clone()));
+            seen.push(MirrorChange::Job(job.clone()));
         }
         if self.leader.is_some() && fresh.leader.is_none() {
-            seen.push(Seen::LeaderGone);
+            seen.push(MirrorChange::LeaderGone);
         }
-        seen.push(Seen::Catalogue);
+        seen.push(MirrorChange::Catalogue);
         // What was absent may have come and gone unseen; final states never change.
         for job in std::mem::take(&mut self.over.order) {
             if let Some(r) = self.over.entries.remove(&job) {
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -10,11 +10,11 @@
 #[test]
 fn a_late_page_never_undoes_a_newer_change() {
     let mut m = Mirror::default();
-    assert_eq!(m.apply(4, &[live("wk-1", 4)]), vec![Seen::Job("wk-1".into())]);
+    assert_eq!(m.apply(4, &[live("wk-1", 4)]), vec![MirrorChange::Job("wk-1".into())]);
     // A delete older than the version at hand belongs to an earlier life of the key.
     assert!(m.apply(4, &[Event::Delete { key: live_key("wk-1"), version: 3 }]).is_empty());
     let gone = m.apply(6, &[Event::Delete { key: live_key("wk-1"), version: 6 }]);
-    assert_eq!(gone, vec![Seen::JobGone("wk-1".into())]);
+    assert_eq!(gone, vec![MirrorChange::JobGone("wk-1".into())]);
     assert_eq!(m.revision, 6);
 }
 
@@ -27,7 +27,10 @@
     fresh.apply(9, &[live("wk-2", 4), live("wk-3", 8)]);
     let mut seen = m.replace(fresh);
     seen.sort_by_key(|s| format!("{s:?}"));
-    assert_eq!(seen, vec![Seen::Catalogue, Seen::Job("wk-3".into()), Seen::JobGone("wk-1".into())]);
+    assert_eq!(
+        seen,
+        vec![MirrorChange::Catalogue, MirrorChange::Job("wk-3".into()), MirrorChange::JobGone("wk-1".into())]
+    );
     assert!(m.over("wk-9").unwrap().cancelled);
 }
 
