--- a/src/api.rs
+++ b/src/api.rs
@@ -74,7 +74,7 @@
     match a {
         Answer::Job(status, view) => reply(status, encode(&view)),
         Answer::Unknown => plain(404, "no such job"),
-        Answer::Never(why) => plain(422, why),
+        Answer::Never(reason) => plain(422, reason),
         Answer::Later(s) => {
             // On its next connection the user may find a node that can: one that had lost the store kept its users.
             let mut r = later(503, "try again", s);
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -3,12 +3,12 @@
 #[cfg(test)]
 mod tests;
 
-use crate::scheduler::{Load, MachineState, Need, Offer, Scheduler};
+use crate::scheduler::{MachineState, Offer, Scheduler, UnmetDemand, Utilization};
 use std::collections::{HashMap, VecDeque};
 
 /// Machines to be rented.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wish {
+pub struct RentalRequest {
     /// What.
     pub offer: Offer,
     /// How many.
@@ -72,10 +72,15 @@
     ///
     /// While urgent jobs stream in, each call for them alone would bring a few machines only and all other work would wait;
     /// after the rest, one call brings what has come together.
-    pub fn next_request(&mut self, wishes: Vec<Wish>, rest_ms: u64, now: u64) -> Option<Wish> {
-        let rests = |w: &Wish| self.requested_at.get(&w.offer).is_some_and(|at| now < at + rest_ms);
-        let rested = wishes.iter().position(|w| !rests(w)).unwrap_or(0);
-        let next = wishes.into_iter().nth(rested)?;
+    pub fn next_request(
+        &mut self,
+        rental_requests: Vec<RentalRequest>,
+        rest_ms: u64,
+        now: u64,
+    ) -> Option<RentalRequest> {
+        let rests = |w: &RentalRequest| self.requested_at.get(&w.offer).is_some_and(|at| now < at + rest_ms);
+        let rested = rental_requests.iter().position(|w| !rests(w)).unwrap_or(0);
+        let next = rental_requests.into_iter().nth(rested)?;
         self.requested_at.insert(next.offer, now);
         Some(next)
     }
@@ -85,14 +90,14 @@
     }
 
     /// What to rent for these needs, the most urgent first.
-    pub fn wishes(&self, scheduler: &Scheduler, needs: &[Need], now: u64) -> Vec<Wish> {
+    pub fn rental_requests(&self, scheduler: &Scheduler, demands: &[UnmetDemand], now: u64) -> Vec<RentalRequest> {
         let types = scheduler.types();
         // What would come up in a zone that is cut off is out of reach, and was once counted on all the same.
-        let dark = scheduler.zones_dark();
+        let unreachable = scheduler.unreachable_zones();
         let whole = |t: usize| [types[t].cpus, types[t].gpus, types[t].memory_gb].map(|x| (x * 1000.0) as u64);
         // Room left on machines wished for already.
         let mut wished: Vec<(Offer, [u64; 3])> = Vec::new();
-        for need in needs {
+        for need in demands {
             let mut left = need.tasks;
             let allowed = |offer: &Offer| {
                 (need.spot || !offer.spot)
@@ -120,7 +125,7 @@
                     for zone in kind.zones.iter().filter_map(|z| scheduler.zone_index(z)) {
                         for spot in [true, false] {
                             let offer = Offer { kind: t, zone, spot };
-                            if !allowed(&offer) || dark.contains(&zone) || !self.open(&offer, now) {
+                            if !allowed(&offer) || unreachable.contains(&zone) || !self.open(&offer, now) {
                                 continue;
                             }
                             let hourly = if spot { kind.spot_price } else { kind.price };
@@ -139,11 +144,11 @@
                 left -= take;
             }
         }
-        let mut out: Vec<Wish> = Vec::new();
+        let mut out: Vec<RentalRequest> = Vec::new();
         for (offer, _) in wished {
             match out.iter_mut().find(|w| w.offer == offer && w.count < crate::cloud::RENT_MOST) {
                 Some(w) => w.count += 1,
-                None => out.push(Wish { offer, count: 1 }),
+                None => out.push(RentalRequest { offer, count: 1 }),
             }
         }
         out
@@ -179,14 +184,14 @@
     }
 
     /// Rents ahead of the replicas to come, where too little is free for them.
-    pub fn ahead(&self, scheduler: &Scheduler, rise_ms: u64, now: u64) -> Vec<Wish> {
-        let loads = scheduler.loads();
+    pub fn ahead(&self, scheduler: &Scheduler, rise_ms: u64, now: u64) -> Vec<RentalRequest> {
+        let utilization = scheduler.utilization();
         let coming = scheduler.coming_up();
-        let dark = scheduler.zones_dark();
+        let unreachable = scheduler.unreachable_zones();
         let mut out = Vec::new();
-        for (zone, reserve) in self.reserves(rise_ms).into_iter().filter(|(z, _)| !dark.contains(z)) {
+        for (zone, reserve) in self.reserves(rise_ms).into_iter().filter(|(z, _)| !unreachable.contains(z)) {
             let free: u64 =
-                loads.iter().filter(|l| !l.offer.spot && l.offer.zone == zone).map(|l| l.cpus - l.used).sum();
+                utilization.iter().filter(|l| !l.offer.spot && l.offer.zone == zone).map(|l| l.cpus - l.used).sum();
             let short = reserve.saturating_sub(free + coming.get(&zone).copied().unwrap_or(0));
             let offers = scheduler.types().iter().enumerate().filter(|(t, kind)| {
                 kind.zones.iter().any(|z| scheduler.zone_index(z) == Some(zone))
@@ -195,7 +200,7 @@
             let best = offers.min_by(|(_, a), (_, b)| (a.price / a.cpus).total_cmp(&(b.price / b.cpus)));
             if let Some((t, kind)) = best.filter(|_| short > 0) {
                 let count = (short as f64 / (kind.cpus * 1000.0)).ceil().min(crate::cloud::RENT_MOST as f64) as u32;
-                out.push(Wish { offer: Offer { kind: t, zone, spot: false }, count });
+                out.push(RentalRequest { offer: Offer { kind: t, zone, spot: false }, count });
             }
         }
         out
@@ -203,40 +208,47 @@
 
     /// Takes the machine that costs most for what it does out of use, if the rest covers the peak of the last `window_ms`;
     /// takes such machines back when there are needs.
-    pub fn surplus(&mut self, scheduler: &mut Scheduler, needs: &[Need], window_ms: u64, rise_ms: u64, now: u64) {
-        let loads = scheduler.loads();
-        let wanted = needs.iter().map(|n| n.need[0] * n.tasks as u64).sum::<u64>();
+    pub fn surplus(
+        &mut self,
+        scheduler: &mut Scheduler,
+        demands: &[UnmetDemand],
+        window_ms: u64,
+        rise_ms: u64,
+        now: u64,
+    ) {
+        let utilization = scheduler.utilization();
+        let wanted = demands.iter().map(|n| n.need[0] * n.tasks as u64).sum::<u64>();
         let (services, placed) = scheduler.service_demand();
-        let all = wanted + loads.iter().map(|l| l.used).sum::<u64>();
+        let all = wanted + utilization.iter().map(|l| l.used).sum::<u64>();
         self.demand.push_back(Demand { at: now, all, services, placed });
         while self.demand.front().is_some_and(|d| now > d.at + window_ms) {
             self.demand.pop_front();
         }
-        if !needs.is_empty() {
+        if !demands.is_empty() {
             scheduler.use_surplus();
             return;
         }
         scheduler.move_replica();
         let target = |x: u64| (x as f64 * HEADROOM) as u64;
         let peak = target(self.demand.iter().map(|d| d.all).max().unwrap_or(0));
-        let all: u64 = loads.iter().map(|l| l.cpus).sum();
+        let all: u64 = utilization.iter().map(|l| l.cpus).sum();
         let reserves = self.reserves(rise_ms);
         let (mut zone_peak, mut free, mut steady) = (HashMap::new(), HashMap::new(), HashMap::new());
         for (zone, n) in self.demand.iter().flat_map(|d| &d.placed) {
             let most = zone_peak.entry(*zone).or_insert(0);
             *most = target(*n).max(*most);
         }
-        for l in loads.iter().filter(|l| !l.offer.spot) {
+        for l in utilization.iter().filter(|l| !l.offer.spot) {
             *free.entry(l.offer.zone).or_insert(0) += l.cpus - l.used;
             *steady.entry(l.offer.zone).or_insert(0) += l.cpus;
         }
         let of = |by: &HashMap<usize, u64>, zone: usize| by.get(&zone).copied().unwrap_or(0);
         let types = scheduler.types();
-        let idle_price = |l: &Load| {
+        let idle_price = |l: &Utilization| {
             let t = &types[l.offer.kind];
             (if l.offer.spot { t.spot_price } else { t.price }) * (1.0 - l.used as f64 / l.cpus.max(1) as f64)
         };
-        let may_go = |l: &&Load| {
+        let may_go = |l: &&Utilization| {
             let Offer { zone, spot, .. } = l.offer;
             now > l.since + window_ms
                 && l.services * 4 <= l.cpus
@@ -244,7 +256,8 @@
                 && (spot || of(&steady, zone) - l.cpus >= of(&zone_peak, zone))
                 && (spot || of(&free, zone) >= of(&reserves, zone) + l.cpus)
         };
-        let go = loads.iter().filter(may_go).max_by(|a, b| idle_price(a).total_cmp(&idle_price(b))).map(|l| l.machine);
+        let go =
+            utilization.iter().filter(may_go).max_by(|a, b| idle_price(a).total_cmp(&idle_price(b))).map(|l| l.machine);
         if let Some(i) = go {
             scheduler.spare_machine(i);
         }
@@ -256,7 +269,7 @@
         let reserves = self.reserves(rise_ms);
         let mut free: HashMap<usize, u64> = HashMap::new();
         let mut cpus: HashMap<usize, u64> = HashMap::new();
-        for l in scheduler.loads() {
+        for l in scheduler.utilization() {
             cpus.insert(l.machine, l.cpus);
             *free.entry(l.offer.zone).or_default() += if l.offer.spot { 0 } else { l.cpus - l.used };
         }
@@ -278,8 +291,8 @@
                 _ => {}
             }
         }
-        for (i, why) in go {
-            scheduler.enter(i, MachineState::Releasing, why);
+        for (i, reason) in go {
+            scheduler.enter(i, MachineState::Releasing, reason);
         }
         for i in overdue {
             if let Some((offer, pause_ms)) = scheduler.give_up_boot(i) {
--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -169,7 +169,7 @@
         self.lead.authority(self.now())
     }
 
-    /// Whether what was decided in a term may still be sent. Asked again authority before each send: the process may have stood
+    /// Whether what was decided in a term may still be sent. Asked again right before each send: the process may have stood
     /// still since the decision, while a cancellation was confirmed or another node began to lead.
     pub(super) fn may_send(&self, term: Option<Term>) -> bool {
         term.is_some() && self.term() == term && self.authority() == Authority::Full
@@ -289,7 +289,7 @@
         }
         scheduler.inherit(self.mirror.starts.iter().map(|(slot, v)| (*slot, v.version, v.record.as_str())));
         if self.unlogged {
-            scheduler.outwait();
+            scheduler.wait_for_lease_expiry();
         }
         self.leads_since = now;
         let (jobs, rentals) = (self.mirror.live.len(), self.mirror.rentals.len());
@@ -411,12 +411,12 @@
         let Some(scheduler) = self.scheduler.as_mut() else { return WorkerAnswer::Later };
         scheduler.at(now);
         match scheduler.report(r, true, authority == Authority::Full) {
-            Taken::Reply(reply) => WorkerAnswer::Reply(reply),
-            Taken::Superseded => {
+            ReportOutcome::Reply(reply) => WorkerAnswer::Reply(reply),
+            ReportOutcome::Superseded => {
                 self.lead_event(Event::Ended);
                 WorkerAnswer::Later
             }
-            Taken::UnregisteredMachine => {
+            ReportOutcome::UnregisteredMachine => {
                 if !self.released.contains_key(&r.machine) && self.unregistered.len() < UNREGISTERED_LIMIT {
                     let (machine_type, zone) = (r.machine_type.clone(), r.zone.clone());
                     let ask = Some((r.address.clone(), r.session));
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -13,7 +13,7 @@
 };
 use crate::cloud::{CloudClient, Rented, RELEASE_MOST};
 use crate::config::Settings;
-use crate::fleet::{Fleet, Wish};
+use crate::fleet::{Fleet, RentalRequest};
 use crate::leader::{Authority, Event, Leadership};
 use crate::pacer::{users_share, Pacer};
 use crate::peer::{self, CancellationNotices, Cancelled, PeerHealth, View};
@@ -22,7 +22,7 @@
     self as wire, JobSpec, JobState, JobView, Kind, MachineType, RentRequest, Report, ReportReply, Txn,
 };
 use crate::rate::{RateMeter, TokenBucket};
-use crate::scheduler::{Direct, MachineState, Offer, Origin, Params, Scheduler, Taken};
+use crate::scheduler::{Direct, MachineState, Offer, Origin, Params, ReportOutcome, Scheduler};
 use crate::store::{
     self, guard, put, Decided, LeaderRecord, LiveRecord, Mirror, MirrorChange, OverRecord, RentalRecord, StoreClient,
     StoreError,
--- a/src/node/persistence.rs
+++ b/src/node/persistence.rs
@@ -28,7 +28,7 @@
         if now >= self.due.reconsider {
             self.due.reconsider = now + 5 * TICK_MS;
             scheduler.reconsider();
-            if !alone && scheduler.deaf() {
+            if !alone && scheduler.hears_no_worker() {
                 return Pass::GiveUp;
             }
         }
--- a/src/node/provisioning.rs
+++ b/src/node/provisioning.rs
@@ -89,15 +89,15 @@
             return false;
         }
         self.await_cloud_call().await;
-        let wishes = self.decide();
+        let rental_requests = self.decide();
         let next = {
             let mut controller = self.controller.borrow_mut();
             let now = controller.now();
             let call_ms = 1000.0 / (controller.settings.platform.deployment.cloud.rps * controller::CLOUD_SHARE);
-            controller.fleet.next_request(wishes, (REST_CALLS * call_ms) as u64, now)
+            controller.fleet.next_request(rental_requests, (REST_CALLS * call_ms) as u64, now)
         };
         match next {
-            Some(wish) => self.rent(wish.offer, wish.count).await,
+            Some(request) => self.rent(request.offer, request.count).await,
             None => false,
         }
     }
@@ -121,10 +121,10 @@
     }
 
     /// What to rent and what to return.
-    pub(super) fn decide(&self) -> Vec<Wish> {
+    pub(super) fn decide(&self) -> Vec<RentalRequest> {
         let mut controller = self.controller.borrow_mut();
         // The calls before this one may have taken seconds: a leader cut off meanwhile once gave up machines that its
-        // heir was using.
+        // new leader was using.
         if controller.authority() != Authority::Full {
             return Vec::new();
         }
@@ -141,12 +141,12 @@
         for i in scheduler.silent(silent_ms, lost_ms) {
             scheduler.enter(i, MachineState::Releasing, "silent");
         }
-        let needs = scheduler.look_ahead(true);
-        let wanted: u32 = needs.iter().map(|n| n.tasks).sum();
+        let demands = scheduler.unmet_demand(true);
+        let wanted: u32 = demands.iter().map(|n| n.tasks).sum();
         let pending: u32 = scheduler.jobs().map(|j| j.pending()).sum();
         if tracing::enabled!(tracing::Level::DEBUG) {
             let mut by_offer: BTreeMap<Offer, [u64; 4]> = BTreeMap::new();
-            for l in scheduler.loads() {
+            for l in scheduler.utilization() {
                 let sum = by_offer.entry(l.offer).or_default();
                 *sum = [sum[0] + 1, sum[1] + l.cpus, sum[2] + l.used, sum[3] + l.services];
             }
@@ -155,11 +155,11 @@
         let boot_s = scheduler.types().iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min).min(600.0);
         // Until a machine that is rented now is up, with some room for slow ones.
         let rise_ms = (boot_s * 1500.0) as u64 + 5000;
-        controller.fleet.surplus(scheduler, &needs, idle_ms + (boot_s * 1000.0) as u64, rise_ms, now);
+        controller.fleet.surplus(scheduler, &demands, idle_ms + (boot_s * 1000.0) as u64, rise_ms, now);
         controller.fleet.returns(scheduler, idle_ms, rise_ms, now);
-        let mut wishes = controller.fleet.wishes(scheduler, &needs, now);
-        wishes.extend(controller.fleet.ahead(scheduler, rise_ms, now));
-        wishes
+        let mut rental_requests = controller.fleet.rental_requests(scheduler, &demands, now);
+        rental_requests.extend(controller.fleet.ahead(scheduler, rise_ms, now));
+        rental_requests
     }
 
     pub(super) async fn release(&self) {
@@ -286,7 +286,7 @@
         let mut controller = self.controller.borrow_mut();
         let now = controller.now();
         let controller = &mut *controller;
-        // The list may still show what an earlier leader has released: an heir once took such machines in and counted
+        // The list may still show what an earlier leader has released: a new leader once took such machines in and counted
         // on them for a minute. Workers that report are taken in at once.
         let lag_ms = (controller.settings.platform.deployment.cloud.list_lag_s * 2000.0) as u64 + 2000;
         let settled = now > controller.leads_since + lag_ms;
--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -354,9 +354,9 @@
     w.refuse(old, true);
     w.peers_cut_until = w.now() + 40_000;
     w.run(6000);
-    let heir = w.leader().unwrap();
-    assert_ne!(heir, old);
-    assert!(w.cancel(heir, "wk-0") && w.cancel(3 - heir - old, "wk-1"));
+    let new_leader = w.leader().unwrap();
+    assert_ne!(new_leader, old);
+    assert!(w.cancel(new_leader, "wk-0") && w.cancel(3 - new_leader - old, "wk-1"));
     w.run(15_000);
     assert!(w.running("wk-0") + w.running("wk-1") == 0);
     w.refuse(old, false);
@@ -381,7 +381,7 @@
 
 #[test]
 fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached_or_do_not_hear_its_heir() {
-    for (deaf, mute) in [(true, false), (false, true), (true, true)] {
+    for (hears_no_worker, mute) in [(true, false), (false, true), (true, true)] {
         let mut w = World::new(11, 5);
         w.submit(spec("wk-1", 10), 60_000);
         w.run(5000);
@@ -389,7 +389,7 @@
         let until = w.now() + LEASE + 8000;
         for n in &names[..2] {
             let x = w.workers.get_mut(n).unwrap();
-            (x.deaf_until, x.mute_until) = (if deaf { until } else { 0 }, if mute { until } else { 0 });
+            (x.deaf_until, x.mute_until) = (if hears_no_worker { until } else { 0 }, if mute { until } else { 0 });
         }
         w.cloud_down = true;
         let leader = w.leader().unwrap();
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -7,8 +7,8 @@
 use crate::node::controller::{Clock, ControllerState, Pass, Term};
 use crate::node::WorkerAnswer;
 use crate::protocol::{
-    split_task, Change, Event, Guard, JobSpec, Kind, MachineType, Order, Report, ReportReply, TaskReport, TaskState,
-    Txn, Why,
+    split_task, Change, Command, Event, ExitReason, Guard, JobSpec, Kind, MachineType, Report, ReportReply, TaskReport,
+    TaskState, Txn,
 };
 use crate::scheduler::{Append, Direct, Hardware, MachineState, Origin};
 use crate::store::{self, guard, Decided, LiveRecord, Mirror, OverRecord, RentalRecord, StoreError, Versioned};
@@ -143,7 +143,7 @@
 #[derive(Clone)]
 struct OnMachine {
     state: TaskState,
-    why: Option<Why>,
+    reason: Option<ExitReason>,
     ready_at: u64,
     ends_at: u64,
 }
@@ -339,7 +339,7 @@
     pub fn run(&mut self, ms: u64) {
         let until = self.now() + ms;
         while self.now() < until {
-            self.step();
+            self.apply();
         }
     }
 
@@ -450,7 +450,7 @@
 
     // ---- the clock ----
 
-    pub fn step(&mut self) {
+    pub fn apply(&mut self) {
         self.clock.set(self.now() + STEP);
         if self.now().is_multiple_of(500) {
             tracing::info!(at = self.now());
@@ -700,7 +700,7 @@
             Pass::GiveUp => return self.give_up(n),
         };
         let (life, term) = (self.nodes[n].life, self.nodes[n].controller.as_ref().unwrap().term());
-        let starts = |d: &Direct| d.orders.iter().any(|o| matches!(o, Order::Start { .. }));
+        let starts = |d: &Direct| d.orders.iter().any(|o| matches!(o, Command::Start { .. }));
         if self.stands_still_ms > 0 && sends.iter().any(starts) {
             let pause = std::mem::take(&mut self.stands_still_ms);
             self.nodes[n].frozen_until = self.now() + pause;
@@ -727,10 +727,10 @@
     }
 
     /// Orders leave a controller: none may start a task of a job whose user was told that it is cancelled.
-    fn sent(&mut self, orders: &[Order]) {
+    fn sent(&mut self, orders: &[Command]) {
         let now = self.now();
         for o in orders {
-            let Order::Start { task, .. } = o else { continue };
+            let Command::Start { task, .. } = o else { continue };
             self.starts += 1;
             let id = split_task(task).unwrap().0;
             let job = self.jobs.get_mut(id).unwrap();
@@ -849,7 +849,7 @@
             task: task.clone(),
             attempt: *attempt,
             state: t.state,
-            why: t.why,
+            reason: t.reason,
             saved: None,
         };
         Report {
@@ -889,7 +889,7 @@
                 began.push(task.clone());
             }
             if t.state == TaskState::Running && now >= t.ends_at {
-                (t.state, t.why) = (TaskState::Exited, Some(Why::Done));
+                (t.state, t.reason) = (TaskState::Exited, Some(ExitReason::Done));
                 let (job, number) = split_task(task).unwrap();
                 let job = self.jobs.get_mut(job).unwrap();
                 job.done.insert(number);
@@ -944,7 +944,7 @@
         }
     }
 
-    fn execute(&mut self, name: &str, orders: &[Order]) {
+    fn execute(&mut self, name: &str, orders: &[Command]) {
         let now = self.now();
         if !orders.is_empty() {
             tracing::info!(now, name, ?orders, "executes");
@@ -953,7 +953,7 @@
         for o in orders {
             let w = self.workers.get_mut(name).unwrap();
             match o {
-                Order::Start { task, attempt } => {
+                Command::Start { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if w.tasks.contains_key(&key) {
                         continue;
@@ -962,25 +962,25 @@
                     let job = &self.jobs[id];
                     let busy = w.tasks.iter().any(|((t, _), s)| t == task && s.state != TaskState::Exited);
                     let cpus = w.tasks.values().filter(|s| s.state != TaskState::Exited).count() as f64 * 2.0;
-                    let (state, why) = match () {
-                        _ if busy => (TaskState::Exited, Some(Why::Busy)),
-                        _ if cpus + 2.0 > 8.0 => (TaskState::Exited, Some(Why::NoRoom)),
+                    let (state, reason) = match () {
+                        _ if busy => (TaskState::Exited, Some(ExitReason::Busy)),
+                        _ if cpus + 2.0 > 8.0 => (TaskState::Exited, Some(ExitReason::NoRoom)),
                         _ => (TaskState::Fetching, None),
                     };
                     let ready_at = now + fetch_ms;
                     let run = job.run_ms + job.apart_ms * number as u64;
                     let run = if job.done.contains(&number) { 0 } else { run };
                     let ends_at = if job.spec.kind == Kind::Service { u64::MAX / 2 } else { ready_at + run };
-                    w.tasks.insert(key, OnMachine { state, why, ready_at, ends_at });
+                    w.tasks.insert(key, OnMachine { state, reason, ready_at, ends_at });
                 }
-                Order::Stop { task, attempt, .. } => {
+                Command::Stop { task, attempt, .. } => {
                     if let Some(t) = w.tasks.get_mut(&(task.clone(), *attempt)) {
                         if t.state != TaskState::Exited {
-                            (t.state, t.why) = (TaskState::Exited, Some(Why::Stopped));
+                            (t.state, t.reason) = (TaskState::Exited, Some(ExitReason::Stopped));
                         }
                     }
                 }
-                Order::Forget { task, attempt } => {
+                Command::Forget { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if w.tasks.get(&key).is_some_and(|t| t.state == TaskState::Exited) {
                         w.tasks.remove(&key);
@@ -1129,7 +1129,8 @@
                     .workers
                     .iter()
                     .map(|(n, w)| {
-                        let tasks: Vec<_> = w.tasks.iter().map(|(k, t)| (k.0.as_str(), k.1, t.state, t.why)).collect();
+                        let tasks: Vec<_> =
+                            w.tasks.iter().map(|(k, t)| (k.0.as_str(), k.1, t.state, t.reason)).collect();
                         format!("{n} {} session {} token {:x} node {} {tasks:?}", w.zone, w.session, w.token, w.node)
                     })
                     .collect();
@@ -1139,7 +1140,7 @@
                 }
                 return;
             }
-            self.step();
+            self.apply();
         }
     }
 
--- a/src/node/user_requests.rs
+++ b/src/node/user_requests.rs
@@ -95,10 +95,10 @@
         if !ready {
             return Answer::Later(1);
         }
-        if let Some(why) = never {
+        if let Some(reason) = never {
             // A job accepted once stays accepted, whatever the machine types are now.
             return match self.clone().poll(id).await {
-                Answer::Unknown => Answer::Never(why),
+                Answer::Unknown => Answer::Never(reason),
                 other => other,
             };
         }
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -257,7 +257,7 @@
 
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ExitReason {
     /// Completed.
     #[serde(rename = "done")]
     Done,
@@ -295,7 +295,7 @@
     pub state: TaskState,
     /// Why it ended.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub reason: Option<ExitReason>,
     /// Whether its progress was saved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -344,7 +344,7 @@
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
-pub enum Order {
+pub enum Command {
     /// Start a task.
     #[serde(rename = "start")]
     Start {
@@ -387,7 +387,7 @@
     #[serde(rename = "baton")]
     pub token: u64,
     /// Commands, executed in order.
-    pub orders: Vec<Order>,
+    pub orders: Vec<Command>,
 }
 
 /// Commands sent straight to a worker.
@@ -400,7 +400,7 @@
     #[serde(rename = "shift")]
     pub session: u64,
     /// Commands.
-    pub orders: Vec<Order>,
+    pub orders: Vec<Command>,
 }
 
 /// Where a worker should report instead.
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -47,6 +47,6 @@
         "apply"=>[{"put"=>"a/b","v"=>{"x"=>1},"tenure"=>7},{"drop"=>"c/d"}]})
     .unwrap();
     assert_eq!(back, expect);
-    let orders = ReportReply { token: 4, orders: vec![Order::Start { task: "wk-1/0".into(), attempt: 2 }] };
+    let orders = ReportReply { token: 4, orders: vec![Command::Start { task: "wk-1/0".into(), attempt: 2 }] };
     assert_eq!(decode::<ReportReply>(&encode(&orders)).unwrap(), orders);
 }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -5,7 +5,7 @@
 
 /// How much of a machine is used, for the fleet.
 #[derive(Debug, Clone, Copy)]
-pub struct Load {
+pub struct Utilization {
     /// Index.
     pub machine: usize,
     /// The offer that it was rented from.
@@ -22,7 +22,7 @@
 
 /// Tasks for which no room is in sight.
 #[derive(Debug, Clone)]
-pub struct Need {
+pub struct UnmetDemand {
     /// What one takes.
     pub need: Amounts,
     /// How many.
@@ -88,12 +88,12 @@
 const COUNTS_MS: u64 = 30_000;
 
 /// Who looked for somebody to displace in vain: priority, within a guarantee, team, need.
-type Asked = (Priority, bool, Option<usize>, Amounts);
+type FailedSearch = (Priority, bool, Option<usize>, Amounts);
 
 impl Scheduler {
     /// Looks ahead: stops lower work where a higher job or a guarantee has a claim, and returns what finds no room even
     /// on the machines that are coming up.
-    pub fn look_ahead(&mut self, preempt: bool) -> Vec<Need> {
+    pub fn unmet_demand(&mut self, preempt: bool) -> Vec<UnmetDemand> {
         let mut room = Pool::new(self, self.machines().filter(|(_, m)| self.open(m)).map(|(i, m)| (i, self.coming(m))));
         let mut later = Pool::new(self, self.machines().filter(|(_, m)| self.on_its_way(m)).map(|(i, m)| (i, m.room)));
         let mut team_left: Vec<[u64; 2]> = (0..self.p.teams.len())
@@ -102,7 +102,8 @@
         let queue = self.queue();
         let least = queue.iter().map(|j| self.job(*j).need).reduce(|a, b| std::array::from_fn(|r| a[r].min(b[r])));
         let least = least.unwrap_or([1; 3]);
-        let (mut needs, mut unplaceable, mut asked) = (Vec::new(), UnplaceableRequests::default(), Vec::<Asked>::new());
+        let (mut demands, mut unplaceable, mut asked) =
+            (Vec::new(), UnplaceableRequests::default(), Vec::<FailedSearch>::new());
         for j in queue {
             let job = self.job(j);
             let Some(team) = job.team else { continue };
@@ -137,10 +138,17 @@
                 left -= self.preempt(j, left, &mut room, &mut zones, &mut asked);
             }
             if left > 0 {
-                needs.push(Need { need, tasks: left, spot, types, zones: zone.map(|z| vec![z]).or(capped), service });
+                demands.push(UnmetDemand {
+                    need,
+                    tasks: left,
+                    spot,
+                    types,
+                    zones: zone.map(|z| vec![z]).or(capped),
+                    service,
+                });
             }
         }
-        needs
+        demands
     }
 
     /// Stops lower work at once for production tasks that find no room. They do not wait for machines that are coming up,
@@ -151,7 +159,7 @@
             return;
         }
         let mut room = Pool::new(self, self.machines().filter(|(_, m)| self.open(m)).map(|(i, m)| (i, self.coming(m))));
-        let mut asked = Vec::<Asked>::new();
+        let mut asked = Vec::<FailedSearch>::new();
         // What is being stopped of a team, less what those before in the queue will use of it.
         let mut ending = self.team_ending.clone();
         for j in queue {
@@ -218,7 +226,7 @@
             let (freed, save) = (v.need, v.record.spec.checkpoint_s > 0.0);
             tracing::info!(job = %v.record.spec.id, task = vt, for_job = %self.job(j).record.spec.id, "preempted for quota");
             *self.job_mut(vj).displaced.entry(vt).or_default() += 1;
-            self.step(vj, vt, Step::Stop { save });
+            self.apply(vj, vt, TaskEvent::Stop { save });
             wanted = std::array::from_fn(|r| wanted[r].saturating_sub(freed[r]));
         }
     }
@@ -243,7 +251,7 @@
         n: u32,
         room: &mut Pool,
         zones: &mut HashMap<usize, u32>,
-        asked: &mut Vec<Asked>,
+        asked: &mut Vec<FailedSearch>,
     ) -> u32 {
         let job = self.job(j);
         let (need, priority, within, team) = (job.need, job.record.spec.priority, job.within, job.team);
@@ -300,7 +308,7 @@
                     tracing::info!(job = %self.job(vj).record.spec.id, task = vt, for_job = %self.job(j).record.spec.id, "preempted");
                     let save = self.job(vj).record.spec.checkpoint_s > 0.0;
                     *self.job_mut(vj).displaced.entry(vt).or_default() += 1;
-                    self.step(vj, vt, Step::Stop { save });
+                    self.apply(vj, vt, TaskEvent::Stop { save });
                 }
                 room.room[i] = less(&r, &need, 1);
                 *zones.entry(zone).or_default() += 1;
@@ -338,12 +346,12 @@
     }
 
     /// The machines that take tasks.
-    pub fn loads(&self) -> Vec<Load> {
+    pub fn utilization(&self) -> Vec<Utilization> {
         let open = self.machines().filter(|(_, m)| m.state == MachineState::Up && m.notice_at.is_none());
         open.map(|(machine, m)| {
             let cpus = self.types.get(m.kind).map_or(0, |t| (t.cpus * 1000.0) as u64);
             let used = cpus.saturating_sub(m.room[0]);
-            Load { machine, offer: m.offer(), since: m.since, cpus, used, services: m.service_cpus }
+            Utilization { machine, offer: m.offer(), since: m.since, cpus, used, services: m.service_cpus }
         })
         .collect()
     }
@@ -383,7 +391,7 @@
                     && fits(&job.need, &o.room) > 0
             };
             if self.machines().any(|(_, o)| free(o)) {
-                self.step(j, t, Step::Stop { save: false });
+                self.apply(j, t, TaskEvent::Stop { save: false });
                 return;
             }
         }
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -16,7 +16,7 @@
 const TICK_GAP_MS: u64 = 1000;
 
 impl Scheduler {
-    /// Takes in a machine that the store records. One of an earlier epoch may have been released or taken meanwhile; an heir
+    /// Takes in a machine that the store records. One of an earlier epoch may have been released or taken meanwhile; a new leader
     /// once counted on the room of such machines for most of a minute.
     pub fn add_machine(&mut self, name: &str, of: Hardware, origin: Origin) {
         if self.knows(name) || !plain(name) {
@@ -67,20 +67,20 @@
     }
 
     /// The one place where a machine's state changes.
-    pub fn enter(&mut self, i: usize, next: MachineState, why: &str) {
+    pub fn enter(&mut self, i: usize, next: MachineState, reason: &str) {
         let m = self.machine_mut(i);
         // A release may have been sent: it may execute at any later time, so there is no way back.
         if m.state == next || m.state == MachineState::Releasing {
             return;
         }
-        tracing::info!(machine = %m.name, from = ?m.state, to = ?next, why, "machine");
+        tracing::info!(machine = %m.name, from = ?m.state, to = ?next, reason, "machine");
         m.state = next;
         // A release executes late or not at all: what of ours has not been sent yet must not be any more.
         if next != MachineState::Up {
             let unsent: Vec<_> = self.machine(i).tasks.iter().copied().collect();
             for (j, t) in unsent {
                 if self.job(j).active.get(&t).is_some_and(|a| a.phase == Phase::Assigned) {
-                    self.step(j, t, Step::Gone);
+                    self.apply(j, t, TaskEvent::Gone);
                 }
             }
         }
@@ -91,7 +91,7 @@
     pub fn machine_gone(&mut self, name: &str) {
         let Some(i) = self.machine_index.remove(name) else { return };
         for (j, t) in self.machine(i).tasks.clone() {
-            self.step(j, t, Step::Gone);
+            self.apply(j, t, TaskEvent::Gone);
         }
         for image in self.machine(i).images.clone() {
             self.let_image_go(i, image);
@@ -226,15 +226,15 @@
     }
 
     /// Zones of which nothing is heard: whatever came up there would be out of reach.
-    pub fn zones_dark(&self) -> HashSet<usize> {
-        let dark = self.quiet_by_zone().into_iter().filter(|(_, (quiet, all))| *all > 2 && quiet == all);
-        dark.map(|(z, _)| z).collect()
+    pub fn unreachable_zones(&self) -> HashSet<usize> {
+        let unreachable = self.quiet_by_zone().into_iter().filter(|(_, (quiet, all))| *all > 2 && quiet == all);
+        unreachable.map(|(z, _)| z).collect()
     }
 
     /// Whether none of the machines that should be heard from has reported of late, under whichever token: then it is this
-    /// node that is cut off. An heir that nobody has answered yet knows sooner, since it asks everybody when it begins: an
-    /// heir cut off like its predecessor once held the leadership until the leases had run out.
-    pub fn deaf(&self) -> bool {
+    /// node that is cut off. A new leader that nobody has answered yet knows sooner, since it asks everybody when it begins: an
+    /// new leader cut off like its predecessor once held the leadership until the leases had run out.
+    pub fn hears_no_worker(&self) -> bool {
         let heard = |m: &Machine| m.reported_at.is_some_and(|at| self.now <= at + self.quiet_ms() + DEAF_MARGIN_MS);
         let fresh = self.expected().all(|(_, m)| m.last == (0, 0));
         let after = if fresh { UNANSWERED_MS } else { 2 * self.quiet_ms() + DEAF_MARGIN_MS };
@@ -276,7 +276,7 @@
             if !orders.is_empty() {
                 let m = self.machine_mut(i);
                 m.direct = true;
-                m.direct_starts |= orders.iter().any(|o| matches!(o, Order::Start { .. }));
+                m.direct_starts |= orders.iter().any(|o| matches!(o, Command::Start { .. }));
                 out.push(Direct { machine, address, token, session, orders });
             }
         }
@@ -336,12 +336,12 @@
 
     /// Raises a machine's token: what was sent under the old one is void once the worker has seen the new one. Until it
     /// shows it, it gets no work; if it never does, though it reports, it is replaced like a silent one.
-    pub(super) fn raise(&mut self, i: usize, why: &str) {
+    pub(super) fn raise(&mut self, i: usize, reason: &str) {
         let m = self.machine_mut(i);
         m.counter += 1;
         m.direct_starts = false;
         m.current = false;
-        tracing::info!(machine = %m.name, why, "token raised");
+        tracing::info!(machine = %m.name, reason, "token raised");
     }
 
     /// What time alone brings: leases that have surely run out, notices, machines that came back to nothing.
@@ -357,7 +357,7 @@
             if !m.tasks.is_empty() && self.lease_over(m) {
                 tracing::info!(machine = %m.name, tasks = m.tasks.len(), "lease has run out");
                 for (j, t) in m.tasks.clone() {
-                    self.step(j, t, Step::Gone);
+                    self.apply(j, t, TaskEvent::Gone);
                 }
                 // A worker that comes back is in its next session; nothing meant for the last one may reach it.
                 self.raise(i, "lease has run out");
@@ -370,7 +370,7 @@
                 // Work that saves is stopped just in time to save; the rest may still finish.
                 let lead = (spec.save_s * 1000.0) as u64 + 2 * self.p.report_ms + 2000;
                 if spec.kind == Kind::Service || (spec.checkpoint_s > 0.0 && now + lead >= at) {
-                    self.step(j, t, Step::Stop { save: spec.checkpoint_s > 0.0 });
+                    self.apply(j, t, TaskEvent::Stop { save: spec.checkpoint_s > 0.0 });
                 }
             }
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -14,11 +14,11 @@
 mod scheduling_pass;
 mod start_log;
 
-pub use demand::{Load, Need};
+pub use demand::{UnmetDemand, Utilization};
 pub use start_log::Append;
 
 use crate::placement::{self, Capability};
-use crate::protocol::{Kind, MachineType, Order, Priority, ReportReply};
+use crate::protocol::{Command, Kind, MachineType, Priority, ReportReply};
 use crate::store::{LiveRecord, CHUNK};
 use boot_times::BootTimes;
 use start_log::StartLog;
@@ -174,7 +174,7 @@
 
 /// A task that is or may be on a machine.
 #[derive(Debug, Clone, Copy)]
-pub struct Active {
+pub struct TaskAttempt {
     machine: usize,
     attempt: u64,
     phase: Phase,
@@ -191,7 +191,7 @@
 }
 
 /// Everything that can happen to a task.
-enum Step {
+enum TaskEvent {
     Assign { machine: usize, attempt: u64 },
     Adopt { machine: usize, attempt: u64, phase: Phase },
     Log,
@@ -220,7 +220,7 @@
     saved: Vec<u8>,
     done_n: u32,
     saved_n: u32,
-    active: BTreeMap<u32, Active>,
+    active: BTreeMap<u32, TaskAttempt>,
     cursor: u32,
     returned: BTreeSet<u32>,
     zone_use: HashMap<usize, u32>,
@@ -262,13 +262,13 @@
     }
 
     /// Whether it fails wherever it is tried: submitted with a mistake, it goes on failing until its user cancels it.
-    fn mistaken(&self, now: u64) -> bool {
+    fn fails_everywhere(&self, now: u64) -> bool {
         self.failed_on.len() >= MISTAKEN && !self.proven(now)
     }
 
     /// Whether a task of it has finished or has run for a while, so that what fails is the machine's fault.
     fn proven(&self, now: u64) -> bool {
-        let runs = |a: &Active| a.phase == Phase::Running && now > a.since + PROOF_MS;
+        let runs = |a: &TaskAttempt| a.phase == Phase::Running && now > a.since + PROOF_MS;
         self.done_n > 0 || self.active.values().any(runs)
     }
 
@@ -276,7 +276,7 @@
     /// of others nor has machines rented.
     fn wanted(&self, now: u64) -> u32 {
         let pending = self.pending();
-        if self.record.spec.kind != Kind::Gang && self.mistaken(now) {
+        if self.record.spec.kind != Kind::Gang && self.fails_everywhere(now) {
             return if self.active.is_empty() { pending.min(1) } else { 0 };
         }
         pending
@@ -426,7 +426,7 @@
     /// Session.
     pub session: u64,
     /// Commands.
-    pub orders: Vec<Order>,
+    pub orders: Vec<Command>,
 }
 
 /// A durable write that the scheduler asks for.
@@ -444,7 +444,7 @@
 
 /// How a report was taken.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Taken {
+pub enum ReportOutcome {
     /// The answer.
     Reply(ReportReply),
     /// The worker has seen a later epoch.
@@ -715,7 +715,7 @@
     fn end_job(&mut self, i: usize) {
         self.job_mut(i).ended = true;
         for t in self.job(i).active.keys().copied().collect::<Vec<_>>() {
-            self.step(i, t, Step::Stop { save: false });
+            self.apply(i, t, TaskEvent::Stop { save: false });
         }
         self.changed = true;
     }
@@ -783,11 +783,11 @@
 
     // ---- the one function for every change of a task ----
 
-    fn step(&mut self, j: usize, t: u32, step: Step) {
+    fn apply(&mut self, j: usize, t: u32, apply: TaskEvent) {
         let now = self.now;
         let old = self.job(j).active.get(&t).copied();
-        let next = match (step, old) {
-            (Step::Assign { machine, attempt }, None) => Some(Active {
+        let next = match (apply, old) {
+            (TaskEvent::Assign { machine, attempt }, None) => Some(TaskAttempt {
                 machine,
                 attempt,
                 phase: Phase::Assigned,
@@ -798,7 +798,7 @@
                 stop_sent: false,
                 shown: false,
             }),
-            (Step::Adopt { machine, attempt, phase }, None) => Some(Active {
+            (TaskEvent::Adopt { machine, attempt, phase }, None) => Some(TaskAttempt {
                 machine,
                 attempt,
                 phase,
@@ -809,24 +809,24 @@
                 stop_sent: false,
                 shown: phase != Phase::Sent,
             }),
-            (Step::Log, Some(a)) if a.phase == Phase::Assigned => Some(Active { logged: true, ..a }),
-            (Step::Send { direct, token }, Some(a)) if a.phase == Phase::Assigned && a.logged => {
-                Some(Active { phase: Phase::Sent, since: now, direct, token, ..a })
+            (TaskEvent::Log, Some(a)) if a.phase == Phase::Assigned => Some(TaskAttempt { logged: true, ..a }),
+            (TaskEvent::Send { direct, token }, Some(a)) if a.phase == Phase::Assigned && a.logged => {
+                Some(TaskAttempt { phase: Phase::Sent, since: now, direct, token, ..a })
             }
-            (Step::Show(phase), Some(a)) if a.phase != phase && a.phase != Phase::Assigned => {
+            (TaskEvent::Show(phase), Some(a)) if a.phase != phase && a.phase != Phase::Assigned => {
                 if matches!(a.phase, Phase::Stopping { .. }) {
                     return;
                 }
-                Some(Active { phase, since: now, ..a })
+                Some(TaskAttempt { phase, since: now, ..a })
             }
             // Never sent, so it cannot be anywhere.
-            (Step::Stop { .. }, Some(a)) if a.phase == Phase::Assigned => None,
-            (Step::Stop { save }, Some(a)) => match a.phase {
+            (TaskEvent::Stop { .. }, Some(a)) if a.phase == Phase::Assigned => None,
+            (TaskEvent::Stop { save }, Some(a)) => match a.phase {
                 Phase::Stopping { save: false } => return,
                 Phase::Stopping { save: true } if save => return,
-                _ => Some(Active { phase: Phase::Stopping { save }, since: now, stop_sent: false, ..a }),
+                _ => Some(TaskAttempt { phase: Phase::Stopping { save }, since: now, stop_sent: false, ..a }),
             },
-            (Step::Gone | Step::Finished, Some(_)) => None,
+            (TaskEvent::Gone | TaskEvent::Finished, Some(_)) => None,
             _ => return,
         };
         let job = self.jobs[j].as_mut().expect("a task that changes belongs to a present job");
@@ -853,12 +853,13 @@
             let job = self.job(j);
             if job.record.spec.kind == Kind::Gang && !bit(&job.done, t) {
                 for other in job.active.keys().copied().collect::<Vec<_>>() {
-                    self.step(j, other, Step::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
+                    self.apply(j, other, TaskEvent::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
                 }
             }
         }
-        let runs = |a: Option<Active>| a.is_some_and(|a| matches!(a.phase, Phase::Running | Phase::Stopping { .. }));
-        let stops = |a: Option<Active>| a.is_some_and(|a| matches!(a.phase, Phase::Stopping { .. }));
+        let runs =
+            |a: Option<TaskAttempt>| a.is_some_and(|a| matches!(a.phase, Phase::Running | Phase::Stopping { .. }));
+        let stops = |a: Option<TaskAttempt>| a.is_some_and(|a| matches!(a.phase, Phase::Stopping { .. }));
         let job = self.job_mut(j);
         job.running = job.running + runs(next) as u32 - runs(old) as u32;
         let need = job.need;
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -1,7 +1,7 @@
 //! Reports: what workers say of their machines, and what follows from it.
 
 use super::*;
-use crate::protocol::{split_task, Report, TaskReport, TaskState, Why};
+use crate::protocol::{split_task, ExitReason, Report, TaskReport, TaskState};
 
 /// Most orders in one answer: keeps answers far below their limit.
 const ORDERS: usize = 300;
@@ -10,18 +10,18 @@
 /// Images remembered for a machine.
 const IMAGES: usize = 24;
 
-fn halt(line: &TaskReport) -> Order {
-    Order::Stop { task: line.task.clone(), attempt: line.attempt, grace_s: 0.0 }
+fn halt(line: &TaskReport) -> Command {
+    Command::Stop { task: line.task.clone(), attempt: line.attempt, grace_s: 0.0 }
 }
 
 impl Scheduler {
     /// Takes in a report. `live`: it arrived as a report, so the answer renews the lease; otherwise it is the answer to
     /// a direct order. `start`: the node has the authority to start tasks.
-    pub fn report(&mut self, r: &Report, live: bool, start: bool) -> Taken {
+    pub fn report(&mut self, r: &Report, live: bool, start: bool) -> ReportOutcome {
         if r.token >> TOKEN_BITS > self.epoch {
-            return Taken::Superseded;
+            return ReportOutcome::Superseded;
         }
-        let Some(&i) = self.machine_index.get(&r.machine) else { return Taken::UnregisteredMachine };
+        let Some(&i) = self.machine_index.get(&r.machine) else { return ReportOutcome::UnregisteredMachine };
         let now = self.now;
         let token = self.token(self.machine(i));
         let m = self.machine_mut(i);
@@ -33,7 +33,7 @@
             m.last_answer = m.last_answer.max(now);
         }
         if (r.session, r.seq) <= m.last || r.token > token {
-            return Taken::Reply(ReportReply { token, orders: Vec::new() });
+            return ReportOutcome::Reply(ReportReply { token, orders: Vec::new() });
         }
         let another = m.last.0 != 0 && r.session > m.last.0;
         if r.session > m.last.0 {
@@ -86,12 +86,12 @@
             orders.extend(r.tasks.iter().filter(|l| l.state != TaskState::Exited).filter(|l| self.over(l)).map(halt));
         }
         // Stops first: where there are more orders than fit, the rest is told next time.
-        orders.sort_by_key(|o| !matches!(o, Order::Stop { .. }));
+        orders.sort_by_key(|o| !matches!(o, Command::Stop { .. }));
         orders.truncate(ORDERS);
         // A copy of a direct start that was carried out may still come, and once its attempt is forgotten the worker would
         // start it anew. So what makes it forget also brings a higher token, which voids the copy; and nothing is forgotten
         // while a direct order is under way, which that would void as well.
-        let forget = |o: &Order| matches!(o, Order::Forget { .. });
+        let forget = |o: &Command| matches!(o, Command::Forget { .. });
         let m = self.machine_mut(i);
         if m.direct {
             orders.retain(|o| !forget(o));
@@ -100,7 +100,7 @@
             m.counter += 1;
         }
         let token = self.token(self.machine(i));
-        Taken::Reply(ReportReply { token, orders })
+        ReportOutcome::Reply(ReportReply { token, orders })
     }
 
     /// Whether a line belongs to a job of which nothing may run any more: one cancelled, or gone from the store before this
@@ -115,7 +115,7 @@
     /// the response to a report, which the worker may not have received yet. Only its next report tells of these, since
     /// it has one in flight at a time. (A direct stop that overtook such a start once made tasks run twice.)
     /// True if a start in an answer to a report was not executed.
-    fn reconcile(&mut self, i: usize, r: &Report, live: bool, orders: &mut Vec<Order>) -> bool {
+    fn reconcile(&mut self, i: usize, r: &Report, live: bool, orders: &mut Vec<Command>) -> bool {
         let mut listed = HashSet::with_capacity(r.tasks.len());
         // A live line of another attempt than the one that was sent here, which is not under way any more: that one is what
         // is here. Taken for a stray, it was once stopped and its task started elsewhere before it had ended.
@@ -126,7 +126,7 @@
             if a.machine == i && a.attempt != line.attempt && !self.under_way(i, &a, r, live) {
                 let listed = r.tasks.iter().any(|l| l.task == line.task && l.attempt == a.attempt);
                 if a.phase != Phase::Assigned && !listed {
-                    self.step(j, t, Step::Gone);
+                    self.apply(j, t, TaskEvent::Gone);
                 }
             }
         }
@@ -138,8 +138,8 @@
             let name = || line.task.clone();
             let Some((j, t)) = known else {
                 orders.push(match line.state {
-                    TaskState::Exited => Order::Forget { task: name(), attempt: line.attempt },
-                    _ => Order::Stop { task: name(), attempt: line.attempt, grace_s: 0.0 },
+                    TaskState::Exited => Command::Forget { task: name(), attempt: line.attempt },
+                    _ => Command::Stop { task: name(), attempt: line.attempt, grace_s: 0.0 },
                 });
                 continue;
             };
@@ -153,8 +153,8 @@
                 if attempt.is_some() {
                     listed.insert((j, t));
                 }
-                if self.exited(i, j, t, line.why, attempt) {
-                    orders.push(Order::Forget { task: name(), attempt: line.attempt });
+                if self.exited(i, j, t, line.reason, attempt) {
+                    orders.push(Command::Forget { task: name(), attempt: line.attempt });
                 }
                 continue;
             }
@@ -162,15 +162,15 @@
             let phase = if early { Phase::Fetching } else { Phase::Running };
             let job = self.job(j);
             if !job.active.contains_key(&t) && !bit(&job.done, t) {
-                self.step(j, t, Step::Adopt { machine: i, attempt: line.attempt, phase });
+                self.apply(j, t, TaskEvent::Adopt { machine: i, attempt: line.attempt, phase });
                 // Its line may have left the log.
                 self.log.wants(j, t, i, line.attempt);
                 if self.job(j).ended {
-                    self.step(j, t, Step::Stop { save: false });
+                    self.apply(j, t, TaskEvent::Stop { save: false });
                 }
             }
             let Some(a) = here(self) else {
-                orders.push(Order::Stop { task: name(), attempt: line.attempt, grace_s: 0.0 });
+                orders.push(Command::Stop { task: name(), attempt: line.attempt, grace_s: 0.0 });
                 continue;
             };
             listed.insert((j, t));
@@ -180,7 +180,7 @@
             if let Phase::Stopping { save } = a.phase {
                 if !(save && line.state == TaskState::Saving) {
                     let grace_s = if save { self.job(j).record.spec.save_s } else { 0.0 };
-                    orders.push(Order::Stop { task: name(), attempt: line.attempt, grace_s });
+                    orders.push(Command::Stop { task: name(), attempt: line.attempt, grace_s });
                 }
                 continue;
             }
@@ -193,7 +193,7 @@
             if a.phase != Phase::Assigned && !self.under_way(i, &a, r, live) {
                 tracing::info!(job = %self.job(j).record.spec.id, task = t, machine = %self.machine(i).name, "task gone");
                 lost |= !a.shown && !a.direct && a.token == r.token;
-                self.step(j, t, Step::Gone);
+                self.apply(j, t, TaskEvent::Gone);
             }
         }
         lost
@@ -201,12 +201,12 @@
 
     /// Whether a start may still be on its way to a worker that has sent this report. One sent under an older token is
     /// void: the worker has seen this one.
-    fn under_way(&self, i: usize, a: &Active, r: &Report, live: bool) -> bool {
+    fn under_way(&self, i: usize, a: &TaskAttempt, r: &Report, live: bool) -> bool {
         !a.shown && a.token == r.token && if a.direct { self.machine(i).direct } else { !live }
     }
 
     /// A live task's state as its worker tells it.
-    fn show(&mut self, i: usize, j: usize, t: u32, a: Active, phase: Phase) {
+    fn show(&mut self, i: usize, j: usize, t: u32, a: TaskAttempt, phase: Phase) {
         let image = self.job(j).image;
         if phase == Phase::Running && a.phase != Phase::Running {
             let size = self.job(j).record.spec.image_gb;
@@ -225,7 +225,7 @@
             tracing::info!(job = %job.record.spec.id, task = t, machine = %machine.name, ?phase, held, age_ms, "task");
         }
         self.hold_image(i, image);
-        self.step(j, t, Step::Show(phase));
+        self.apply(j, t, TaskEvent::Show(phase));
     }
 
     /// Remembers which images a machine holds, the latest used last.
@@ -253,9 +253,9 @@
     }
 
     /// A task has ended on a machine. True if its line may be forgotten.
-    fn exited(&mut self, i: usize, j: usize, t: u32, why: Option<Why>, active: Option<Active>) -> bool {
+    fn exited(&mut self, i: usize, j: usize, t: u32, reason: Option<ExitReason>, active: Option<TaskAttempt>) -> bool {
         let job = self.job(j);
-        if why == Some(Why::Done) && job.record.spec.kind != Kind::Service && !job.ended {
+        if reason == Some(ExitReason::Done) && job.record.spec.kind != Kind::Service && !job.ended {
             if !bit(&job.done, t) {
                 if job.active.contains_key(&t) && active.is_none() {
                     // The same task is at work elsewhere; this result is kept until that has ended.
@@ -266,21 +266,21 @@
             return bit(&self.job(j).saved, t);
         }
         let Some(a) = active else { return true };
-        self.step(j, t, Step::Gone);
+        self.apply(j, t, TaskEvent::Gone);
         if matches!(a.phase, Phase::Stopping { .. }) {
             return true;
         }
         let now = self.now;
-        match why {
-            Some(Why::Error) => self.failed(i, j),
-            Some(Why::NoRoom) => self.machine_mut(i).not_before = now + 3000,
-            Some(Why::Unknown) => self.job_mut(j).not_before = now + 2000,
+        match reason {
+            Some(ExitReason::Error) => self.failed(i, j),
+            Some(ExitReason::NoRoom) => self.machine_mut(i).not_before = now + 3000,
+            Some(ExitReason::Unknown) => self.job_mut(j).not_before = now + 2000,
             _ => {}
         }
         true
     }
 
-    fn finish(&mut self, i: usize, j: usize, t: u32, active: Option<Active>) {
+    fn finish(&mut self, i: usize, j: usize, t: u32, active: Option<TaskAttempt>) {
         let now = self.now;
         let job = self.job_mut(j);
         set_bit(&mut job.done, t);
@@ -300,7 +300,7 @@
                 }
             }
             self.machine_mut(i).errors.clear();
-            self.step(j, t, Step::Finished);
+            self.apply(j, t, TaskEvent::Finished);
         }
         self.changed = true;
     }
@@ -313,12 +313,12 @@
         let job = self.job_mut(j);
         job.failures += 1;
         job.failed_on.insert(i);
-        let (mistaken, proven) = (job.mistaken(now), job.proven(now));
-        if mistaken {
+        let (fails_everywhere, proven) = (job.fails_everywhere(now), job.proven(now));
+        if fails_everywhere {
             job.not_before = now + (1000u64 << job.failures.min(6)).min(WAIT_MOST_MS);
         }
         if !proven && job.failed_on.len() >= 2 {
-            self.acquit(j);
+            self.clear_suspicion(j);
             return;
         }
         let m = self.machine_mut(i);
@@ -330,13 +330,13 @@
             m.faulty = m.state == MachineState::Up;
             self.enter(i, MachineState::Draining, "fails tasks of several jobs");
             for (j, t) in self.machine(i).tasks.clone() {
-                self.step(j, t, Step::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
+                self.apply(j, t, TaskEvent::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
             }
         }
     }
 
     /// The failures of a job say nothing of machines: those given up for its sake are used again.
-    fn acquit(&mut self, j: usize) {
+    fn clear_suspicion(&mut self, j: usize) {
         for i in 0..self.machines.len() {
             let Some(m) = self.machines[i].as_mut().filter(|m| m.errors.contains(&j)) else { continue };
             m.errors.retain(|e| *e != j);
@@ -347,7 +347,7 @@
     }
 
     /// Moves assigned tasks of a machine into orders.
-    pub(super) fn collect_starts(&mut self, i: usize, direct: bool, orders: &mut Vec<Order>) {
+    pub(super) fn collect_starts(&mut self, i: usize, direct: bool, orders: &mut Vec<Command>) {
         for (j, t) in self.machine(i).tasks.clone() {
             if orders.len() >= ORDERS {
                 return;
@@ -358,14 +358,14 @@
                 let (machine, epoch) = (&self.machine(i).name, self.epoch);
                 let token = self.token(self.machine(i));
                 tracing::info!(job = %self.job(j).record.spec.id, task = t, %machine, epoch, direct, "start");
-                orders.push(Order::Start { task, attempt: a.attempt });
-                self.step(j, t, Step::Send { direct, token });
+                orders.push(Command::Start { task, attempt: a.attempt });
+                self.apply(j, t, TaskEvent::Send { direct, token });
             }
         }
     }
 
     /// Stops of a machine that were not sent yet. A late one does no harm: it names its attempt.
-    pub(super) fn collect_stops(&mut self, i: usize, orders: &mut Vec<Order>) {
+    pub(super) fn collect_stops(&mut self, i: usize, orders: &mut Vec<Command>) {
         for (j, t) in self.machine(i).tasks.clone() {
             let job = self.jobs[j].as_mut().expect("accounted tasks belong to a present job");
             let Some(a) = job.active.get_mut(&t) else { continue };
@@ -373,7 +373,7 @@
                 a.stop_sent = true;
                 let grace_s = if save { job.record.spec.save_s } else { 0.0 };
                 let task = format!("{}/{t}", job.record.spec.id);
-                orders.push(Order::Stop { task, attempt: a.attempt, grace_s });
+                orders.push(Command::Stop { task, attempt: a.attempt, grace_s });
             }
         }
     }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -14,9 +14,9 @@
 /// What was asked for in vain in a pass. Room only shrinks in a pass, so whoever asks for as much or more, with as little
 /// choice or less, need not look again.
 #[derive(Default)]
-pub(super) struct UnplaceableRequests(Vec<Asked>);
+pub(super) struct UnplaceableRequests(Vec<FailedSearch>);
 
-struct Asked {
+struct FailedSearch {
     need: Amounts,
     spot: bool,
     types: Option<Vec<usize>>,
@@ -35,7 +35,7 @@
 
     pub(super) fn add(&mut self, j: &Job) {
         if self.0.len() < 64 {
-            self.0.push(Asked { need: j.need, spot: j.record.spec.spot, types: j.types.clone(), zone: j.zone });
+            self.0.push(FailedSearch { need: j.need, spot: j.record.spec.spot, types: j.types.clone(), zone: j.zone });
         }
     }
 }
@@ -76,8 +76,8 @@
         out.sort_by_cached_key(|i| {
             let j = self.job(*i);
             let spec = &j.record.spec;
-            let (turn, work) = self.turn(j);
-            (spec.priority != Priority::Production, !j.within, spec.priority, turn, work, *i)
+            let (queue_priority, work) = self.queue_priority(j);
+            (spec.priority != Priority::Production, !j.within, spec.priority, queue_priority, work, *i)
         });
         out
     }
@@ -86,7 +86,7 @@
     /// would never begin beside a stream of small ones. Then those that can still be in time, the shortest first, since a
     /// team's limit or a full fleet makes some late and aims count jobs; then late ones, the oldest first, who come first
     /// once they are very late.
-    fn turn(&self, j: &Job) -> (u8, u64) {
+    fn queue_priority(&self, j: &Job) -> (u8, u64) {
         let spec = &j.record.spec;
         if spec.kind == Kind::Service {
             return (1, j.submitted);
@@ -319,7 +319,7 @@
                 let Some(t) = self.job_mut(j).next_pending() else { return };
                 self.attempts += !whole as u64;
                 let attempt = (self.epoch << TOKEN_BITS) + self.attempts;
-                self.step(j, t, Step::Assign { machine, attempt });
+                self.apply(j, t, TaskEvent::Assign { machine, attempt });
                 left -= 1;
             }
         }
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -1,4 +1,4 @@
-//! The start log: a start is sent only after its line here is durable, so that an heir knows from the store alone which
+//! The start log: a start is sent only after its line here is durable, so that a new leader knows from the store alone which
 //! tasks an unheard machine may hold, and that it holds no others.
 //!
 //! The log is a small set of slots, one key each. An append takes a slot of which little is still at work, carries that
@@ -162,7 +162,7 @@
         self.log.slots.insert(done.slot, Slot { version, lines: done.lines });
         for l in done.fresh {
             if self.at_work(&l) {
-                self.step(l.job, l.task, Step::Log);
+                self.apply(l.job, l.task, TaskEvent::Log);
             }
         }
     }
@@ -185,7 +185,7 @@
     }
 
     /// The epoch before kept no log: places nothing until every lease of it has surely run out or been renewed by this one.
-    pub fn outwait(&mut self) {
+    pub fn wait_for_lease_expiry(&mut self) {
         self.place_from =
             self.now + self.p.grace_ms + self.p.lease_ms + (self.p.grace_ms + self.p.lease_ms) / 100 + 1000;
     }
@@ -213,7 +213,7 @@
                     m.address = read.1.to_string();
                 }
                 lines.push(line);
-                // What was started there has its image there, or on its way. Without this an heir knew no holders but on
+                // What was started there has its image there, or on its way. Without this a new leader knew no holders but on
                 // machines that it had heard, and when a cut zone was back, all of it fetched anew.
                 let image = self.job(line.job).image;
                 self.hold_image(line.machine, image);
@@ -229,9 +229,9 @@
             if l.machine == usize::MAX || bit(&self.job(j).done, t) {
                 continue;
             }
-            self.step(j, t, Step::Adopt { machine: l.machine, attempt: l.attempt, phase: Phase::Sent });
+            self.apply(j, t, TaskEvent::Adopt { machine: l.machine, attempt: l.attempt, phase: Phase::Sent });
             if self.job(j).ended {
-                self.step(j, t, Step::Stop { save: false });
+                self.apply(j, t, TaskEvent::Stop { save: false });
             }
             // An earlier leader may have renewed its lease until its authority to do so ended.
             let until = self.now + self.p.grace_ms + self.p.grace_ms / 500;
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,7 +1,7 @@
 //! The scheduler under a fake clock, with scripted workers.
 
 use super::*;
-use crate::protocol::{JobSpec, Report, TaskReport, TaskState, Why};
+use crate::protocol::{ExitReason, JobSpec, Report, TaskReport, TaskState};
 
 const LEASE: u64 = 12_000;
 const GRACE: u64 = 10_000;
@@ -115,18 +115,18 @@
         5 << TOKEN_BITS
     }
 
-    fn report(&mut self, machine: &str, token: u64, tasks: &[(&str, u64, TaskState, Option<Why>)]) -> Report {
+    fn report(&mut self, machine: &str, token: u64, tasks: &[(&str, u64, TaskState, Option<ExitReason>)]) -> Report {
         self.seq += 1;
         let zone = self
             .scheduler
             .machine_index
             .get(machine)
             .map(|i| self.scheduler.zone_name(self.scheduler.machine(*i).zone));
-        let lines = tasks.iter().map(|(task, attempt, state, why)| TaskReport {
+        let lines = tasks.iter().map(|(task, attempt, state, reason)| TaskReport {
             task: (*task).into(),
             attempt: *attempt,
             state: *state,
-            why: *why,
+            reason: *reason,
             saved: None,
         });
         Report {
@@ -143,22 +143,27 @@
         }
     }
 
-    fn answer(&mut self, r: &Report) -> Vec<Order> {
+    fn answer(&mut self, r: &Report) -> Vec<Command> {
         self.scheduler.place();
         self.log();
         match self.scheduler.report(r, true, true) {
-            Taken::Reply(reply) => reply.orders,
+            ReportOutcome::Reply(reply) => reply.orders,
             other => panic!("{other:?}"),
         }
     }
 
-    fn tell_token(&mut self, machine: &str, token: u64, tasks: &[(&str, u64, TaskState, Option<Why>)]) -> Vec<Order> {
+    fn tell_token(
+        &mut self,
+        machine: &str,
+        token: u64,
+        tasks: &[(&str, u64, TaskState, Option<ExitReason>)],
+    ) -> Vec<Command> {
         let r = self.report(machine, token, tasks);
         self.answer(&r)
     }
 
     /// A report under the current token.
-    fn tell(&mut self, machine: &str, tasks: &[(&str, u64, TaskState, Option<Why>)]) -> Vec<Order> {
+    fn tell(&mut self, machine: &str, tasks: &[(&str, u64, TaskState, Option<ExitReason>)]) -> Vec<Command> {
         self.tell_token(machine, self.token(), tasks)
     }
 
@@ -188,16 +193,16 @@
 }
 
 /// The starts among orders.
-fn starts(orders: &[Order]) -> Vec<(String, u64)> {
-    let start = |o: &Order| match o {
-        Order::Start { task, attempt } => Some((task.clone(), *attempt)),
+fn starts(orders: &[Command]) -> Vec<(String, u64)> {
+    let start = |o: &Command| match o {
+        Command::Start { task, attempt } => Some((task.clone(), *attempt)),
         _ => None,
     };
     orders.iter().filter_map(start).collect()
 }
 
-fn stops(orders: &[Order]) -> usize {
-    orders.iter().filter(|o| matches!(o, Order::Stop { .. })).count()
+fn stops(orders: &[Command]) -> usize {
+    orders.iter().filter(|o| matches!(o, Command::Stop { .. })).count()
 }
 
 #[test]
@@ -234,7 +239,7 @@
     w.tell("n-1", &[]);
     let got = starts(&w.tell("n-1", &[]));
     assert_eq!(got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(), vec!["wk-1/1"]);
-    // Without an heir's knowledge of n-2 the task would be started here a second time.
+    // Without a new leader's knowledge of n-2 the task would be started here a second time.
     let line = [("wk-1/1", got[0].1, TaskState::Running, None)];
     assert!(starts(&w.tell("n-1", &line)).is_empty());
     w.scheduler.machine_gone("n-2");
@@ -250,7 +255,10 @@
     let first = w.scheduler.append(8000, 60).expect("two starts wait");
     assert!(w.scheduler.append(8000, 60).is_none(), "their lines are being written");
     let r = w.report("n-1", w.token(), &[]);
-    assert_eq!(w.scheduler.report(&r, true, true), Taken::Reply(ReportReply { token: w.token(), orders: vec![] }));
+    assert_eq!(
+        w.scheduler.report(&r, true, true),
+        ReportOutcome::Reply(ReportReply { token: w.token(), orders: vec![] })
+    );
     assert!(w.scheduler.direct(9).is_empty());
     // The write failed since the slot had changed: an earlier write without an answer had gone through after all.
     w.scheduler.not_appended(first, Some((150, "n-1 - /wk-1 0.1")));
@@ -396,7 +404,7 @@
     let mut w = World::new();
     w.machine("n-1", "a");
     let r = w.report("n-1", 6 << TOKEN_BITS, &[]);
-    assert_eq!(w.scheduler.report(&r, true, true), Taken::Superseded);
+    assert_eq!(w.scheduler.report(&r, true, true), ReportOutcome::Superseded);
 }
 
 #[test]
@@ -408,12 +416,12 @@
     let r = w.report("n-1", w.token(), &[]);
     assert_eq!(
         w.scheduler.report(&r, true, false),
-        Taken::Reply(ReportReply { token: w.token(), orders: vec![] }),
+        ReportOutcome::Reply(ReportReply { token: w.token(), orders: vec![] }),
         "renewing in an outage starts nothing"
     );
     assert_eq!(starts(&w.tell("n-1", &[])).len(), 1);
     let unregistered = w.report("n-77", w.token(), &[]);
-    assert_eq!(w.scheduler.report(&unregistered, true, true), Taken::UnregisteredMachine);
+    assert_eq!(w.scheduler.report(&unregistered, true, true), ReportOutcome::UnregisteredMachine);
 }
 
 #[test]
@@ -451,7 +459,7 @@
     // The start was in flight when its user cancelled: it is stopped once it shows.
     assert!(w.scheduler.stopped_jobs().is_empty());
     assert_eq!(stops(&w.tell("n-1", &[("wk-1/0", got[0].1, TaskState::Fetching, None)])), 1);
-    w.tell("n-1", &[("wk-1/0", got[0].1, TaskState::Exited, Some(Why::Stopped))]);
+    w.tell("n-1", &[("wk-1/0", got[0].1, TaskState::Exited, Some(ExitReason::Stopped))]);
     assert_eq!(w.scheduler.stopped_jobs(), vec!["wk-1".to_string()]);
     assert!(starts(&w.tell("n-1", &[])).is_empty());
 }
@@ -475,7 +483,7 @@
     w.machine("n-1", "a");
     w.job(spec("wk-1", 2), 101);
     let got = starts(&w.tell("n-1", &[]));
-    let done = |i: usize| (got[i].0.as_str(), got[i].1, TaskState::Exited, Some(Why::Done));
+    let done = |i: usize| (got[i].0.as_str(), got[i].1, TaskState::Exited, Some(ExitReason::Done));
     let run = |i: usize| (got[i].0.as_str(), got[i].1, TaskState::Running, None);
     assert!(w.tell("n-1", &[done(0), run(1)]).is_empty());
     assert!(w.scheduler.complete_jobs().is_empty());
@@ -483,7 +491,7 @@
     assert_eq!(rows.len(), 1);
     w.scheduler.saved(&rows[0]);
     let orders = w.tell("n-1", &[done(0), run(1)]);
-    assert!(matches!(orders[..], [Order::Forget { .. }]));
+    assert!(matches!(orders[..], [Command::Forget { .. }]));
     assert!(w.scheduler.complete_jobs().is_empty());
     w.tell("n-1", &[done(0), done(1)]);
     assert_eq!(w.scheduler.complete_jobs(), vec![("wk-1".to_string(), 101, 2)]);
@@ -540,7 +548,8 @@
         if got.is_empty() {
             got = starts(&w.tell("n-1", &[]));
         }
-        let failed: Vec<_> = got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Exited, Some(Why::Error))).collect();
+        let failed: Vec<_> =
+            got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Exited, Some(ExitReason::Error))).collect();
         w.tell("n-1", &failed);
     }
     let state = w.scheduler.machines().next().map(|(_, m)| m.state);
@@ -554,7 +563,7 @@
     w.tick(1100);
     for name in ["n-1", "n-2", "n-3"] {
         let got = starts(&w.tell(name, &[]));
-        w.tell(name, &[(got[0].0.as_str(), got[0].1, TaskState::Exited, Some(Why::Error))]);
+        w.tell(name, &[(got[0].0.as_str(), got[0].1, TaskState::Exited, Some(ExitReason::Error))]);
     }
     assert!(w.scheduler.machines().all(|(_, m)| m.state == MachineState::Up));
     w.tick(1200);
@@ -577,17 +586,17 @@
     let mut w = World::new();
     full(&mut w);
     w.job(JobSpec { priority: Priority::Production, ..spec("wk-2", 2) }, 102);
-    w.scheduler.look_ahead(true);
+    w.scheduler.unmet_demand(true);
     assert_eq!(stopping(&w), 2);
-    w.scheduler.look_ahead(true);
+    w.scheduler.unmet_demand(true);
     assert_eq!(stopping(&w), 2, "room that is on its way is not won twice");
     let mut w = World::new();
     full(&mut w);
     w.job(spec("wk-3", 2), 102);
-    assert_eq!((w.scheduler.look_ahead(true).len(), stopping(&w)), (1, 0));
+    assert_eq!((w.scheduler.unmet_demand(true).len(), stopping(&w)), (1, 0));
     // Team u is guaranteed 4 CPUs, and team t, which has no guarantee, must give them back.
     w.job(JobSpec { team: "u".into(), ..spec("wk-4", 2) }, 103);
-    w.scheduler.look_ahead(true);
+    w.scheduler.unmet_demand(true);
     assert_eq!(stopping(&w), 2);
 }
 
@@ -608,7 +617,7 @@
     w.tick(12_500);
     let mut r = w.report("n-1", w.token(), &[(got[0].0.as_str(), got[0].1, TaskState::Running, None)]);
     r.notice_s = Some(8.5);
-    assert_eq!(w.answer(&r), vec![Order::Stop { task: "wk-1/0".into(), attempt: got[0].1, grace_s: 4.0 }]);
+    assert_eq!(w.answer(&r), vec![Command::Stop { task: "wk-1/0".into(), attempt: got[0].1, grace_s: 4.0 }]);
 }
 
 #[test]
@@ -643,7 +652,7 @@
     let here: Vec<_> = got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Gathering, None)).collect();
     let there = starts(&w.tell("n-2", &[]));
     assert_eq!(here.len() + there.len(), 6);
-    let line = |g: &(String, u64)| (g.0.clone(), g.1, TaskState::Gathering, None::<Why>);
+    let line = |g: &(String, u64)| (g.0.clone(), g.1, TaskState::Gathering, None::<ExitReason>);
     let there: Vec<_> = there.iter().map(line).collect();
     let there: Vec<_> = there.iter().map(|l| (l.0.as_str(), l.1, l.2, l.3)).collect();
     w.tell("n-2", &there);
@@ -675,7 +684,7 @@
         address: String::new(),
         token: w.token(),
         session: 1,
-        orders: vec![Order::Stop { task: got[0].0.clone(), attempt: got[0].1, grace_s: 0.0 }],
+        orders: vec![Command::Stop { task: got[0].0.clone(), attempt: got[0].1, grace_s: 0.0 }],
     };
     let answer = w.report("n-1", w.token(), &[]);
     w.scheduler.direct_answer(&sent, Some(&answer));
@@ -729,8 +738,8 @@
         assert!(w.scheduler.silent(5000, 40_000).is_empty(), "at {s} s the first ones were given up once");
     }
     let a = w.scheduler.zone_index("a").unwrap();
-    assert_eq!(w.scheduler.zones_dark(), HashSet::from([a]));
-    assert!(!w.scheduler.deaf());
+    assert_eq!(w.scheduler.unreachable_zones(), HashSet::from([a]));
+    assert!(!w.scheduler.hears_no_worker());
     // One that falls silent in the other zone is given up at once, as ever.
     w.pass_to(8000);
     tell_some(&mut w, &up[1..]);
@@ -778,18 +787,18 @@
     }
     // It did not run for most of a minute: the reports of that time wait at its door.
     w.scheduler.tick(50_000);
-    assert!(!w.scheduler.deaf() && w.scheduler.silent(5000, 40_000).is_empty());
+    assert!(!w.scheduler.hears_no_worker() && w.scheduler.silent(5000, 40_000).is_empty());
     tell_all(&mut w);
     w.pass_to(52_000);
-    assert!(!w.scheduler.deaf());
+    assert!(!w.scheduler.hears_no_worker());
     // Nobody within the time in which everybody reports: given up before a single lease has run out.
     w.pass_to(53_000);
-    assert!(w.scheduler.deaf() && w.scheduler.silent(5000, 40_000).is_empty());
+    assert!(w.scheduler.hears_no_worker() && w.scheduler.silent(5000, 40_000).is_empty());
 }
 
 #[test]
 fn an_heir_that_nobody_answers_knows_soon_that_it_is_cut_off_too() {
-    let heir = |answered: bool| {
+    let new_leader = |answered: bool| {
         let mut w = World::new();
         // Reports come so seldom that waiting for them would take most of a lease.
         w.scheduler.p.report_ms = 5000;
@@ -799,17 +808,17 @@
         let probes = w.scheduler.probes(9);
         assert_eq!(probes.len(), 3);
         w.pass_to(5500);
-        assert!(!w.scheduler.deaf());
+        assert!(!w.scheduler.hears_no_worker());
         if answered {
             let answer = w.report(&probes[0].machine, w.token(), &[]);
             w.scheduler.direct_answer(&probes[0], Some(&answer));
         }
         w.pass_to(6500);
-        w.scheduler.deaf()
+        w.scheduler.hears_no_worker()
     };
-    assert!(heir(false));
+    assert!(new_leader(false));
     // One answer, by whichever way, and it is the others that are out.
-    assert!(!heir(true));
+    assert!(!new_leader(true));
 }
 
 #[test]
@@ -845,7 +854,8 @@
     let line = (got[0].0.as_str(), got[0].1, TaskState::Running, None);
     let running = w.report("n-1", w.token(), &[line]);
     w.answer(&running);
-    let exited = w.report("n-1", w.token(), &[(got[0].0.as_str(), got[0].1, TaskState::Exited, Some(Why::Done))]);
+    let exited =
+        w.report("n-1", w.token(), &[(got[0].0.as_str(), got[0].1, TaskState::Exited, Some(ExitReason::Done))]);
     w.scheduler.at(5000);
     w.answer(&exited);
     assert_eq!(w.scheduler.complete_jobs().len(), 1);
@@ -896,7 +906,9 @@
         next += 1;
         w.scheduler.at(now);
         match running.take() {
-            Some((task, attempt)) => w.tell("n-1", &[(task.as_str(), attempt, TaskState::Exited, Some(Why::Done))]),
+            Some((task, attempt)) => {
+                w.tell("n-1", &[(task.as_str(), attempt, TaskState::Exited, Some(ExitReason::Done))])
+            }
             None => w.tell("n-1", &[]),
         };
         w.scheduler.reconsider();
@@ -919,10 +931,10 @@
         w.tell("n-1", &lines);
         let id = format!("wk-{}", round + 10);
         w.job(JobSpec { priority: Priority::Production, ..spec(&id, 1) }, 110 + round);
-        w.scheduler.look_ahead(true);
+        w.scheduler.unmet_demand(true);
         let stopped: Vec<(String, u64)> = {
             let job = w.scheduler.jobs().find(|j| j.record.spec.id == "wk-1").unwrap();
-            let of = |(t, a): (&u32, &Active)| {
+            let of = |(t, a): (&u32, &TaskAttempt)| {
                 matches!(a.phase, Phase::Stopping { .. }).then(|| (format!("wk-1/{t}"), a.attempt))
             };
             job.active.iter().filter_map(of).collect()
@@ -955,16 +967,16 @@
     w.tick(2000);
     let sent = w.scheduler.direct(9);
     let got = starts(&sent[0].orders);
-    let line = |state, why| [(got[0].0.as_str(), got[0].1, state, why)];
+    let line = |state, reason| [(got[0].0.as_str(), got[0].1, state, reason)];
     let r = w.report("n-1", w.token(), &line(TaskState::Running, None));
     w.scheduler.direct_answer(&sent[0], Some(&r));
     w.scheduler.drop_job("wk-1");
-    let r = w.report("n-1", w.token(), &line(TaskState::Exited, Some(Why::Stopped)));
+    let r = w.report("n-1", w.token(), &line(TaskState::Exited, Some(ExitReason::Stopped)));
     match w.scheduler.report(&r, true, true) {
         // A copy of the direct order carries the old token.
-        Taken::Reply(reply) => {
+        ReportOutcome::Reply(reply) => {
             assert_eq!(reply.token, w.token() + 1);
-            assert!(matches!(reply.orders[..], [Order::Forget { .. }]));
+            assert!(matches!(reply.orders[..], [Command::Forget { .. }]));
         }
         other => panic!("{other:?}"),
     }
@@ -984,8 +996,10 @@
     let sent = w.scheduler.direct(9);
     let host = sent[0].machine.clone();
     let got = starts(&sent[0].orders);
-    let lines =
-        [("wk-1/0", 3, TaskState::Running, None), (got[0].0.as_str(), got[0].1, TaskState::Exited, Some(Why::Busy))];
+    let lines = [
+        ("wk-1/0", 3, TaskState::Running, None),
+        (got[0].0.as_str(), got[0].1, TaskState::Exited, Some(ExitReason::Busy)),
+    ];
     let r = w.report(&host, w.token(), &lines);
     w.scheduler.direct_answer(&sent[0], Some(&r));
     assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 0);
@@ -1071,7 +1085,7 @@
         assert_eq!(ending(&w), 2000);
     }
     let stop = w.scheduler.direct(9).remove(0);
-    assert!(matches!(stop.orders[..], [Order::Stop { grace_s, .. }] if grace_s == 3.0));
+    assert!(matches!(stop.orders[..], [Command::Stop { grace_s, .. }] if grace_s == 3.0));
     // Equal work does not yield.
     w.job(JobSpec { priority: Priority::Low, ..spec("wk-3", 4) }, 103);
     w.scheduler.make_room();
@@ -1084,10 +1098,10 @@
     w.known("n-1");
     w.job(spec("wk-1", 2), 101);
     w.tick(1100);
-    assert_eq!(w.scheduler.look_ahead(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
+    assert_eq!(w.scheduler.unmet_demand(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
     let i = w.scheduler.machine_index["n-1"];
     w.scheduler.listed(i, false, "", 0);
-    assert!(w.scheduler.look_ahead(false).is_empty());
+    assert!(w.scheduler.unmet_demand(false).is_empty());
     // Listed as running, it is missed if it does not report.
     w.scheduler.listed(i, true, "1.2.3.4:9", 0);
     w.pass_to(9000);
@@ -1129,7 +1143,7 @@
     let mut w = World::new();
     w.machine("n-9", "a");
     w.job(spec("wk-1", 1), 50);
-    w.scheduler.outwait();
+    w.scheduler.wait_for_lease_expiry();
     for (after, placed) in [(0, 0), (2000, 1)] {
         w.scheduler.at(1000 + LEASE + GRACE + after);
         let mut got = starts(&w.tell("n-9", &[]));
@@ -1193,12 +1207,12 @@
     let lines =
         [("wk-1/0", 71, run, None), ("wk-2/0", 72, run, None), ("wk-9/0", 7, run, None), ("wk-1/1", 70, done, None)];
     let r = w.report("n-1", 4 << TOKEN_BITS, &lines);
-    let Taken::Reply(reply) = w.scheduler.report(&r, true, false) else { panic!() };
+    let ReportOutcome::Reply(reply) = w.scheduler.report(&r, true, false) else { panic!() };
     let stopped: Vec<&str> = reply
         .orders
         .iter()
         .map(|o| match o {
-            Order::Stop { task, grace_s, .. } if *grace_s == 0.0 => task.as_str(),
+            Command::Stop { task, grace_s, .. } if *grace_s == 0.0 => task.as_str(),
             other => panic!("{other:?}"),
         })
         .collect();
@@ -1255,7 +1269,8 @@
         for name in ["n-1", "n-2", "n-3"] {
             let got = starts(&w.tell(name, &[]));
             tried += got.len();
-            let failed: Vec<_> = got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Exited, Some(Why::Error))).collect();
+            let failed: Vec<_> =
+                got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Exited, Some(ExitReason::Error))).collect();
             w.tell(name, &failed);
         }
         if round > 20 {
@@ -1263,11 +1278,11 @@
         }
     }
     assert!(w.scheduler.machines().all(|(_, m)| m.state == MachineState::Up && m.errors.is_empty()));
-    assert!(w.scheduler.jobs().all(|j| j.mistaken(w.scheduler.now)) && most <= 2, "{most}");
+    assert!(w.scheduler.jobs().all(|j| j.fails_everywhere(w.scheduler.now)) && most <= 2, "{most}");
     // Nothing is rented for them, and others find room beside the one place each.
     w.tick(202_000);
-    let needs = w.scheduler.look_ahead(false);
-    assert!(needs.iter().map(|n| n.tasks).sum::<u32>() <= 2);
+    let demands = w.scheduler.unmet_demand(false);
+    assert!(demands.iter().map(|n| n.tasks).sum::<u32>() <= 2);
     w.job(JobSpec { cpus: 8.0, ..spec("wk-3", 3) }, 103);
     w.tick(202_500);
     assert!(!w.scheduler.job(w.scheduler.job_index["wk-3"]).active.is_empty());
@@ -1347,7 +1362,7 @@
     }
     let never = |w: &World, i: usize| w.scheduler.never_came_up(w.scheduler.machine(i));
     // Past the time in which it was expected, it counts no more as room to come.
-    assert_eq!(w.scheduler.look_ahead(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
+    assert_eq!(w.scheduler.unmet_demand(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
     w.pass_to(18_000);
     w.scheduler.listed(up, true, "1.2.3.4:9", 87_000);
     // A list may be older than the one before it, and is no reason to wait longer.
--- a/src/store.rs
+++ b/src/store.rs
@@ -105,7 +105,7 @@
     pub leader: LeaderRecord,
     /// Its members, among which the machines are divided.
     pub members: Vec<LeaderRecord>,
-    /// Whether its leader keeps the start log: versions before it did not, and their heir has to outwait every lease.
+    /// Whether its leader keeps the start log: versions before it did not, and their new leader has to outwait every lease.
     #[serde(default)]
     pub logs_starts: bool,
 }
@@ -169,7 +169,7 @@
     pub stopping: BTreeMap<String, Versioned<LiveRecord>>,
     /// Finished tasks by job and chunk.
     pub done: BTreeMap<(String, u32), Versioned<Vec<u8>>>,
-    /// The start log by slot, as text: only an heir reads it.
+    /// The start log by slot, as text: only a new leader reads it.
     pub starts: BTreeMap<u32, Versioned<String>>,
     /// Hires.
     pub rentals: BTreeMap<String, Versioned<RentalRecord>>,
