--- a/src/config.rs
+++ b/src/config.rs
@@ -180,7 +180,7 @@
     pub direct_starts: bool,
     /// An idle machine is returned after this time, in seconds.
     pub idle_return_s: f64,
-    /// Life of the leader's hold, in seconds.
+    /// Life of the leader lease, in seconds.
     pub hold_s: f64,
 }
 
@@ -284,11 +284,11 @@
 
     /// The grace period: how long after its authority to start has ended a leader may go on renewing leases, in milliseconds.
     /// Short enough that a task of a job cancelled elsewhere meanwhile is gone in time. The authority to start ends within a
-    /// hold of the sending of the last read that the mirror has reached, so that a cancellation the leader does not know
-    /// of was confirmed after that; from then on a hold, this period and a worker's lease pass at most.
+    /// leader lease of the sending of the last read that the mirror has reached, so that a cancellation the leader does not know
+    /// of was confirmed after that; from then on a leader lease, this period and a worker's lease pass at most.
     pub fn grace_ms(&self) -> u64 {
         let w = &self.platform.deployment.workers;
-        // The hold itself, and for stops that come late after all what two reports and their answers take.
+        // The leader lease itself, and for stops that come late after all what two reports and their answers take.
         let margin = self.operator.hold_s + 1.5 + 2.0 * w.report_s;
         ((w.cancel_s - w.lease_s * 1.001 - margin) * 1000.0).max(0.0) as u64
     }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -58,7 +58,7 @@
     let s = settings();
     let w = &s.platform.deployment.workers;
     assert!(s.operator.hold_s + (s.grace_ms() as f64) / 1000.0 + w.lease_s + 2.0 * w.report_s < w.cancel_s);
-    // A longer hold leaves less, never an overstay.
+    // A longer leader lease leaves less, never an overstay.
     let mut long = settings();
     long.operator.hold_s = 20.0;
     let w = &long.platform.deployment.workers;
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,8 +1,8 @@
 //! Leadership of one epoch: who may start tasks, until when, and who may still renew leases.
 //!
-//! Rights follow knowledge. A hold that was renewed says that nobody else leads; it does not say that this node has heard
+//! Authority follows knowledge. A leader lease that was renewed says that nobody else leads; it does not say that this node has heard
 //! of the cancellations which the others confirmed. So every authority counts from the *sending* of the older of two requests:
-//! the last good renewal of the hold, and the last read of the store whose answer this node's mirror has reached.
+//! the last good renewal of the leader lease, and the last read of the store whose answer this node's mirror has reached.
 //!
 //! Pure: times come in as milliseconds of the steady clock.
 
@@ -23,15 +23,19 @@
     Follower,
     /// Trying to become leader.
     Campaigning,
-    /// Leads the epoch under a hold.
-    Leading {
-        /// Epoch number.
-        epoch: u64,
-        /// Version of the epoch key, which guards every write.
-        version: u64,
-        /// The hold.
-        hold: u64,
-    },
+    /// Leads an epoch under a leader lease.
+    Leading(Term),
+}
+
+/// The time for which a node leads an epoch.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Term {
+    /// Epoch number.
+    pub epoch: u64,
+    /// Version of the epoch key, which guards every write.
+    pub version: u64,
+    /// The leader lease in the state service.
+    pub lease: u64,
 }
 
 /// What a leader may do at a moment.
@@ -39,7 +43,7 @@
 pub enum Authority {
     /// Nothing.
     None,
-    /// Renew leases and stop tasks, but start nothing: the hold may have ended unseen, or a job may have been cancelled.
+    /// Renew leases and stop tasks, but start nothing: the leader lease may have ended unseen, or a job may have been cancelled.
     Renew,
     /// Everything.
     Full,
@@ -52,15 +56,11 @@
     Campaign,
     /// The campaign failed.
     Lost,
-    /// The campaign succeeded; the hold was last confirmed by a request sent at `sent`.
+    /// The campaign succeeded; the leader lease was last confirmed by a request sent at `sent`.
     Won {
-        /// Epoch number.
-        epoch: u64,
-        /// Version of the epoch key.
-        version: u64,
-        /// The hold.
-        hold: u64,
-        /// When the hold's request was sent.
+        /// The term that begins.
+        term: Term,
+        /// When the leader lease's request was sent.
         sent: u64,
     },
     /// A renewal sent at this time succeeded.
@@ -74,7 +74,7 @@
     },
     /// The mirror holds every change up to this revision.
     Mirrored(u64),
-    /// The hold has ended, or another epoch was seen, or the grace period of an outage is over.
+    /// The leader lease has ended, or another epoch was seen, or the grace period of an outage is over.
     Ended,
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl Leadership {
-    /// A follower whose holds live `ttl_ms` and who may renew leases `grace_ms` beyond its authority to start.
+    /// A follower whose leader leases live `ttl_ms` and who may renew leases `grace_ms` beyond its authority to start.
     pub fn new(ttl_ms: u64, grace_ms: u64) -> Self {
         Leadership { role: Role::Follower, ttl_ms, grace_ms, renewed: 0, known: 0, mirrored: 0, reads: Vec::new() }
     }
@@ -102,10 +102,10 @@
         &self.role
     }
 
-    /// Number, version of the epoch key and hold, while leading.
-    pub fn term(&self) -> Option<(u64, u64, u64)> {
+    /// The term, while leading.
+    pub fn term(&self) -> Option<Term> {
         match self.role {
-            Role::Leading { epoch, version, hold } => Some((epoch, version, hold)),
+            Role::Leading(term) => Some(term),
             _ => None,
         }
     }
@@ -128,15 +128,15 @@
             }
             (Role::Follower, Event::Campaign) => Role::Campaigning,
             (Role::Campaigning, Event::Lost) => Role::Follower,
-            (Role::Campaigning, Event::Won { epoch, version, hold, sent }) => {
+            (Role::Campaigning, Event::Won { term, sent }) => {
                 self.renewed = sent;
-                Role::Leading { epoch, version, hold }
+                Role::Leading(term)
             }
-            (Role::Leading { .. }, Event::Renewed(sent)) => {
+            (Role::Leading(_), Event::Renewed(sent)) => {
                 self.renewed = self.renewed.max(sent);
                 return false;
             }
-            (Role::Leading { .. }, Event::Ended) => Role::Follower,
+            (Role::Leading(_), Event::Ended) => Role::Follower,
             _ => return false,
         };
         tracing::info!(from = ?self.role, to = ?next, "role");
@@ -164,10 +164,10 @@
     /// What may be done now.
     ///
     /// A renewal alone once gave the full authority back: after a refusal or an outage, in which open watches wait silently and
-    /// holds have their full time again, a leader started tasks of jobs that others had confirmed as cancelled meanwhile,
+    /// leader leases have their full time again, a leader started tasks of jobs that others had confirmed as cancelled meanwhile,
     /// and short refusals in a row stretched the time for which such tasks were kept alive.
     pub fn authority(&self, now: u64) -> Authority {
-        if !matches!(self.role, Role::Leading { .. }) {
+        if !matches!(self.role, Role::Leading(_)) {
             return Authority::None;
         }
         let until = self.full_until();
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-/// Leads epoch 3 with a hold of 2 s and a grace period of 10 s; renewed and read at 1000, the mirror at revision 9.
+/// Leads epoch 3 with a leader lease of 2 s and a grace period of 10 s; renewed and read at 1000, the mirror at revision 9.
 fn leading() -> Leadership {
     let mut l = Leadership::new(2000, 10_000);
     assert!(l.apply(Event::Campaign));
-    assert!(l.apply(Event::Won { epoch: 3, version: 9, hold: 1, sent: 1000 }));
+    assert!(l.apply(Event::Won { term: Term { epoch: 3, version: 9, lease: 1 }, sent: 1000 }));
     read(&mut l, 1000, 9);
     l.apply(Event::Mirrored(9));
     l
@@ -27,7 +27,7 @@
     // An answer to an older renewal must not shorten or lengthen anything.
     l.apply(Event::Renewed(1500));
     assert_eq!(l.authority(4300), Authority::Full);
-    // Knowledge alone is no hold.
+    // Knowledge alone is no leader lease.
     read(&mut l, 5000, 9);
     assert_eq!(l.authority(5000), Authority::Renew);
 }
@@ -96,7 +96,7 @@
 #[test]
 fn a_follower_cannot_win_without_campaigning() {
     let mut l = Leadership::new(2000, 0);
-    assert!(!l.apply(Event::Won { epoch: 1, version: 1, hold: 1, sent: 1 }));
+    assert!(!l.apply(Event::Won { term: Term { epoch: 1, version: 1, lease: 1 }, sent: 1 }));
     assert_eq!(*l.role(), Role::Follower);
 }
 
--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -18,7 +18,7 @@
 /// for the leader before, whose calls may still be under way.
 pub(super) const CLOUD_SHARE: f64 = 0.9;
 
-/// Share of the store's request rate that users' single reads may take on all nodes together; the rest is for holds, watches,
+/// Share of the store's request rate that users' single reads may take on all nodes together; the rest is for leader leases, watches,
 /// the ordering of polls, changes and the leader's books.
 const USER_READS: f64 = 0.25;
 
@@ -54,9 +54,6 @@
     GiveUp,
 }
 
-/// Number, version of the epoch key and hold of a term.
-pub(super) type Term = (u64, u64, u64);
-
 /// A machine that no rental in the store names.
 pub(super) struct UnregisteredMachine {
     pub(super) machine_type: String,
@@ -182,7 +179,7 @@
         Instant::now().checked_add(Duration::from_millis(left_ms))
     }
 
-    /// Number, version of the epoch key and hold, while leading.
+    /// The term, while leading.
     pub(super) fn term(&self) -> Option<Term> {
         self.lead.term()
     }
@@ -263,7 +260,7 @@
         }
         let number = self.mirror.epoch.as_ref().map_or(0, |e| e.record.number);
         self.newest_epoch = self.newest_epoch.max(number);
-        if self.term().is_some_and(|(epoch, ..)| self.newest_epoch > epoch) {
+        if self.term().is_some_and(|term| self.newest_epoch > term.epoch) {
             self.lead_event(Event::Ended);
         }
         vacant
@@ -324,7 +321,7 @@
         if v.epoch > self.newest_epoch {
             self.newest_epoch = v.epoch;
         }
-        if self.term().is_some_and(|(epoch, ..)| self.newest_epoch > epoch) {
+        if self.term().is_some_and(|term| self.newest_epoch > term.epoch) {
             self.lead_event(Event::Ended);
         }
         if let Some(changes_per_s) = v.leader_changes_per_s.filter(|_| v.epoch >= self.newest_epoch) {
@@ -367,7 +364,7 @@
     }
 
     /// Whether no leader can start anything any more of a job whose cancellation is durable at a revision: the leader of
-    /// then has been told, or its hold has ended. A later one has read the store since.
+    /// then has been told, or its leader lease has ended. A later one has read the store since.
     pub(super) fn stops_known(&self, revision: u64) -> bool {
         let Some(leader) = self.mirror.leader.as_ref() else { return self.mirror.revision >= revision };
         self.mirror.revision >= revision
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -15,11 +15,11 @@
                     controller.mirror.loaded && controller.free_to_claim() && now >= controller.no_campaign_until;
                 (controller.term(), now, free)
             };
-            if let Some((_, _, hold)) = term {
-                // Rights need both: the hold, and a mirror that has caught up with a read of now.
+            if let Some(Term { lease, .. }) = term {
+                // Authority needs both: the leader lease, and a mirror that has caught up with a read of now.
                 self.reading.notify_one();
                 let within = Duration::from_millis((ttl / 2).min(1000));
-                let renewed = self.noted(self.store.renew(hold, within).await);
+                let renewed = self.noted(self.store.renew(lease, within).await);
                 let mut controller = self.controller.borrow_mut();
                 match renewed {
                     Ok(()) => {
@@ -49,16 +49,17 @@
             controller.lead_event(Event::Campaign);
             controller.now()
         };
-        let won = match self.noted(self.store.open_hold(ttl).await) {
-            Ok(hold) => self.claim(hold).await,
+        let won = match self.noted(self.store.open_lease(ttl).await) {
+            Ok(lease) => self.claim(lease).await,
             Err(_) => None,
         };
-        let Some((epoch, version, hold)) = won else {
+        let Some(term) = won else {
             self.controller.borrow_mut().lead_event(Event::Lost);
             pause(100).await;
             return;
         };
-        self.controller.borrow_mut().lead_event(Event::Won { epoch, version, hold, sent });
+        self.controller.borrow_mut().lead_event(Event::Won { term, sent });
+        let Term { epoch, version, .. } = term;
         // The mirror must have reached the epoch before anything is built on it.
         let mut seen = self.revision.subscribe();
         let wait = tokio::time::timeout(Duration::from_millis(ttl * 3 / 4), seen.wait_for(|r| *r >= version)).await;
@@ -70,37 +71,37 @@
         }
     }
 
-    /// Claims leadership under a hold: the epoch's number and version.
-    pub(super) async fn claim(&self, hold: u64) -> Option<(u64, u64, u64)> {
-        let claim = self.controller.borrow_mut().claim(hold);
+    /// Claims leadership under a leader lease.
+    pub(super) async fn claim(&self, lease: u64) -> Option<Term> {
+        let claim = self.controller.borrow_mut().claim(lease);
         let Some((txn, record)) = claim else {
-            self.store.close_hold(hold).await;
+            self.store.close_lease(lease).await;
             return None;
         };
-        let number = record.number;
+        let epoch = record.number;
         match self.txn(&txn).await {
-            Ok(Decided::Applied(revision)) => return Some((number, revision, hold)),
+            Ok(Decided::Applied(revision)) => return Some(Term { epoch, version: revision, lease }),
             Err(StoreError::Unknown) => {
                 let read = self.noted(self.store.get::<store::EpochRecord>(&store::epoch_key()).await);
                 let held = self.noted(self.store.get::<LeaderRecord>(&store::leader_key()).await);
                 if let (Ok(e), Ok(l)) = (read, held) {
                     if e.record == record && l.record == record.leader && l.version == e.version {
-                        return Some((number, e.version, hold));
+                        return Some(Term { epoch, version: e.version, lease });
                     }
                 }
             }
             _ => {}
         }
-        self.store.close_hold(hold).await;
+        self.store.close_lease(lease).await;
         None
     }
 
     /// Gives leadership up, so that a node that hears the workers may take it at once.
     fn give_up(&self) {
         let mut controller = self.controller.borrow_mut();
-        if let Some((_, _, hold)) = controller.term() {
+        if let Some(Term { lease, .. }) = controller.term() {
             let store = self.store.clone();
-            actix::spawn(async move { store.close_hold(hold).await });
+            actix::spawn(async move { store.close_lease(lease).await });
         }
         // Long enough for another to claim, and for the next where that one is cut off as well.
         controller.no_campaign_until = controller.now() + (controller.settings.operator.hold_s * 4000.0) as u64;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -14,7 +14,7 @@
 use crate::cloud::{CloudClient, Rented, RELEASE_MOST};
 use crate::config::Settings;
 use crate::fleet::{Fleet, RentalRequest};
-use crate::leader::{Authority, Event, Leadership};
+use crate::leader::{Authority, Event, Leadership, Term};
 use crate::pacer::{users_share, Pacer};
 use crate::peer::{self, CancellationNotices, Cancelled, PeerHealth, View};
 use crate::permit::while_permitted;
--- a/src/node/persistence.rs
+++ b/src/node/persistence.rs
@@ -1,14 +1,14 @@
 //! The leader's rounds and its books: what it sends, and the transactions that make its decisions durable.
 
-use super::controller::{ControllerState, Pass, Term, FLUSH_MS, PASS_MS, TICK_MS};
+use super::controller::{ControllerState, Pass, FLUSH_MS, PASS_MS, TICK_MS};
 use super::*;
 use crate::scheduler::{Append, DoneChunk};
 
 impl ControllerState {
     /// The transaction that claims the next epoch, and its record; none if somebody leads.
-    pub(super) fn claim(&mut self, hold: u64) -> Option<(Txn, store::EpochRecord)> {
+    pub(super) fn claim(&mut self, lease: u64) -> Option<(Txn, store::EpochRecord)> {
         self.unlogged = self.mirror.epoch.as_ref().is_some_and(|e| !e.record.logs_starts);
-        store::claim_txn(&self.mirror, &self.me, hold)
+        store::claim_txn(&self.mirror, &self.me, lease)
     }
 
     /// A leader's round: what time brings, placing, and at most `room` messages, of them at most `probes` empty ones.
@@ -66,7 +66,7 @@
         // The value's quotes, and the rest of the transaction.
         let limit = ((s.value_kb * 1024.0) as usize).min((60 << 10) - 100 * most).saturating_sub(64);
         let append = self.scheduler.as_mut()?.append(limit, most)?;
-        let txn = store::log_txn(&guard(store::epoch_key(), term.1), &append);
+        let txn = store::log_txn(&guard(store::epoch_key(), term.version), &append);
         Some((append, term, txn))
     }
 
@@ -97,9 +97,8 @@
 
     /// The guard of the leader's writes, while it may make any.
     pub(super) fn write_guard(&self) -> Option<wire::Guard> {
-        let (_, version, _) =
-            self.term().filter(|_| self.authority() == Authority::Full && self.scheduler.is_some())?;
-        Some(guard(store::epoch_key(), version))
+        let term = self.term().filter(|_| self.authority() == Authority::Full && self.scheduler.is_some())?;
+        Some(guard(store::epoch_key(), term.version))
     }
 
     /// Rows written in a round. Results wait on their machines until they are stored, so that they need not be written at
@@ -144,7 +143,7 @@
 
     /// Results are stored. What was written in an earlier term is read by this one from the store.
     pub(super) fn stored(&mut self, epoch: &wire::Guard, rows: &[DoneChunk]) {
-        let same = self.term().is_some_and(|(_, version, _)| version == epoch.version);
+        let same = self.term().is_some_and(|term| term.version == epoch.version);
         if let Some(p) = self.scheduler.as_mut().filter(|_| same) {
             rows.iter().for_each(|r| p.saved(r));
         }
--- a/src/node/provisioning.rs
+++ b/src/node/provisioning.rs
@@ -106,7 +106,7 @@
     pub(super) async fn store_types(&self, types: Vec<MachineType>) {
         let (guards, same) = {
             let controller = self.controller.borrow();
-            let Some((_, epoch, _)) = controller.term() else { return };
+            let Some(Term { version: epoch, .. }) = controller.term() else { return };
             let old = controller.mirror.catalogue.as_ref();
             let shape = |l: &[MachineType]| {
                 l.iter().map(|t| (t.name.clone(), t.cpus as u64, t.zones.clone())).collect::<Vec<_>>()
@@ -231,7 +231,7 @@
     ) {
         let (token, epoch) = {
             let controller = self.controller.borrow();
-            let Some((number, version, _)) = controller.term() else { return };
+            let Some(Term { epoch: number, version, .. }) = controller.term() else { return };
             let open =
                 controller.mirror.rentals.values().any(|h| {
                     h.record.machines.is_none() && h.record.machine_type == machine_type && h.record.zone == zone
@@ -263,7 +263,7 @@
         if known {
             tracing::info!(%machine, "unexpected machine taken in");
             // Of another epoch this one knows from the store.
-            if self.controller.borrow().term().is_some_and(|(_, version, _)| version == epoch) {
+            if self.controller.borrow().term().is_some_and(|term| term.version == epoch) {
                 self.add_machines(&record, Origin::Found);
             }
         }
@@ -328,7 +328,7 @@
         let (name, record, epoch) = {
             let mut controller = self.controller.borrow_mut();
             controller.rentals += 1;
-            let Some((_, epoch, _)) = controller.term() else { return false };
+            let Some(Term { version: epoch, .. }) = controller.term() else { return false };
             let Some(scheduler) = controller.scheduler.as_ref() else { return false };
             let record = RentalRecord {
                 machine_type: scheduler.types()[offer.kind].name.clone(),
@@ -347,7 +347,7 @@
 
     /// Calls the cloud for a stored request. True if its fate is known and stored.
     pub(super) async fn call_rental(&self, name: &str, mut record: RentalRecord, version: u64) -> bool {
-        let Some((_, epoch, _)) = self.controller.borrow().term() else { return false };
+        let Some(Term { version: epoch, .. }) = self.controller.borrow().term() else { return false };
         if self.controller.borrow().authority() != Authority::Full {
             return false;
         }
--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -112,7 +112,7 @@
     w.refuse(leader, true);
     w.run(200);
     assert!(w.cancel(other(leader), "wk-0"));
-    // Its hold lives on, since it is renewed between the refusals, but its mirror never moves.
+    // Its leader lease lives on, since it is renewed between the refusals, but its mirror never moves.
     for _ in 0..30 {
         w.run(1200);
         w.refuse(leader, false);
--- a/src/node/tests/world.rs
+++ b/src/node/tests/world.rs
@@ -1,10 +1,11 @@
-//! A scripted world under a fake clock: a state service with holds, watches, refusals and late transactions; workers with
+//! A scripted world under a fake clock: a state service with leader leases, watches, refusals and late transactions; workers with
 //! leases, sessions, tokens and images; a cloud; users. The controllers in it are the service's own `ControllerState`s; this module
 //! only carries out what they ask for, as the loops of `node` do, and checks the rules after each step.
 
 use crate::config::Settings;
+use crate::leader::Term;
 use crate::leader::{Authority, Event as LeadEvent, Role};
-use crate::node::controller::{Clock, ControllerState, Pass, Term};
+use crate::node::controller::{Clock, ControllerState, Pass};
 use crate::node::WorkerAnswer;
 use crate::protocol::{
     split_task, Change, Command, Event, ExitReason, Guard, JobSpec, Kind, MachineType, Report, ReportReply, TaskReport,
@@ -30,8 +31,8 @@
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     events: Vec<Event>,
     pub revision: u64,
-    holds: BTreeMap<u64, (u64, u64)>,
-    next_hold: u64,
+    leases: BTreeMap<u64, (u64, u64)>,
+    next_lease: u64,
     pub down: bool,
     refused: BTreeSet<usize>,
     /// Share of transactions that get no answer and are carried out later, and their number as they come.
@@ -52,8 +53,8 @@
         if !failed.is_empty() {
             return Decided::Failed(failed);
         }
-        let holds = &self.holds;
-        let lost = |c: &Change| matches!(c, Change::Put { hold: Some(h), .. } if !holds.contains_key(h));
+        let leases = &self.leases;
+        let lost = |c: &Change| matches!(c, Change::Put { lease: Some(h), .. } if !leases.contains_key(h));
         if txn.apply.iter().any(lost) {
             return Decided::Failed(vec!["hold".into()]);
         }
@@ -62,8 +63,8 @@
         }
         for change in &txn.apply {
             match change {
-                Change::Put { put, value, hold } => {
-                    self.keys.insert(put.clone(), (value.clone(), self.revision, *hold));
+                Change::Put { put, value, lease } => {
+                    self.keys.insert(put.clone(), (value.clone(), self.revision, *lease));
                     self.events.push(Event::Put { put: put.clone(), value: value.clone(), version: self.revision });
                 }
                 Change::Delete { key } => self.remove(key.clone()),
@@ -78,10 +79,10 @@
         }
     }
 
-    fn end_hold(&mut self, hold: u64) {
-        if self.holds.remove(&hold).is_some() {
+    fn end_lease(&mut self, lease: u64) {
+        if self.leases.remove(&lease).is_some() {
             let keys: Vec<String> =
-                self.keys.iter().filter(|(_, v)| v.2 == Some(hold)).map(|(k, _)| k.clone()).collect();
+                self.keys.iter().filter(|(_, v)| v.2 == Some(lease)).map(|(k, _)| k.clone()).collect();
             for key in keys {
                 self.revision += 1;
                 self.remove(key);
@@ -91,15 +92,15 @@
 
     fn tick(&mut self, now: u64) {
         if !self.down {
-            let ended: Vec<u64> = self.holds.iter().filter(|(_, (end, _))| now > *end).map(|(h, _)| *h).collect();
-            ended.into_iter().for_each(|h| self.end_hold(h));
+            let ended: Vec<u64> = self.leases.iter().filter(|(_, (end, _))| now > *end).map(|(h, _)| *h).collect();
+            ended.into_iter().for_each(|h| self.end_lease(h));
         }
     }
 
-    /// An outage is over: every hold has its full time again.
+    /// An outage is over: every leader lease has its full time again.
     fn up(&mut self, now: u64) {
         self.down = false;
-        self.holds.values_mut().for_each(|(end, ttl)| *end = now + *ttl);
+        self.leases.values_mut().for_each(|(end, ttl)| *end = now + *ttl);
     }
 
     fn get<T: serde::de::DeserializeOwned>(&self, key: &str) -> Option<Versioned<T>> {
@@ -581,13 +582,13 @@
             }
             return;
         }
-        if let Some((_, _, hold)) = controller.term() {
+        if let Some(Term { lease, .. }) = controller.term() {
             if now < self.nodes[n].renew_at {
                 return;
             }
             self.nodes[n].renew_at = now + 500;
             let controller = self.nodes[n].controller.as_mut().unwrap();
-            match (reach, self.service.holds.get_mut(&hold)) {
+            match (reach, self.service.leases.get_mut(&lease)) {
                 (Ok(()), Some((end, ttl))) => {
                     *end = now + *ttl;
                     controller.lead_event(LeadEvent::Read { sent: now, revision });
@@ -611,11 +612,11 @@
         }
         let ttl = (controller.settings.operator.hold_s * 1000.0) as u64;
         controller.lead_event(LeadEvent::Campaign);
-        let hold = self.service.next_hold + 1;
-        self.service.next_hold = hold;
-        self.service.holds.insert(hold, (now + ttl, ttl));
+        let lease = self.service.next_lease + 1;
+        self.service.next_lease = lease;
+        self.service.leases.insert(lease, (now + ttl, ttl));
         let controller = self.nodes[n].controller.as_mut().unwrap();
-        let claim = controller.claim(hold);
+        let claim = controller.claim(lease);
         let won = claim.and_then(|(txn, record)| match self.txn(n, &txn) {
             Ok(Decided::Applied(version)) => Some((record.number, version)),
             _ => None,
@@ -623,13 +624,13 @@
         let controller = self.nodes[n].controller.as_mut().unwrap();
         match won {
             Some((epoch, version)) => {
-                controller.lead_event(LeadEvent::Won { epoch, version, hold, sent: now });
+                controller.lead_event(LeadEvent::Won { term: Term { epoch, version, lease }, sent: now });
                 self.nodes[n].awaits = Some((epoch, version, now, now + ttl * 3 / 4));
             }
             None => {
                 controller.lead_event(LeadEvent::Lost);
                 controller.no_campaign_until = now + 200;
-                self.service.end_hold(hold);
+                self.service.end_lease(lease);
             }
         }
     }
@@ -637,11 +638,11 @@
     fn give_up(&mut self, n: usize) {
         let now = self.now();
         let controller = self.nodes[n].controller.as_mut().unwrap();
-        let hold = controller.term().map(|t| t.2);
+        let lease = controller.term().map(|term| term.lease);
         controller.no_campaign_until = now + 10_000;
         controller.lead_event(LeadEvent::Ended);
         if self.service.reach(n).is_ok() {
-            hold.into_iter().for_each(|h| self.service.end_hold(h));
+            lease.into_iter().for_each(|h| self.service.end_lease(h));
         }
     }
 
@@ -715,8 +716,8 @@
     fn send_direct(&mut self, n: usize, life: u64, term: Option<Term>, sends: Vec<Direct>) {
         for direct in sends {
             self.sent(&direct.orders);
-            let hold = self.held > 0.0 && self.rng.gen_bool(self.held);
-            let delay = if hold { self.rng.gen_range(self.held_ms..20_000) } else { STEP };
+            let held_up = self.held > 0.0 && self.rng.gen_bool(self.held);
+            let delay = if held_up { self.rng.gen_range(self.held_ms..20_000) } else { STEP };
             let sent = self.now();
             if delay >= 2000 {
                 let lost = Message::DirectAnswer { node: n, life, term, direct: direct.clone(), report: None };
@@ -907,14 +908,14 @@
             w.waits = Some(now);
             let (node, zone, mute) = (w.node, w.zone.clone(), now < w.mute_until);
             let mute = mute || !self.joined(&zone, node);
-            let hold = std::mem::take(&mut self.workers.get_mut(name).unwrap().hold_report);
+            let held_up = std::mem::take(&mut self.workers.get_mut(name).unwrap().hold_report);
             let report = self.report_of(name);
             if !mute {
                 if self.copies > 0.0 && self.rng.gen_bool(self.copies) {
                     let (delay, node) = (self.rng.gen_range(2000..20_000), self.rng.gen_range(0..nodes));
                     self.send(delay, Message::Report { node, report: report.clone(), copy: true });
                 }
-                self.send(STEP + hold, Message::Report { node, report, copy: hold > 4000 });
+                self.send(STEP + held_up, Message::Report { node, report, copy: held_up > 4000 });
             }
         }
         began.iter().for_each(|task| self.began(name, task));
--- a/src/pacer.rs
+++ b/src/pacer.rs
@@ -2,7 +2,7 @@
 //!
 //! The pace adjusts itself: it grows while changes are taken and shrinks when one is refused. What goes beyond it is told
 //! when to come back, in turn, so that a crowd does not come back all at once. Without this, the retries of a crowd used
-//! up the service's requests, and a leader could not renew its hold.
+//! up the service's requests, and a leader could not renew its leader lease.
 
 #[cfg(test)]
 mod tests;
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -541,7 +541,7 @@
         value: ciborium::Value,
         /// State-service lease the key is attached to.
         #[serde(rename = "tenure", skip_serializing_if = "Option::is_none", default)]
-        hold: Option<u64>,
+        lease: Option<u64>,
     },
     /// Removes a key.
     Delete {
@@ -636,18 +636,18 @@
     pub events: Vec<Event>,
 }
 
-/// A new hold.
+/// A new lease of the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HoldRequest {
+pub struct LeaseRequest {
     /// Life without renewal.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
 
-/// A hold's id.
+/// A lease's id.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HoldReply {
+pub struct LeaseReply {
     /// Id.
     #[serde(rename = "tenure")]
-    pub hold: u64,
+    pub lease: u64,
 }
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -38,7 +38,7 @@
     let txn = Txn {
         guards: vec![Guard { key: "a/b".into(), version: 0 }],
         apply: vec![
-            Change::Put { put: "a/b".into(), value: cbor!({"x"=>1}).unwrap(), hold: Some(7) },
+            Change::Put { put: "a/b".into(), value: cbor!({"x"=>1}).unwrap(), lease: Some(7) },
             Change::Delete { key: "c/d".into() },
         ],
     };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -115,7 +115,7 @@
     pub lease_ms: u64,
     /// Time between reports.
     pub report_ms: u64,
-    /// How long an earlier leader may have renewed leases after its hold.
+    /// How long an earlier leader may have renewed leases after its own lease.
     pub grace_ms: u64,
     /// Group factor.
     pub group_factor: f64,
--- a/src/store.rs
+++ b/src/store.rs
@@ -20,7 +20,7 @@
 /// Most entries of a `RecentMap`.
 const RECENT: usize = 20_000;
 
-/// Key of the leader's hold.
+/// Key of the leader's record, attached to its lease.
 pub fn leader_key() -> String {
     format!("{ROOT}leader")
 }
@@ -79,7 +79,7 @@
     pub tasks: u32,
 }
 
-/// The node that leads, attached to its hold.
+/// The node that leads, attached to its leader lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Node.
@@ -90,7 +90,7 @@
 
 impl LeaderRecord {
     /// Whether this was an earlier process of the same node: one that has ended, since this one runs. It is told apart by
-    /// its incarnation, so that its key and hold are never taken for one's own.
+    /// its incarnation, so that its key and leader lease are never taken for one's own.
     pub fn ended_before(&self, me: &LeaderRecord) -> bool {
         self.node == me.node && self.incarnation != me.incarnation
     }
@@ -351,7 +351,7 @@
         seen
     }
 
-    /// Whether leadership may be claimed: nobody leads, or a node's own last process. That one's hold need not be waited
+    /// Whether leadership may be claimed: nobody leads, or a node's own last process. That one's leader lease need not be waited
     /// for: what it may have started is in the log, and what it wrote last carries its epoch.
     pub fn free_to_claim(&self, me: &LeaderRecord) -> bool {
         self.leader.as_ref().is_none_or(|l| l.record.ended_before(me))
@@ -412,14 +412,14 @@
 }
 
 /// A put of a record.
-pub fn put<T: Serialize>(key: String, record: &T, hold: Option<u64>) -> Change {
+pub fn put<T: Serialize>(key: String, record: &T, lease: Option<u64>) -> Change {
     // The records of this module are plain maps; `Null` would be refused by every reader above.
-    Change::Put { put: key, value: Value::serialized(record).unwrap_or(Value::Null), hold }
+    Change::Put { put: key, value: Value::serialized(record).unwrap_or(Value::Null), lease }
 }
 
-/// Claims the next epoch under a hold; nothing if somebody leads. That is asked of the same mirror as the guards are: a
-/// node whose mirror had meanwhile shown it another's claim once took the leadership from it, with its hold still running.
-pub fn claim_txn(mirror: &Mirror, me: &LeaderRecord, hold: u64) -> Option<(Txn, EpochRecord)> {
+/// Claims the next epoch under a leader lease; nothing if somebody leads. That is asked of the same mirror as the guards are: a
+/// node whose mirror had meanwhile shown it another's claim once took the leadership from it, with its leader lease still running.
+pub fn claim_txn(mirror: &Mirror, me: &LeaderRecord, lease: u64) -> Option<(Txn, EpochRecord)> {
     if !mirror.free_to_claim(me) {
         return None;
     }
@@ -429,7 +429,7 @@
     let leader = mirror.leader.as_ref().map_or(0, |l| l.version);
     let txn = Txn {
         guards: vec![guard(leader_key(), leader), guard(epoch_key(), epoch.map_or(0, |e| e.version))],
-        apply: vec![put(leader_key(), me, Some(hold)), put(epoch_key(), &record, None)],
+        apply: vec![put(leader_key(), me, Some(lease)), put(epoch_key(), &record, None)],
     };
     Some((txn, record))
 }
@@ -587,26 +587,26 @@
         }
     }
 
-    /// Opens a hold.
-    pub async fn open_hold(&self, ttl_ms: u64) -> Result<u64, StoreError> {
-        let (status, body) = self.post("/holds", wire::encode(&wire::HoldRequest { ttl_ms }), CALL).await?;
-        match (status, wire::decode::<wire::HoldReply>(&body)) {
-            (200, Some(r)) => Ok(r.hold),
+    /// Opens a lease.
+    pub async fn open_lease(&self, ttl_ms: u64) -> Result<u64, StoreError> {
+        let (status, body) = self.post("/holds", wire::encode(&wire::LeaseRequest { ttl_ms }), CALL).await?;
+        match (status, wire::decode::<wire::LeaseReply>(&body)) {
+            (200, Some(r)) => Ok(r.lease),
             _ => Err(StoreError::Unknown),
         }
     }
 
-    /// Renews a hold.
-    pub async fn renew(&self, hold: u64, within: Duration) -> Result<(), StoreError> {
-        match self.post(&format!("/holds/{hold}/extend"), Vec::new(), within).await?.0 {
+    /// Renews a lease.
+    pub async fn renew(&self, lease: u64, within: Duration) -> Result<(), StoreError> {
+        match self.post(&format!("/holds/{lease}/extend"), Vec::new(), within).await?.0 {
             200 => Ok(()),
             _ => Err(StoreError::Unknown),
         }
     }
 
-    /// Gives a hold up.
-    pub async fn close_hold(&self, hold: u64) {
-        let _ = self.call(awc::http::Method::DELETE, &format!("/holds/{hold}"), None, CALL).await;
+    /// Gives a lease up.
+    pub async fn close_lease(&self, lease: u64) {
+        let _ = self.call(awc::http::Method::DELETE, &format!("/holds/{lease}"), None, CALL).await;
     }
 
     /// Waits for changes after a revision.
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -15,7 +15,7 @@
 
 /// One request and its answer, or none within the time. `close`: its connection is not kept. There are many workers, and
 /// the client closes an idle connection only when it calls the same host again: kept ones once used up all sockets, so
-/// that a leader could not renew its hold.
+/// that a leader could not renew its leader lease.
 pub async fn exchange(
     http: &awc::Client,
     method: awc::http::Method,
