--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,6 +1,11 @@
 //! Keys, transactions and the mirror.
 
+use super::mirror::RECENT;
+use super::records::text_to_bits;
 use super::*;
+use crate::protocol::{Change, Event, Txn};
+use ciborium::Value;
+use std::collections::HashMap;
 
 fn live(id: &str, version: u64) -> Event {
     let record = LiveRecord { spec: crate::scheduler::tests::spec(id, 1), at_ms: 5 };
