--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -130,7 +130,7 @@
             let (need, spec) = (job.need, &job.record.spec);
             let (types, zone, spot, service) = (job.types.clone(), job.zone, spec.spot, spec.kind == Kind::Service);
             let capped: Option<Vec<usize>> = (spec.scatter || spec.together).then(|| {
-                (0..self.zones.names.len())
+                (0..self.zones.count())
                     .filter(|z| self.zone_cap(job, *z) > zones.get(z).copied().unwrap_or(0))
                     .collect()
             });
--- /dev/null
+++ b/src/scheduler/tasks.rs
@@ -0,0 +1,182 @@
+//! Tasks that are or may be on a machine, and the one function for every change of them.
+
+use super::*;
+
+/// Where an active task stands.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Phase {
+    /// Room is reserved; nothing was sent.
+    Assigned,
+    /// The start was sent.
+    Sent,
+    /// The worker fetches the image.
+    Fetching,
+    /// It runs.
+    Running,
+    /// It is being stopped, with time to save or without.
+    Stopping {
+        /// Whether it gets time to save.
+        save: bool,
+    },
+}
+
+/// A task that is or may be on a machine.
+#[derive(Debug, Clone, Copy)]
+pub struct TaskAttempt {
+    pub(super) machine: usize,
+    pub(super) attempt: u64,
+    pub(super) phase: Phase,
+    pub(super) since: u64,
+    pub(super) direct: bool,
+    /// Its line in the start log is durable: before that it is not sent.
+    pub(super) logged: bool,
+    /// The token under which the start was sent; 0: by an earlier epoch.
+    pub(super) token: u64,
+    /// The stop was sent straight to the worker.
+    pub(super) stop_sent: bool,
+    /// Its worker has listed it.
+    pub(super) shown: bool,
+}
+
+/// Everything that can happen to a task.
+pub(super) enum TaskEvent {
+    Assign { machine: usize, attempt: u64 },
+    Adopt { machine: usize, attempt: u64, phase: Phase },
+    Log,
+    Send { direct: bool, token: u64 },
+    Show(Phase),
+    Stop { save: bool },
+    Gone,
+    Finished,
+}
+
+impl Scheduler {
+    pub(super) fn apply(&mut self, j: usize, t: u32, event: TaskEvent) {
+        let now = self.now;
+        let old = self.job(j).active.get(&t).copied();
+        let next = match (event, old) {
+            (TaskEvent::Assign { machine, attempt }, None) => Some(TaskAttempt {
+                machine,
+                attempt,
+                phase: Phase::Assigned,
+                since: now,
+                direct: false,
+                logged: false,
+                token: 0,
+                stop_sent: false,
+                shown: false,
+            }),
+            (TaskEvent::Adopt { machine, attempt, phase }, None) => Some(TaskAttempt {
+                machine,
+                attempt,
+                phase,
+                since: now,
+                direct: false,
+                logged: true,
+                token: 0,
+                stop_sent: false,
+                shown: phase != Phase::Sent,
+            }),
+            (TaskEvent::Log, Some(a)) if a.phase == Phase::Assigned => Some(TaskAttempt { logged: true, ..a }),
+            (TaskEvent::Send { direct, token }, Some(a)) if a.phase == Phase::Assigned && a.logged => {
+                Some(TaskAttempt { phase: Phase::Sent, since: now, direct, token, ..a })
+            }
+            (TaskEvent::Show(phase), Some(a)) if a.phase != phase && a.phase != Phase::Assigned => {
+                if matches!(a.phase, Phase::Stopping { .. }) {
+                    return;
+                }
+                Some(TaskAttempt { phase, since: now, ..a })
+            }
+            // Never sent, so it cannot be anywhere.
+            (TaskEvent::Stop { .. }, Some(a)) if a.phase == Phase::Assigned => None,
+            (TaskEvent::Stop { save }, Some(a)) => match a.phase {
+                Phase::Stopping { save: false } => return,
+                Phase::Stopping { save: true } if save => return,
+                _ => Some(TaskAttempt { phase: Phase::Stopping { save }, since: now, stop_sent: false, ..a }),
+            },
+            (TaskEvent::Gone | TaskEvent::Finished, Some(_)) => None,
+            _ => return,
+        };
+        let job = self.jobs[j].as_mut().expect("a task that changes belongs to a present job");
+        match (old, next) {
+            (None, Some(n)) => {
+                job.placed_at = now;
+                job.active.insert(t, n);
+                self.account(j, t, n.machine, true);
+            }
+            (Some(o), None) => {
+                job.active.remove(&t);
+                if !bit(&job.done, t) {
+                    job.returned.insert(t);
+                }
+                self.account(j, t, o.machine, false);
+            }
+            (Some(_), Some(n)) => {
+                job.active.insert(t, n);
+            }
+            (None, None) => {}
+        }
+        if let (Some(_), None) = (old, next) {
+            // A gang that has lost a task is stopped, to start again as a whole.
+            let job = self.job(j);
+            if job.record.spec.kind == Kind::Gang && !bit(&job.done, t) {
+                for other in job.active.keys().copied().collect::<Vec<_>>() {
+                    self.apply(j, other, TaskEvent::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
+                }
+            }
+        }
+        let runs =
+            |a: Option<TaskAttempt>| a.is_some_and(|a| matches!(a.phase, Phase::Running | Phase::Stopping { .. }));
+        let stops = |a: Option<TaskAttempt>| a.is_some_and(|a| matches!(a.phase, Phase::Stopping { .. }));
+        let job = self.job_mut(j);
+        job.running = job.running + runs(next) as u32 - runs(old) as u32;
+        let need = job.need;
+        if let Some(team) = job.team.filter(|_| stops(next) != stops(old)) {
+            let e = &mut self.team_ending[team];
+            *e = std::array::from_fn(|r| if stops(next) { e[r] + need[r] } else { e[r] - need[r] });
+        }
+        let Some(at) = next.or(old).map(|a| a.machine) else { return };
+        let m = self.machine_mut(at);
+        m.stopping = m.stopping + stops(next) as u32 - stops(old) as u32;
+        match next {
+            Some(a) if a.phase == Phase::Assigned && !a.logged => self.log.wants(j, t, at, a.attempt),
+            Some(a) if a.phase == Phase::Assigned || (stops(next) && !a.stop_sent) => {
+                self.outbox.insert(at);
+            }
+            // Only room that has come free can let something else be placed.
+            None => self.changed = true,
+            _ => {}
+        }
+    }
+
+    pub(super) fn account(&mut self, j: usize, t: u32, machine: usize, enter: bool) {
+        let job = self.jobs[j].as_mut().expect("accounted tasks belong to a present job");
+        let m = self.machines[machine].as_mut().expect("accounted tasks are on a present machine");
+        let zone = job.zone_use.entry(m.zone).or_default();
+        let team = job.team.map(|t| &mut self.team_use[t]);
+        if enter {
+            m.tasks.insert((j, t));
+            m.service_cpus += if job.record.spec.kind == Kind::Service { job.need[0] } else { 0 };
+            m.room = less(&m.room, &job.need, 1);
+            *zone += 1;
+            if let Some(u) = team {
+                *u = [u[0] + job.need[0], u[1] + job.need[1]];
+            }
+            m.idle_since = None;
+        } else {
+            m.tasks.remove(&(j, t));
+            m.service_cpus -= if job.record.spec.kind == Kind::Service { job.need[0] } else { 0 };
+            *zone -= 1;
+            if let Some(u) = team {
+                *u = [u[0] - job.need[0], u[1] - job.need[1]];
+            }
+            m.room = self.types.get(m.kind).map_or([0; 3], |t| {
+                let all = [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64);
+                m.tasks.iter().filter_map(|(j, _)| self.jobs[*j].as_ref()).fold(all, |r, j| less(&r, &j.need, 1))
+            });
+            if m.tasks.is_empty() {
+                m.idle_since = Some(self.now);
+            }
+        }
+    }
+}
