--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -174,7 +174,8 @@
                     self.starts.remove(&slot);
                 }
             }
-            "hire" if self.rentals.get(name).is_some_and(|v| v.version < version) => {
+            // One that brought no machines was taken in by `put_rental` with the version of its own deletion.
+            "hire" if self.rentals.get(name).is_some_and(|v| v.version <= version) => {
                 self.rentals.remove(name);
             }
             "leader" if self.leader.as_ref().is_some_and(|v| v.version < version) => {
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -86,6 +86,13 @@
     assert_eq!(m.rentals["r-1"].version, 6);
     m.apply(7, &[Event::Delete { key: rental_key("r-1"), version: 7 }]);
     assert!(m.rentals.is_empty());
+    // A request that brought nothing: the write of its answer deletes it, and so does the watch here.
+    m.put_rental("r-2", RentalRecord { machines: Some(Vec::new()), ..open.clone() }, 9);
+    let put = Event::Put { put: rental_key("r-2"), value: Value::serialized(&open).unwrap(), version: 8 };
+    m.apply(8, &[put]);
+    assert!(m.rentals["r-2"].record.machines.is_some());
+    m.apply(9, &[Event::Delete { key: rental_key("r-2"), version: 9 }]);
+    assert!(m.rentals.is_empty());
 }
 
 /// A stand-in for the state service's transactions.
