--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -6,8 +6,8 @@
     pub(super) async fn leadership(self) {
         let ttl = (self.controller.borrow().settings.operator.hold_s * 1000.0) as u64;
         loop {
-            let apply = (ttl / 5).min(500);
-            let _ = tokio::time::timeout(Duration::from_millis(apply), self.campaign.notified()).await;
+            let interval_ms = (ttl / 5).min(500);
+            let _ = tokio::time::timeout(Duration::from_millis(interval_ms), self.campaign.notified()).await;
             let (term, sent, free) = {
                 let controller = self.controller.borrow();
                 let now = controller.now();
--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn a_leader_without_store_and_peers_keeps_its_workers_while_its_heir_cancels() {
+fn a_leader_without_store_and_peers_keeps_its_workers_while_the_new_leader_cancels() {
     let mut w = World::new(6, 6);
     (0..5).for_each(|n| w.submit(spec(&format!("wk-{n}"), 4), 600_000));
     w.run(10_000);
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached_or_do_not_hear_its_heir() {
+fn a_leader_ends_while_machines_with_long_tasks_cannot_be_reached_or_do_not_hear_the_new_one() {
     for (hears_no_worker, mute) in [(true, false), (false, true), (true, true)] {
         let mut w = World::new(11, 5);
         w.submit(spec("wk-1", 10), 60_000);
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_team_at_its_limit_an_heir_machines_that_cannot_be_asked_and_a_cancellation() {
+fn a_team_at_its_limit_a_new_leader_machines_that_cannot_be_asked_and_a_cancellation() {
     let mut w = World::limited(12, 6, Some(16.0));
     w.submit(spec("wk-1", 4), 600_000);
     w.submit(spec("wk-2", 4), 600_000);
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -226,7 +226,7 @@
             let (freed, save) = (v.need, v.record.spec.checkpoint_s > 0.0);
             tracing::info!(job = %v.record.spec.id, task = vt, for_job = %self.job(j).record.spec.id, "preempted for quota");
             *self.job_mut(vj).displaced.entry(vt).or_default() += 1;
-            self.apply(vj, vt, TaskEvent::Stop { save });
+            self.apply_event(vj, vt, TaskEvent::Stop { save });
             wanted = std::array::from_fn(|r| wanted[r].saturating_sub(freed[r]));
         }
     }
@@ -308,7 +308,7 @@
                     tracing::info!(job = %self.job(vj).record.spec.id, task = vt, for_job = %self.job(j).record.spec.id, "preempted");
                     let save = self.job(vj).record.spec.checkpoint_s > 0.0;
                     *self.job_mut(vj).displaced.entry(vt).or_default() += 1;
-                    self.apply(vj, vt, TaskEvent::Stop { save });
+                    self.apply_event(vj, vt, TaskEvent::Stop { save });
                 }
                 room.room[i] = less(&r, &need, 1);
                 *zones.entry(zone).or_default() += 1;
@@ -391,7 +391,7 @@
                     && fits(&job.need, &o.room) > 0
             };
             if self.machines().any(|(_, o)| free(o)) {
-                self.apply(j, t, TaskEvent::Stop { save: false });
+                self.apply_event(j, t, TaskEvent::Stop { save: false });
                 return;
             }
         }
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -208,7 +208,7 @@
     pub(super) fn end_job(&mut self, i: usize) {
         self.job_mut(i).ended = true;
         for t in self.job(i).active.keys().copied().collect::<Vec<_>>() {
-            self.apply(i, t, TaskEvent::Stop { save: false });
+            self.apply_event(i, t, TaskEvent::Stop { save: false });
         }
         self.changed = true;
     }
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -80,7 +80,7 @@
             let unsent: Vec<_> = self.machine(i).tasks.iter().copied().collect();
             for (j, t) in unsent {
                 if self.job(j).active.get(&t).is_some_and(|a| a.phase == Phase::Assigned) {
-                    self.apply(j, t, TaskEvent::Gone);
+                    self.apply_event(j, t, TaskEvent::Gone);
                 }
             }
         }
@@ -91,7 +91,7 @@
     pub fn machine_gone(&mut self, name: &str) {
         let Some(i) = self.machine_index.remove(name) else { return };
         for (j, t) in self.machine(i).tasks.clone() {
-            self.apply(j, t, TaskEvent::Gone);
+            self.apply_event(j, t, TaskEvent::Gone);
         }
         for image in self.machine(i).images.clone() {
             self.let_image_go(i, image);
@@ -357,7 +357,7 @@
             if !m.tasks.is_empty() && self.lease_over(m) {
                 tracing::info!(machine = %m.name, tasks = m.tasks.len(), "lease has run out");
                 for (j, t) in m.tasks.clone() {
-                    self.apply(j, t, TaskEvent::Gone);
+                    self.apply_event(j, t, TaskEvent::Gone);
                 }
                 // A worker that comes back is in its next session; nothing meant for the last one may reach it.
                 self.raise(i, "lease has run out");
@@ -370,7 +370,7 @@
                 // Work that saves is stopped just in time to save; the rest may still finish.
                 let lead = (spec.save_s * 1000.0) as u64 + 2 * self.p.report_ms + 2000;
                 if spec.kind == Kind::Service || (spec.checkpoint_s > 0.0 && now + lead >= at) {
-                    self.apply(j, t, TaskEvent::Stop { save: spec.checkpoint_s > 0.0 });
+                    self.apply_event(j, t, TaskEvent::Stop { save: spec.checkpoint_s > 0.0 });
                 }
             }
         }
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -126,7 +126,7 @@
             if a.machine == i && a.attempt != line.attempt && !self.under_way(i, &a, r, live) {
                 let listed = r.tasks.iter().any(|l| l.task == line.task && l.attempt == a.attempt);
                 if a.phase != Phase::Assigned && !listed {
-                    self.apply(j, t, TaskEvent::Gone);
+                    self.apply_event(j, t, TaskEvent::Gone);
                 }
             }
         }
@@ -162,11 +162,11 @@
             let phase = if early { Phase::Fetching } else { Phase::Running };
             let job = self.job(j);
             if !job.active.contains_key(&t) && !bit(&job.done, t) {
-                self.apply(j, t, TaskEvent::Adopt { machine: i, attempt: line.attempt, phase });
+                self.apply_event(j, t, TaskEvent::Adopt { machine: i, attempt: line.attempt, phase });
                 // Its line may have left the log.
                 self.log.wants(j, t, i, line.attempt);
                 if self.job(j).ended {
-                    self.apply(j, t, TaskEvent::Stop { save: false });
+                    self.apply_event(j, t, TaskEvent::Stop { save: false });
                 }
             }
             let Some(a) = here(self) else {
@@ -193,7 +193,7 @@
             if a.phase != Phase::Assigned && !self.under_way(i, &a, r, live) {
                 tracing::info!(job = %self.job(j).record.spec.id, task = t, machine = %self.machine(i).name, "task gone");
                 lost |= !a.shown && !a.direct && a.token == r.token;
-                self.apply(j, t, TaskEvent::Gone);
+                self.apply_event(j, t, TaskEvent::Gone);
             }
         }
         lost
@@ -225,7 +225,7 @@
             tracing::info!(job = %job.record.spec.id, task = t, machine = %machine.name, ?phase, held, age_ms, "task");
         }
         self.hold_image(i, image);
-        self.apply(j, t, TaskEvent::Show(phase));
+        self.apply_event(j, t, TaskEvent::Show(phase));
     }
 
     /// Remembers which images a machine holds, the latest used last.
@@ -266,7 +266,7 @@
             return bit(&self.job(j).saved, t);
         }
         let Some(a) = active else { return true };
-        self.apply(j, t, TaskEvent::Gone);
+        self.apply_event(j, t, TaskEvent::Gone);
         if matches!(a.phase, Phase::Stopping { .. }) {
             return true;
         }
@@ -300,7 +300,7 @@
                 }
             }
             self.machine_mut(i).errors.clear();
-            self.apply(j, t, TaskEvent::Finished);
+            self.apply_event(j, t, TaskEvent::Finished);
         }
         self.changed = true;
     }
@@ -330,7 +330,7 @@
             m.faulty = m.state == MachineState::Up;
             self.enter(i, MachineState::Draining, "fails tasks of several jobs");
             for (j, t) in self.machine(i).tasks.clone() {
-                self.apply(j, t, TaskEvent::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
+                self.apply_event(j, t, TaskEvent::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
             }
         }
     }
@@ -359,7 +359,7 @@
                 let token = self.token(self.machine(i));
                 tracing::info!(job = %self.job(j).record.spec.id, task = t, %machine, epoch, direct, "start");
                 orders.push(Command::Start { task, attempt: a.attempt });
-                self.apply(j, t, TaskEvent::Send { direct, token });
+                self.apply_event(j, t, TaskEvent::Send { direct, token });
             }
         }
     }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -76,8 +76,8 @@
         out.sort_by_cached_key(|i| {
             let j = self.job(*i);
             let spec = &j.record.spec;
-            let (queue_priority, work) = self.queue_priority(j);
-            (spec.priority != Priority::Production, !j.within, spec.priority, queue_priority, work, *i)
+            let (priority_class, work) = self.queue_priority(j);
+            (spec.priority != Priority::Production, !j.within, spec.priority, priority_class, work, *i)
         });
         out
     }
@@ -319,7 +319,7 @@
                 let Some(t) = self.job_mut(j).next_pending() else { return };
                 self.attempts += !whole as u64;
                 let attempt = (self.epoch << TOKEN_BITS) + self.attempts;
-                self.apply(j, t, TaskEvent::Assign { machine, attempt });
+                self.apply_event(j, t, TaskEvent::Assign { machine, attempt });
                 left -= 1;
             }
         }
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -162,7 +162,7 @@
         self.log.slots.insert(done.slot, Slot { version, lines: done.lines });
         for l in done.fresh {
             if self.at_work(&l) {
-                self.apply(l.job, l.task, TaskEvent::Log);
+                self.apply_event(l.job, l.task, TaskEvent::Log);
             }
         }
     }
@@ -229,9 +229,9 @@
             if l.machine == usize::MAX || bit(&self.job(j).done, t) {
                 continue;
             }
-            self.apply(j, t, TaskEvent::Adopt { machine: l.machine, attempt: l.attempt, phase: Phase::Sent });
+            self.apply_event(j, t, TaskEvent::Adopt { machine: l.machine, attempt: l.attempt, phase: Phase::Sent });
             if self.job(j).ended {
-                self.apply(j, t, TaskEvent::Stop { save: false });
+                self.apply_event(j, t, TaskEvent::Stop { save: false });
             }
             // An earlier leader may have renewed its lease until its authority to do so ended.
             let until = self.now + self.p.grace_ms + self.p.grace_ms / 500;
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -51,7 +51,7 @@
 }
 
 impl Scheduler {
-    pub(super) fn apply(&mut self, j: usize, t: u32, event: TaskEvent) {
+    pub(super) fn apply_event(&mut self, j: usize, t: u32, event: TaskEvent) {
         let now = self.now;
         let old = self.job(j).active.get(&t).copied();
         let next = match (event, old) {
@@ -121,7 +121,7 @@
             let job = self.job(j);
             if job.record.spec.kind == Kind::Gang && !bit(&job.done, t) {
                 for other in job.active.keys().copied().collect::<Vec<_>>() {
-                    self.apply(j, other, TaskEvent::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
+                    self.apply_event(j, other, TaskEvent::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
                 }
             }
         }
--- /dev/null
+++ b/src/scheduler/tests/mod.rs
@@ -0,0 +1,249 @@
+//! The scheduler under a fake clock, with scripted workers.
+
+mod health;
+mod new_leader;
+mod placement;
+mod proofs;
+mod start_log;
+
+use super::*;
+use crate::protocol::{ExitReason, JobSpec, Report, TaskReport, TaskState};
+
+const LEASE: u64 = 12_000;
+
+const GRACE: u64 = 10_000;
+
+/// A job like many.
+pub fn spec(id: &str, tasks: u32) -> JobSpec {
+    JobSpec {
+        id: id.into(),
+        class: "c".into(),
+        team: "t".into(),
+        kind: Kind::Array,
+        priority: Priority::Normal,
+        tasks,
+        cpus: 2.0,
+        gpus: 0.0,
+        memory_gb: 2.0,
+        image: "i".into(),
+        image_gb: 1.0,
+        types: None,
+        zone: None,
+        together: false,
+        scatter: false,
+        spot: true,
+        estimate_s: 60.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+    }
+}
+
+/// A scheduler of epoch 5, at time 1000.
+struct World {
+    scheduler: Scheduler,
+    seq: u64,
+}
+
+impl World {
+    fn new() -> World {
+        World::with(u64::MAX)
+    }
+
+    fn with(limit: u64) -> World {
+        let team = |name: &str, guarantee| TeamQuota {
+            name: name.into(),
+            guarantee: [guarantee, 0],
+            limit: [limit, u64::MAX],
+        };
+        let params = Params {
+            lease_ms: LEASE,
+            report_ms: 1500,
+            grace_ms: GRACE,
+            group_factor: 1.25,
+            fetch_gb_per_s: 0.1,
+            transfer_test: true,
+            teams: vec![team("t", 0), team("u", 4000)],
+            finish_ms: HashMap::new(),
+        };
+        let mut scheduler = Scheduler::new(params, 5, 1000);
+        let kind = MachineType {
+            name: "m8".into(),
+            cpus: 8.0,
+            gpus: 0.0,
+            memory_gb: 32.0,
+            cache_gb: 50.0,
+            fetch_gb_per_s: 0.1,
+            price: 1.0,
+            spot_price: 0.3,
+            boot_s: 30.0,
+            zones: vec!["a".into(), "b".into()],
+        };
+        scheduler.set_types(&[kind]);
+        World { scheduler, seq: 0 }
+    }
+
+    fn job(&mut self, spec: JobSpec, version: u64) {
+        self.scheduler.add_job(LiveRecord { spec, at_ms: 0 }, version, &[], 0, false);
+    }
+
+    /// A machine of this epoch, up.
+    fn machine(&mut self, name: &str, zone: &str) {
+        self.scheduler.add_machine(name, Hardware { machine_type: "m8", zone, spot: false }, Origin::Rented);
+        self.tell_token(name, 0, &[]);
+        self.tell_token(name, self.token(), &[]);
+    }
+
+    /// A machine that was rented before this epoch.
+    fn known(&mut self, name: &str) {
+        self.scheduler.add_machine(name, Hardware { machine_type: "m8", zone: "a", spot: false }, Origin::Inherited);
+    }
+
+    /// The start log of earlier epochs: machine, task, attempt.
+    fn inherit(&mut self, lines: &[(&str, &str, u64)]) {
+        let slots: Vec<String> = lines
+            .iter()
+            .map(|(m, task, attempt)| {
+                let (job, t) = task.split_once('/').unwrap();
+                format!("{m} 1.2.3.4:9 /{job} {t}.{attempt:x}")
+            })
+            .collect();
+        self.scheduler.inherit(slots.iter().enumerate().map(|(i, s)| (i as u32, 50, s.as_str())));
+    }
+
+    /// Makes the lines of assigned starts durable.
+    fn log(&mut self) {
+        while let Some(append) = self.scheduler.append(8000, 60) {
+            self.scheduler.appended(append, 200);
+        }
+    }
+
+    fn token(&self) -> u64 {
+        5 << TOKEN_BITS
+    }
+
+    fn report(&mut self, machine: &str, token: u64, tasks: &[(&str, u64, TaskState, Option<ExitReason>)]) -> Report {
+        self.seq += 1;
+        let zone = self
+            .scheduler
+            .machine_index
+            .get(machine)
+            .map(|i| self.scheduler.zone_name(self.scheduler.machine(*i).zone));
+        let lines = tasks.iter().map(|(task, attempt, state, reason)| TaskReport {
+            task: (*task).into(),
+            attempt: *attempt,
+            state: *state,
+            reason: *reason,
+            saved: None,
+        });
+        Report {
+            machine: machine.into(),
+            address: "1.2.3.4:9".into(),
+            machine_type: "m8".into(),
+            zone: zone.unwrap_or("a").into(),
+            spot: false,
+            session: 1,
+            seq: self.seq,
+            token,
+            notice_s: None,
+            tasks: lines.collect(),
+        }
+    }
+
+    fn answer(&mut self, r: &Report) -> Vec<Command> {
+        self.scheduler.place();
+        self.log();
+        match self.scheduler.report(r, true, true) {
+            ReportOutcome::Reply(reply) => reply.orders,
+            other => panic!("{other:?}"),
+        }
+    }
+
+    fn tell_token(
+        &mut self,
+        machine: &str,
+        token: u64,
+        tasks: &[(&str, u64, TaskState, Option<ExitReason>)],
+    ) -> Vec<Command> {
+        let r = self.report(machine, token, tasks);
+        self.answer(&r)
+    }
+
+    /// A report under the current token.
+    fn tell(&mut self, machine: &str, tasks: &[(&str, u64, TaskState, Option<ExitReason>)]) -> Vec<Command> {
+        self.tell_token(machine, self.token(), tasks)
+    }
+
+    /// Lets time pass tick by tick, as a node that has its processor does.
+    fn pass_to(&mut self, now: u64) {
+        while self.scheduler.now + 500 < now {
+            self.scheduler.tick(self.scheduler.now + 500);
+        }
+        self.scheduler.tick(now);
+    }
+
+    fn tick(&mut self, now: u64) {
+        self.scheduler.tick(now);
+        self.scheduler.reconsider();
+        self.scheduler.place();
+        self.log();
+    }
+}
+
+/// A scheduler with one start of `wk-1` that waits for its line, and the machine it is for.
+pub fn with_a_start_to_log(version: u64) -> (Scheduler, &'static str) {
+    let mut w = World::new();
+    w.machine("n-1", "a");
+    w.job(spec("wk-1", 1), version);
+    w.scheduler.place();
+    (w.scheduler, "n-1")
+}
+
+/// The starts among orders.
+fn starts(orders: &[Command]) -> Vec<(String, u64)> {
+    let start = |o: &Command| match o {
+        Command::Start { task, attempt } => Some((task.clone(), *attempt)),
+        _ => None,
+    };
+    orders.iter().filter_map(start).collect()
+}
+
+fn stops(orders: &[Command]) -> usize {
+    orders.iter().filter(|o| matches!(o, Command::Stop { .. })).count()
+}
+
+impl Scheduler {
+    /// What a test wants to see of a scheduler that does not do what it should.
+    pub fn describe(&self) -> String {
+        let machine = |(i, m): (usize, &Machine)| {
+            format!(
+                "{i} {} {:?} zone {} current {} heard {} answer {} direct {} room {:?} tasks {:?} before {}\n",
+                m.name,
+                m.state,
+                m.zone,
+                m.current,
+                m.last_heard,
+                m.last_answer,
+                m.direct,
+                m.room,
+                m.tasks,
+                m.not_before
+            )
+        };
+        let job = |j: &Job| {
+            format!(
+                "{} ended {} pending {} zones {:?} active {:?} before {} turn {:?}\n",
+                j.record.spec.id,
+                j.ended,
+                j.pending(),
+                j.zone_use,
+                j.active,
+                j.not_before,
+                j.record.spec.together
+            )
+        };
+        let machines: String = self.machines().map(machine).collect();
+        let jobs: String = self.jobs().map(job).collect();
+        format!("now {} use {:?}\n{machines}{jobs}{:?}", self.now, self.team_use, self.log)
+    }
+}
--- /dev/null
+++ b/src/scheduler/tests/new_leader.rs
@@ -0,0 +1,240 @@
+//! What a new leader takes over and how it tells what is where.
+
+use super::*;
+
+#[test]
+fn a_new_leader_places_all_but_what_an_unheard_machine_may_run() {
+    let mut w = World::new();
+    w.known("n-1");
+    w.known("n-2");
+    w.job(spec("wk-1", 3), 50);
+    w.inherit(&[("n-1", "wk-1/0", 7), ("n-2", "wk-1/1", 8)]);
+    // wk-1/1 may run on n-2; wk-1/2 was never started, and need not wait.
+    w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)]);
+    let got = starts(&w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)]));
+    assert_eq!(got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(), vec!["wk-1/2"]);
+    let all = [("wk-1/0", 7, TaskState::Running, None), ("wk-1/2", got[0].1, TaskState::Running, None)];
+    assert!(starts(&w.tell("n-1", &all)).is_empty());
+    // A report under the old token says nothing: an old start may still be on its way to the worker.
+    assert!(w.tell_token("n-2", 4 << TOKEN_BITS, &[]).is_empty());
+    assert_eq!(w.scheduler.unsettled(), 1);
+    let mut got = starts(&w.tell("n-2", &[]));
+    got.extend(starts(&w.tell("n-1", &all)));
+    assert_eq!(got[0].0, "wk-1/1");
+    assert!(got[0].1 > 8, "attempts of a later epoch are larger");
+}
+
+#[test]
+fn a_new_leader_waits_for_lease_and_grace_period_of_a_machine_it_never_hears() {
+    let mut w = World::new();
+    w.known("n-1");
+    w.machine("n-9", "a");
+    w.job(spec("wk-1", 1), 50);
+    w.inherit(&[("n-1", "wk-1/0", 7)]);
+    // The earlier leader may have renewed its lease until GRACE after this epoch began.
+    for (after, placed) in [(0, 0), (1000, 1)] {
+        // A machine that is heard just now could take the task.
+        w.scheduler.at(1000 + LEASE + GRACE + after);
+        w.tell("n-9", &[]);
+        w.tick(1000 + LEASE + GRACE + after);
+        assert_eq!(starts(&w.tell("n-9", &[])).len(), placed);
+    }
+}
+
+#[test]
+fn a_new_leader_knows_the_holders_of_images_from_the_log() {
+    let mut w = World::new();
+    w.known("n-1");
+    w.known("n-2");
+    w.job(spec("wk-1", 2), 50);
+    w.inherit(&[("n-2", "wk-1/0", 7)]);
+    // Neither runs anything any more, but n-2 has fetched the image.
+    for n in ["n-1", "n-2"] {
+        let r = w.report(n, w.token(), &[]);
+        w.scheduler.report(&r, true, true);
+    }
+    w.tick(1100);
+    assert_eq!(starts(&w.tell("n-1", &[])).len(), 0);
+    assert_eq!(starts(&w.tell("n-2", &[])).len(), 2);
+}
+
+#[test]
+fn a_worker_that_has_seen_a_later_epoch_ends_this_one() {
+    let mut w = World::new();
+    w.machine("n-1", "a");
+    let r = w.report("n-1", 6 << TOKEN_BITS, &[]);
+    assert_eq!(w.scheduler.report(&r, true, true), ReportOutcome::Superseded);
+}
+
+#[test]
+fn a_cancelled_job_of_an_earlier_epoch_is_kept_until_nothing_of_it_can_run() {
+    let mut w = World::new();
+    w.known("n-1");
+    w.scheduler.add_job(LiveRecord { spec: spec("wk-1", 1), at_ms: 0 }, 50, &[], 0, true);
+    w.inherit(&[("n-1", "wk-1/0", 7)]);
+    assert!(w.scheduler.stopped_jobs().is_empty());
+    assert_eq!(stops(&w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)])), 1);
+    assert!(w.scheduler.stopped_jobs().is_empty());
+    w.tell("n-1", &[]);
+    assert_eq!(w.scheduler.stopped_jobs().len(), 1);
+}
+
+#[test]
+fn stored_results_survive_a_crash_of_every_node() {
+    let mut w = World::new();
+    w.machine("n-1", "a");
+    w.scheduler.add_job(LiveRecord { spec: spec("wk-1", 3), at_ms: 0 }, 50, &[(0, vec![0b101])], 0, false);
+    let got = starts(&w.tell("n-1", &[]));
+    assert_eq!(got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(), vec!["wk-1/1"]);
+}
+
+#[test]
+fn a_new_leader_that_nobody_answers_knows_soon_that_it_is_cut_off_too() {
+    let new_leader = |answered: bool| {
+        let mut w = World::new();
+        // Reports come so seldom that waiting for them would take most of a lease.
+        w.scheduler.p.report_ms = 5000;
+        ["n-1", "n-2", "n-3"].iter().for_each(|n| w.known(n));
+        w.job(spec("wk-1", 3), 50);
+        w.inherit(&[("n-1", "wk-1/0", 7), ("n-2", "wk-1/1", 8), ("n-3", "wk-1/2", 9)]);
+        let probes = w.scheduler.probes(9);
+        assert_eq!(probes.len(), 3);
+        w.pass_to(5500);
+        assert!(!w.scheduler.hears_no_worker());
+        if answered {
+            let answer = w.report(&probes[0].machine, w.token(), &[]);
+            w.scheduler.direct_answer(&probes[0], Some(&answer));
+        }
+        w.pass_to(6500);
+        w.scheduler.hears_no_worker()
+    };
+    assert!(new_leader(false));
+    // One answer, by whichever way, and it is the others that are out.
+    assert!(!new_leader(true));
+}
+
+#[test]
+fn a_late_copy_as_a_new_leaders_first_message_proves_nothing() {
+    let mut w = World::new();
+    w.known("n-1");
+    w.machine("n-9", "a");
+    w.job(spec("wk-1", 1), 50);
+    w.inherit(&[("n-1", "wk-1/0", (4 << TOKEN_BITS) + 3)]);
+    // From before the task was started, and under the token of the epoch before.
+    let copy = w.report("n-1", 4 << TOKEN_BITS, &[]);
+    w.tick(2000);
+    assert!(w.answer(&copy).is_empty());
+    assert!(starts(&w.tell("n-9", &[])).is_empty());
+    // It also says nothing of whether the machine is alive.
+    w.pass_to(8000);
+    let copy = w.report("n-1", 4 << TOKEN_BITS, &[]);
+    w.answer(&copy);
+    let n1 = w.scheduler.machines().find(|(_, m)| m.name == "n-1").map(|(i, m)| (i, m.current)).unwrap();
+    assert!(!n1.1 && w.scheduler.silent(5000, 9000).contains(&n1.0));
+}
+
+#[test]
+fn a_new_leader_counts_on_a_machine_of_an_earlier_rental_only_once_it_is_listed() {
+    let mut w = World::new();
+    w.known("n-1");
+    w.job(spec("wk-1", 2), 101);
+    w.tick(1100);
+    assert_eq!(w.scheduler.unmet_demand(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
+    let i = w.scheduler.machine_index["n-1"];
+    w.scheduler.listed(i, false, "", 0);
+    assert!(w.scheduler.unmet_demand(false).is_empty());
+    // Listed as running, it is missed if it does not report.
+    w.scheduler.listed(i, true, "1.2.3.4:9", 0);
+    w.pass_to(9000);
+    assert_eq!(w.scheduler.silent(5000, 9000), vec![i]);
+    assert_eq!(w.scheduler.probes(9).len(), 1);
+}
+
+#[test]
+fn the_answer_to_a_new_leaders_probe_tells_at_once_what_is_gone() {
+    let mut w = World::new();
+    w.known("n-1");
+    w.job(spec("wk-1", 1), 50);
+    w.inherit(&[("n-1", "wk-1/0", 7)]);
+    w.tick(1100);
+    let probe = w.scheduler.probes(9).remove(0);
+    let answer = w.report("n-1", w.token(), &[]);
+    w.scheduler.direct_answer(&probe, Some(&answer));
+    // The worker has seen the new token: no start of an earlier epoch is under way to it any more.
+    assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 1);
+}
+
+#[test]
+fn after_an_epoch_without_a_log_nothing_is_placed_until_its_leases_have_run_out() {
+    let mut w = World::new();
+    w.machine("n-9", "a");
+    w.job(spec("wk-1", 1), 50);
+    w.scheduler.wait_for_lease_expiry();
+    for (after, placed) in [(0, 0), (2000, 1)] {
+        w.scheduler.at(1000 + LEASE + GRACE + after);
+        let mut got = starts(&w.tell("n-9", &[]));
+        w.tick(1000 + LEASE + GRACE + after);
+        if got.is_empty() {
+            got = starts(&w.tell("n-9", &[]));
+        }
+        assert_eq!(got.len(), placed);
+    }
+}
+
+#[test]
+fn a_new_leaders_first_answer_already_stops_what_is_cancelled() {
+    let mut w = World::new();
+    w.known("n-1");
+    w.scheduler.add_job(LiveRecord { spec: spec("wk-1", 2), at_ms: 0 }, 101, &[], 0, true);
+    w.job(spec("wk-2", 1), 102);
+    w.inherit(&[("n-1", "wk-1/0", 71), ("n-1", "wk-2/0", 72)]);
+    // The worker still shows the token of an earlier epoch: nothing is concluded, but the cancelled task is stopped, and
+    // what belongs to no job of the store any more. A machine that hangs after its lease was renewed keeps neither.
+    let (run, done) = (TaskState::Running, TaskState::Exited);
+    let lines =
+        [("wk-1/0", 71, run, None), ("wk-2/0", 72, run, None), ("wk-9/0", 7, run, None), ("wk-1/1", 70, done, None)];
+    let r = w.report("n-1", 4 << TOKEN_BITS, &lines);
+    let ReportOutcome::Reply(reply) = w.scheduler.report(&r, true, false) else { panic!() };
+    let stopped: Vec<&str> = reply
+        .orders
+        .iter()
+        .map(|o| match o {
+            Command::Stop { task, grace_s, .. } if *grace_s == 0.0 => task.as_str(),
+            other => panic!("{other:?}"),
+        })
+        .collect();
+    assert_eq!(stopped, ["wk-1/0", "wk-9/0"]);
+    // It counts until it is gone.
+    assert_eq!(w.scheduler.team_use[0][0], 4000);
+}
+
+#[test]
+fn a_machine_that_never_comes_up_is_given_up_by_its_age_also_by_a_new_leader() {
+    let mut w = World::new();
+    w.job(spec("wk-1", 2), 101);
+    w.known("n-1");
+    w.known("n-2");
+    let (late, up) = (w.scheduler.machine_index["n-1"], w.scheduler.machine_index["n-2"]);
+    w.tick(5000);
+    // Both were rented 70 s before this epoch began; then the list shows one of them running.
+    for i in [late, up] {
+        w.scheduler.listed(i, false, "", 74_000);
+    }
+    let never = |w: &World, i: usize| w.scheduler.never_came_up(w.scheduler.machine(i));
+    // Past the time in which it was expected, it counts no more as room to come.
+    assert_eq!(w.scheduler.unmet_demand(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
+    w.pass_to(18_000);
+    w.scheduler.listed(up, true, "1.2.3.4:9", 87_000);
+    // A list may be older than the one before it, and is no reason to wait longer.
+    w.scheduler.listed(late, false, "", 80_000);
+    assert!(!never(&w, late));
+    // 90 s: 1.5 times twice the nominal 30 s. Counted from the epoch's beginning it was once 72 s more.
+    w.pass_to(22_000);
+    assert!(never(&w, late) && !never(&w, up));
+    let (offer, pause_ms) = w.scheduler.give_up_boot(late).unwrap();
+    assert_eq!((offer, pause_ms), (Offer { kind: 0, zone: 0, spot: false }, 91_000));
+    assert_eq!(w.scheduler.leaving(9), ["n-1"]);
+    // A list that nobody can believe does no harm.
+    w.scheduler.listed(up, false, "", u64::MAX);
+    assert!(!never(&w, up));
+}
--- /dev/null
+++ b/src/scheduler/tests/start_log.rs
@@ -0,0 +1,100 @@
+//! The start log: no start is sent before its line is durable.
+
+use super::*;
+
+#[test]
+fn the_last_line_of_a_task_counts_and_what_was_released_counts_no_more() {
+    let mut w = World::new();
+    w.known("n-1");
+    w.known("n-2");
+    w.job(spec("wk-1", 2), 50);
+    // Task 0 was first on n-1 and then, once that was proven gone, on n-2. Task 1 was last on n-9, which no rental names
+    // any more; its older line names a machine on which it is known to be no longer.
+    w.inherit(&[("n-1", "wk-1/0", 7), ("n-2", "wk-1/0", 9), ("n-1", "wk-1/1", 7), ("n-9", "wk-1/1", 8)]);
+    w.tell("n-1", &[]);
+    let got = starts(&w.tell("n-1", &[]));
+    assert_eq!(got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(), vec!["wk-1/1"]);
+    // Without a new leader's knowledge of n-2 the task would be started here a second time.
+    let line = [("wk-1/1", got[0].1, TaskState::Running, None)];
+    assert!(starts(&w.tell("n-1", &line)).is_empty());
+    w.scheduler.machine_gone("n-2");
+    assert_eq!(starts(&w.tell("n-1", &line)).len(), 1);
+}
+
+#[test]
+fn nothing_is_sent_before_its_line_in_the_log_is_durable() {
+    let mut w = World::new();
+    w.machine("n-1", "a");
+    w.job(spec("wk-1", 2), 101);
+    w.scheduler.place();
+    let first = w.scheduler.append(8000, 60).expect("two starts wait");
+    assert!(w.scheduler.append(8000, 60).is_none(), "their lines are being written");
+    let r = w.report("n-1", w.token(), &[]);
+    assert_eq!(
+        w.scheduler.report(&r, true, true),
+        ReportOutcome::Reply(ReportReply { token: w.token(), orders: vec![] })
+    );
+    assert!(w.scheduler.direct(9).is_empty());
+    // The write failed since the slot had changed: an earlier write without an answer had gone through after all.
+    w.scheduler.not_appended(first, Some((150, "n-1 - /wk-1 0.1")));
+    let again = w.scheduler.append(8000, 60).expect("they wait again");
+    assert_eq!((again.slot, again.version), (0, 150));
+    let text = again.text.clone();
+    w.scheduler.appended(again, 151);
+    let sent = w.scheduler.direct(9);
+    let got = starts(&sent[0].orders);
+    assert_eq!(got.len(), 2);
+    for (task, attempt) in &got {
+        let t = task.split_once('/').unwrap().1;
+        assert!(text.contains(&format!("{t}.{attempt:x}")), "{text}");
+    }
+    // What has ended is not carried over when its slot is taken again.
+    let answer = w.report("n-1", w.token(), &[(&got[1].0, got[1].1, TaskState::Running, None)]);
+    w.scheduler.direct_answer(&sent[0], Some(&answer));
+    let third = w.scheduler.append(8000, 60).or_else(|| {
+        w.scheduler.place();
+        w.scheduler.append(8000, 60)
+    });
+    let third = third.expect("the lost task is started again");
+    assert_eq!((third.slot, third.version), (0, 151));
+    assert!(!third.text.contains(&format!("{:x}", got[0].1)) && third.text.contains(&format!("{:x}", got[1].1)));
+}
+
+#[test]
+fn of_a_job_that_is_over_in_the_store_nothing_is_logged_and_so_nothing_sent() {
+    let mut w = World::new();
+    w.machine("n-1", "a");
+    w.job(spec("wk-1", 1), 101);
+    w.job(spec("wk-2", 1), 102);
+    w.scheduler.place();
+    let append = w.scheduler.append(8000, 60).unwrap();
+    assert_eq!(append.jobs, vec![("wk-1".to_string(), 101), ("wk-2".to_string(), 102)]);
+    // Another node has confirmed the cancellation of one, which this one's mirror does not show yet: the write is refused,
+    // and says why.
+    w.scheduler.drop_job("wk-1");
+    w.scheduler.not_appended(append, None);
+    let again = w.scheduler.append(8000, 60).unwrap();
+    assert_eq!(again.jobs, vec![("wk-2".to_string(), 102)]);
+    assert!(!again.text.contains("wk-1"));
+    w.scheduler.appended(again, 200);
+    let sent = w.scheduler.direct(9);
+    assert_eq!(starts(&sent[0].orders).len(), 1);
+    assert_eq!(starts(&sent[0].orders)[0].0, "wk-2/0");
+}
+
+#[test]
+fn a_write_of_the_log_names_no_more_jobs_than_the_store_takes_conditions() {
+    let mut w = World::new();
+    (0..5).for_each(|n| w.machine(&format!("n-{n}"), "a"));
+    (0..5).for_each(|n| w.job(spec(&format!("wk-{n}"), 2), 100 + n));
+    w.scheduler.place();
+    let mut written = Vec::new();
+    while let Some(a) = w.scheduler.append(8000, 2) {
+        assert!(a.jobs.len() <= 2);
+        written.extend(a.jobs.iter().map(|(id, _)| id.clone()));
+        w.scheduler.appended(a, 200 + written.len() as u64);
+    }
+    written.sort();
+    written.dedup();
+    assert_eq!(written.len(), 5);
+}
