--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,5 +1,6 @@
-//! Looking ahead: who may win room from others, what finds no room at all, and which machines are more than is needed.
+//! Demand: what finds no room, how much of each machine is used, and which machines are more than is needed.
 
+use super::preemption::FailedSearch;
 use super::scheduling_pass::UnplaceableRequests;
 use super::*;
 
@@ -38,13 +39,13 @@
 }
 
 /// Machines in the order in which they are filled, spot machines first, and what is left of their room.
-struct Pool {
+pub(super) struct Pool {
     order: Vec<usize>,
     room: Vec<Amounts>,
 }
 
 impl Pool {
-    fn new(scheduler: &Scheduler, rooms: impl Iterator<Item = (usize, Amounts)>) -> Pool {
+    pub(super) fn new(scheduler: &Scheduler, rooms: impl Iterator<Item = (usize, Amounts)>) -> Pool {
         let mut pool = Pool { order: Vec::new(), room: vec![[0; 3]; scheduler.machines.len()] };
         let mut ordinary = Vec::new();
         for (i, room) in rooms {
@@ -56,7 +57,13 @@
     }
 
     /// Takes room for up to `left` tasks of a job, within its zones' caps; returns how many found none.
-    fn take(&mut self, scheduler: &Scheduler, job: &Job, mut left: u32, zones: &mut HashMap<usize, u32>) -> u32 {
+    pub(super) fn take(
+        &mut self,
+        scheduler: &Scheduler,
+        job: &Job,
+        mut left: u32,
+        zones: &mut HashMap<usize, u32>,
+    ) -> u32 {
         let bound = job.record.spec.scatter || job.record.spec.together;
         for &i in &self.order {
             if left == 0 {
@@ -77,6 +84,16 @@
         left
     }
 
+    /// What is left of a machine's room.
+    pub(super) fn room_of(&self, machine: usize) -> Amounts {
+        self.room[machine]
+    }
+
+    /// Changes what is left of a machine's room.
+    pub(super) fn set_room(&mut self, machine: usize, room: Amounts) {
+        self.room[machine] = room;
+    }
+
     /// No longer looks at what has no room for the least need.
     fn trim(&mut self, least: &Amounts) {
         let room = &self.room;
@@ -84,12 +101,6 @@
     }
 }
 
-/// A start counts for its users if nothing stops the task within this time.
-const COUNTS_MS: u64 = 30_000;
-
-/// Who looked for somebody to displace in vain: priority, within a guarantee, team, need.
-type FailedSearch = (Priority, bool, Option<usize>, Amounts);
-
 impl Scheduler {
     /// Looks ahead: stops lower work where a higher job or a guarantee has a claim, and returns what finds no room even
     /// on the machines that are coming up.
@@ -151,176 +162,18 @@
         demands
     }
 
-    /// Stops lower work at once for production tasks that find no room. They do not wait for machines that are coming up,
-    /// nor for the next look ahead, which waits for the cloud's answers.
-    pub fn make_room(&mut self) {
-        let queue = std::mem::take(&mut self.urgent);
-        if queue.is_empty() {
-            return;
-        }
-        let mut room = Pool::new(self, self.machines().filter(|(_, m)| self.open(m)).map(|(i, m)| (i, self.coming(m))));
-        let mut asked = Vec::<FailedSearch>::new();
-        // What is being stopped of a team, less what those before in the queue will use of it.
-        let mut ending = self.team_ending.clone();
-        for j in queue {
-            let job = self.job(j);
-            let now = job.wanted(self.now).min(self.quota_room(job));
-            let mut zones = HashMap::new();
-            let left = room.take(self, job, now, &mut zones);
-            if left > 0 {
-                self.preempt(j, left, &mut room, &mut zones, &mut asked);
-            }
-            let short = self.job(j).wanted(self.now) - now;
-            if short > 0 {
-                self.yield_quota(j, short, &mut ending);
-            }
-        }
-    }
-
-    /// Stops lower work of a job's own team, which is at its limit, for up to `n` of its tasks.
-    fn yield_quota(&mut self, j: usize, n: u32, ending: &mut [[u64; 2]]) {
-        let job = self.job(j);
-        let Some(team) = job.team else { return };
-        let (need, priority) = (job.need, job.record.spec.priority);
-        let limit = self.p.teams[team].limit;
-        // Where limits are lifted or lowered the team may be over them; then nothing of this helps.
-        let mut wanted: [u64; 2] = std::array::from_fn(|r| {
-            let over = self.team_use[team][r].saturating_add(need[r].saturating_mul(n as u64));
-            over.saturating_sub(limit[r])
-        });
-        for r in 0..2 {
-            let used = wanted[r].min(ending[team][r]);
-            wanted[r] -= used;
-            ending[team][r] -= used;
-        }
-        if wanted == [0; 2] {
-            return;
-        }
-        let holders = self.holders.get(&job.image);
-        let mut victims: Vec<_> = Vec::new();
-        for &vj in &self.by_age {
-            let v = self.job(vj);
-            if v.team != Some(team) || v.ended || v.record.spec.priority <= priority {
-                continue;
-            }
-            for (&vt, a) in &v.active {
-                if matches!(a.phase, Phase::Stopping { .. }) {
-                    continue;
-                }
-                let m = self.machine(a.machine);
-                // Where the room that comes free is of use as well.
-                let apart = !self.may_host(job, m) || !holders.is_some_and(|h| h.contains(&a.machine));
-                let fresh = self.now < a.since + COUNTS_MS;
-                let often = v.displaced.get(&vt).copied().unwrap_or(0);
-                let spec = &v.record.spec;
-                let lost = if spec.checkpoint_s > 0.0 { 0 } else { self.now.saturating_sub(a.since) };
-                victims.push((std::cmp::Reverse(spec.priority), often, fresh, apart, lost, vj, vt));
-            }
-        }
-        victims.sort_unstable();
-        for (.., vj, vt) in victims {
-            if wanted == [0; 2] {
-                break;
-            }
-            let v = self.job(vj);
-            let (freed, save) = (v.need, v.record.spec.checkpoint_s > 0.0);
-            tracing::info!(job = %v.record.spec.id, task = vt, for_job = %self.job(j).record.spec.id, "preempted for quota");
-            *self.job_mut(vj).displaced.entry(vt).or_default() += 1;
-            self.apply_event(vj, vt, TaskEvent::Stop { save });
-            wanted = std::array::from_fn(|r| wanted[r].saturating_sub(freed[r]));
-        }
-    }
-
     /// Room of a machine, with what is being stopped there.
-    fn coming(&self, m: &Machine) -> Amounts {
+    pub(super) fn coming(&self, m: &Machine) -> Amounts {
         if m.stopping == 0 {
             return m.room;
         }
         let ending = m.tasks.iter().filter_map(|(j, t)| {
             let job = self.job(*j);
-            job.active.get(t).filter(|a| matches!(a.phase, Phase::Stopping { .. })).map(|_| job.need)
+            job.active.get(t).filter(|a| a.stops()).map(|_| job.need)
         });
         ending.fold(m.room, |r, need| more(&r, &need, 1))
     }
 
-    /// Stops lower work for up to `n` tasks of a job; returns for how many.
-    /// `zones`: what was found or won for the job in each zone already.
-    fn preempt(
-        &mut self,
-        j: usize,
-        n: u32,
-        room: &mut Pool,
-        zones: &mut HashMap<usize, u32>,
-        asked: &mut Vec<FailedSearch>,
-    ) -> u32 {
-        let job = self.job(j);
-        let (need, priority, within, team) = (job.need, job.record.spec.priority, job.within, job.team);
-        let key = (priority, within, team, need);
-        if asked.contains(&key) {
-            return 0;
-        }
-        let image = job.image;
-        let holders = self.holders.get(&image);
-        let mut hosts: Vec<(bool, usize)> = self
-            .machines()
-            .filter(|(_, m)| self.open(m) && !m.tasks.is_empty() && self.may_host(job, m))
-            .map(|(i, _)| (!holders.is_some_and(|h| h.contains(&i)), i))
-            .collect();
-        // Holders first, so that the room won is used at once.
-        hosts.sort_unstable();
-        let mut won = 0;
-        for (_, i) in hosts {
-            if won == n {
-                break;
-            }
-            let zone = self.machine(i).zone;
-            let mut victims: Vec<(Priority, u32, u64, usize, u32)> = Vec::new();
-            for (vj, vt) in &self.machine(i).tasks {
-                let v = self.job(*vj);
-                let Some(a) = v.active.get(vt) else { continue };
-                if matches!(a.phase, Phase::Stopping { .. }) {
-                    continue;
-                }
-                let spec = &v.record.spec;
-                let lower = spec.priority > priority && (!v.within || priority == Priority::Production);
-                let borrowed = within && !v.within && v.team != team && spec.priority != Priority::Production;
-                if lower || borrowed {
-                    let before = v.displaced.get(vt).copied().unwrap_or(0);
-                    victims.push((spec.priority, before, a.since, *vj, *vt));
-                }
-            }
-            // The lowest first; among them those stopped least often, lest the same work begin anew for ever; then the one
-            // that loses the least.
-            victims.sort_by_key(|v| (std::cmp::Reverse(v.0), v.1, std::cmp::Reverse(v.2)));
-            let mut victims = victims.into_iter();
-            while won < n && self.zone_cap(self.job(j), zone) > zones.get(&zone).copied().unwrap_or(0) {
-                let mut r = room.room[i];
-                let mut chosen = Vec::new();
-                while fits(&need, &r) == 0 {
-                    let Some((.., vj, vt)) = victims.next() else { break };
-                    r = more(&r, &self.job(vj).need, 1);
-                    chosen.push((vj, vt));
-                }
-                if fits(&need, &r) == 0 {
-                    break;
-                }
-                for (vj, vt) in chosen {
-                    tracing::info!(job = %self.job(vj).record.spec.id, task = vt, for_job = %self.job(j).record.spec.id, "preempted");
-                    let save = self.job(vj).record.spec.checkpoint_s > 0.0;
-                    *self.job_mut(vj).displaced.entry(vt).or_default() += 1;
-                    self.apply_event(vj, vt, TaskEvent::Stop { save });
-                }
-                room.room[i] = less(&r, &need, 1);
-                *zones.entry(zone).or_default() += 1;
-                won += 1;
-            }
-        }
-        if won < n {
-            asked.push(key);
-        }
-        won
-    }
-
     /// CPUs that the services of all unfinished jobs ask for, and those that they hold in each zone.
     pub fn service_demand(&self) -> (u64, HashMap<usize, u64>) {
         let mut all = 0;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -14,6 +14,7 @@
 mod machines;
 mod names;
 mod params;
+mod preemption;
 mod reports;
 mod resources;
 mod scheduling_pass;
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -267,7 +267,7 @@
         }
         let Some(a) = active else { return true };
         self.apply_event(j, t, TaskEvent::Gone);
-        if matches!(a.phase, Phase::Stopping { .. }) {
+        if a.stops() {
             return true;
         }
         let now = self.now;
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -50,53 +50,96 @@
     Finished,
 }
 
+impl TaskAttempt {
+    /// An attempt that is assigned to a machine.
+    fn assigned(machine: usize, attempt: u64, now: u64) -> TaskAttempt {
+        TaskAttempt {
+            machine,
+            attempt,
+            phase: Phase::Assigned,
+            since: now,
+            direct: false,
+            logged: false,
+            token: 0,
+            stop_sent: false,
+            shown: false,
+        }
+    }
+
+    /// Whether it is running, or saving.
+    fn runs(&self) -> bool {
+        matches!(self.phase, Phase::Running | Phase::Stopping { .. })
+    }
+
+    /// Whether it is being stopped.
+    pub(super) fn stops(&self) -> bool {
+        matches!(self.phase, Phase::Stopping { .. })
+    }
+}
+
+/// What an event makes of a task.
+enum Transition {
+    /// Nothing.
+    Unchanged,
+    /// It is, or may be, on a machine in this state.
+    To(TaskAttempt),
+    /// It is on no machine any more.
+    Gone,
+}
+
+/// What an event makes of a task that is, or may be, on a machine as `old` tells.
+fn next_attempt(old: Option<TaskAttempt>, event: TaskEvent, now: u64) -> Transition {
+    let Some(a) = old else {
+        return match event {
+            TaskEvent::Assign { machine, attempt } => Transition::To(TaskAttempt::assigned(machine, attempt, now)),
+            TaskEvent::Adopt { machine, attempt, phase } => {
+                let shown = phase != Phase::Sent;
+                let assigned = TaskAttempt::assigned(machine, attempt, now);
+                Transition::To(TaskAttempt { phase, logged: true, shown, ..assigned })
+            }
+            _ => Transition::Unchanged,
+        };
+    };
+    match event {
+        TaskEvent::Log if a.phase == Phase::Assigned => Transition::To(TaskAttempt { logged: true, ..a }),
+        TaskEvent::Send { direct, token } if a.phase == Phase::Assigned && a.logged => {
+            Transition::To(TaskAttempt { phase: Phase::Sent, since: now, direct, token, ..a })
+        }
+        TaskEvent::Show(phase) if a.phase != phase && a.phase != Phase::Assigned && !a.stops() => {
+            Transition::To(TaskAttempt { phase, since: now, ..a })
+        }
+        // Never sent, so it cannot be anywhere.
+        TaskEvent::Stop { .. } if a.phase == Phase::Assigned => Transition::Gone,
+        TaskEvent::Stop { save } => match a.phase {
+            Phase::Stopping { save: false } => Transition::Unchanged,
+            Phase::Stopping { save: true } if save => Transition::Unchanged,
+            _ => Transition::To(TaskAttempt { phase: Phase::Stopping { save }, since: now, stop_sent: false, ..a }),
+        },
+        TaskEvent::Gone | TaskEvent::Finished => Transition::Gone,
+        _ => Transition::Unchanged,
+    }
+}
+
 impl Scheduler {
+    /// The one function for every change of a task.
     pub(super) fn apply_event(&mut self, j: usize, t: u32, event: TaskEvent) {
-        let now = self.now;
         let old = self.job(j).active.get(&t).copied();
-        let next = match (event, old) {
-            (TaskEvent::Assign { machine, attempt }, None) => Some(TaskAttempt {
-                machine,
-                attempt,
-                phase: Phase::Assigned,
-                since: now,
-                direct: false,
-                logged: false,
-                token: 0,
-                stop_sent: false,
-                shown: false,
-            }),
-            (TaskEvent::Adopt { machine, attempt, phase }, None) => Some(TaskAttempt {
-                machine,
-                attempt,
-                phase,
-                since: now,
-                direct: false,
-                logged: true,
-                token: 0,
-                stop_sent: false,
-                shown: phase != Phase::Sent,
-            }),
-            (TaskEvent::Log, Some(a)) if a.phase == Phase::Assigned => Some(TaskAttempt { logged: true, ..a }),
-            (TaskEvent::Send { direct, token }, Some(a)) if a.phase == Phase::Assigned && a.logged => {
-                Some(TaskAttempt { phase: Phase::Sent, since: now, direct, token, ..a })
-            }
-            (TaskEvent::Show(phase), Some(a)) if a.phase != phase && a.phase != Phase::Assigned => {
-                if matches!(a.phase, Phase::Stopping { .. }) {
-                    return;
-                }
-                Some(TaskAttempt { phase, since: now, ..a })
-            }
-            // Never sent, so it cannot be anywhere.
-            (TaskEvent::Stop { .. }, Some(a)) if a.phase == Phase::Assigned => None,
-            (TaskEvent::Stop { save }, Some(a)) => match a.phase {
-                Phase::Stopping { save: false } => return,
-                Phase::Stopping { save: true } if save => return,
-                _ => Some(TaskAttempt { phase: Phase::Stopping { save }, since: now, stop_sent: false, ..a }),
-            },
-            (TaskEvent::Gone | TaskEvent::Finished, Some(_)) => None,
-            _ => return,
+        let next = match next_attempt(old, event, self.now) {
+            Transition::Unchanged => return,
+            Transition::To(attempt) => Some(attempt),
+            Transition::Gone => None,
         };
+        self.replace_attempt(j, t, old, next);
+        if next.is_none() {
+            self.stop_broken_gang(j, t);
+        }
+        self.count_change(j, old, next);
+        self.request_follow_up(j, t, old, next);
+    }
+
+    /// Puts a task's new state in the place of its old one.
+    fn replace_attempt(&mut self, j: usize, t: u32, old: Option<TaskAttempt>, next: Option<TaskAttempt>) {
+        let now = self.now;
         let job = self.jobs[j].as_mut().expect("a task that changes belongs to a present job");
         match (old, next) {
             (None, Some(n)) => {
@@ -116,31 +159,43 @@
             }
             (None, None) => {}
         }
-        if let (Some(_), None) = (old, next) {
-            // A gang that has lost a task is stopped, to start again as a whole.
-            let job = self.job(j);
-            if job.record.spec.kind == Kind::Gang && !bit(&job.done, t) {
-                for other in job.active.keys().copied().collect::<Vec<_>>() {
-                    self.apply_event(j, other, TaskEvent::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
-                }
-            }
+    }
+
+    /// A gang that has lost a task is stopped, to start again as a whole.
+    fn stop_broken_gang(&mut self, j: usize, t: u32) {
+        let job = self.job(j);
+        if job.record.spec.kind != Kind::Gang || bit(&job.done, t) {
+            return;
         }
-        let runs =
-            |a: Option<TaskAttempt>| a.is_some_and(|a| matches!(a.phase, Phase::Running | Phase::Stopping { .. }));
-        let stops = |a: Option<TaskAttempt>| a.is_some_and(|a| matches!(a.phase, Phase::Stopping { .. }));
+        let save = job.record.spec.checkpoint_s > 0.0;
+        for other in job.active.keys().copied().collect::<Vec<_>>() {
+            self.apply_event(j, other, TaskEvent::Stop { save });
+        }
+    }
+
+    /// Keeps the counts of running and stopping tasks.
+    fn count_change(&mut self, j: usize, old: Option<TaskAttempt>, next: Option<TaskAttempt>) {
+        let runs = |a: Option<TaskAttempt>| a.is_some_and(|a| a.runs());
+        let stops = |a: Option<TaskAttempt>| a.is_some_and(|a| a.stops());
         let job = self.job_mut(j);
         job.running = job.running + runs(next) as u32 - runs(old) as u32;
         let need = job.need;
         if let Some(team) = job.team.filter(|_| stops(next) != stops(old)) {
-            let e = &mut self.team_ending[team];
-            *e = std::array::from_fn(|r| if stops(next) { e[r] + need[r] } else { e[r] - need[r] });
+            let ending = &mut self.team_ending[team];
+            *ending = std::array::from_fn(|r| if stops(next) { ending[r] + need[r] } else { ending[r] - need[r] });
+        }
+        if let Some(at) = next.or(old).map(|a| a.machine) {
+            let m = self.machine_mut(at);
+            m.stopping = m.stopping + stops(next) as u32 - stops(old) as u32;
         }
+    }
+
+    /// Asks for what has to follow a change: a line in the start log, a command, a new look at what can be placed.
+    fn request_follow_up(&mut self, j: usize, t: u32, old: Option<TaskAttempt>, next: Option<TaskAttempt>) {
         let Some(at) = next.or(old).map(|a| a.machine) else { return };
-        let m = self.machine_mut(at);
-        m.stopping = m.stopping + stops(next) as u32 - stops(old) as u32;
         match next {
             Some(a) if a.phase == Phase::Assigned && !a.logged => self.log.wants(j, t, at, a.attempt),
-            Some(a) if a.phase == Phase::Assigned || (stops(next) && !a.stop_sent) => {
+            Some(a) if a.phase == Phase::Assigned || (a.stops() && !a.stop_sent) => {
                 self.outbox.insert(at);
             }
             // Only room that has come free can let something else be placed.
