--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -407,7 +407,7 @@
         }
         let Some(scheduler) = self.scheduler.as_mut() else { return WorkerAnswer::Later };
         scheduler.at(now);
-        match scheduler.report(r, true, authority == Authority::Full) {
+        match scheduler.report(r, Arrival::Report { may_start: authority == Authority::Full }) {
             ReportOutcome::Reply(reply) => WorkerAnswer::Reply(reply),
             ReportOutcome::Superseded => {
                 self.lead_event(Event::Ended);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -22,7 +22,7 @@
     self as wire, JobSpec, JobState, JobView, Kind, MachineType, RentRequest, Report, ReportReply, Txn,
 };
 use crate::rate::{RateMeter, TokenBucket};
-use crate::scheduler::{Direct, MachineState, Offer, Origin, Params, ReportOutcome, Scheduler};
+use crate::scheduler::{Arrival, Direct, MachineState, Offer, Origin, Params, ReportOutcome, Scheduler};
 use crate::store::{
     self, guard, put, Decided, LeaderRecord, LiveRecord, Mirror, MirrorChange, OverRecord, RentalRecord, StoreClient,
     StoreError,
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -327,7 +327,7 @@
         self.machine_mut(i).direct = false;
         match answer {
             Some(r) => {
-                self.report(r, false, false);
+                self.report(r, Arrival::DirectAnswer);
             }
             None if sent.orders.is_empty() => {}
             None => self.raise(i, "no answer to direct orders"),
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -26,6 +26,7 @@
 pub use machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
 pub use names::Names;
 pub use params::{Params, TeamQuota};
+pub use reports::Arrival;
 pub use resources::Amounts;
 pub use start_log::Append;
 pub use tasks::{Phase, TaskAttempt};
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -10,35 +10,80 @@
 /// Images remembered for a machine.
 const IMAGES: usize = 24;
 
+/// Time until a machine that was heard for the first time is asked, if it does not report again by itself.
+const PROBE_AFTER_CONTACT_MS: u64 = 1000;
+
+/// How a report has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Arrival {
+    /// As a report: the answer renews the lease.
+    Report {
+        /// Whether the node has the authority to start tasks.
+        may_start: bool,
+    },
+    /// As the answer to a direct order.
+    DirectAnswer,
+}
+
+impl Arrival {
+    fn is_report(self) -> bool {
+        matches!(self, Arrival::Report { .. })
+    }
+}
+
 fn halt(line: &TaskReport) -> Command {
     Command::Stop { task: line.task.clone(), attempt: line.attempt, grace_s: 0.0 }
 }
 
 impl Scheduler {
-    /// Takes in a report. `live`: it arrived as a report, so the answer renews the lease; otherwise it is the answer to
-    /// a direct order. `start`: the node has the authority to start tasks.
-    pub fn report(&mut self, r: &Report, live: bool, start: bool) -> ReportOutcome {
+    /// Takes in a report.
+    pub fn report(&mut self, r: &Report, arrival: Arrival) -> ReportOutcome {
         if r.token >> TOKEN_BITS > self.epoch {
             return ReportOutcome::Superseded;
         }
         let Some(&i) = self.machine_index.get(&r.machine) else { return ReportOutcome::UnregisteredMachine };
-        let now = self.now;
         let token = self.token(self.machine(i));
+        if arrival.is_report() {
+            self.renew_lease(i, r);
+        }
+        if (r.session, r.seq) <= self.machine(i).last || r.token > token {
+            return ReportOutcome::Reply(ReportReply { token, orders: Vec::new() });
+        }
+        let another_session = self.note_contact(i, r);
+        let mut orders = Vec::new();
+        if r.token == token {
+            self.take_current_report(i, r, arrival, another_session, &mut orders);
+        } else {
+            // Nothing is concluded from it, but what is there of a job that is over is stopped by the first answer: without
+            // this, a machine that hung or was cut off once it had its lease renewed went on with it for another lease.
+            orders.extend(r.tasks.iter().filter(|l| l.state != TaskState::Exited).filter(|l| self.over(l)).map(halt));
+        }
+        ReportOutcome::Reply(self.reply(i, orders))
+    }
+
+    /// Counts the lease of a machine from a report that is about to be answered.
+    ///
+    /// Held back by the network or a late copy, an old report is as old as its task list: nothing follows from it for its
+    /// tasks. A worker has one report in flight, so that of one older than the last it awaits no answer either. One that was
+    /// overtaken by the answer to a direct order counts, since its worker still waits for us.
+    fn renew_lease(&mut self, i: usize, r: &Report) {
+        let now = self.now;
         let m = self.machine_mut(i);
-        // Held back by the network or a late copy, an old report is as old as its task list: nothing follows from it for
-        // its tasks. A worker has one report in flight, so that of one older than the last it awaits no answer either.
-        if live && (r.session, r.seq) > m.last_live {
-            // It may only have been overtaken by the answer to a direct order; its worker then still waits for us.
+        if (r.session, r.seq) > m.last_live {
             m.last_live = (r.session, r.seq);
             m.last_answer = m.last_answer.max(now);
         }
-        if (r.session, r.seq) <= m.last || r.token > token {
-            return ReportOutcome::Reply(ReportReply { token, orders: Vec::new() });
-        }
-        let another = m.last.0 != 0 && r.session > m.last.0;
+    }
+
+    /// Notes what the newest report tells of its machine, whatever its token. True if the worker is in another session than
+    /// before.
+    fn note_contact(&mut self, i: usize, r: &Report) -> bool {
+        let now = self.now;
+        let m = self.machine_mut(i);
+        let another_session = m.last.0 != 0 && r.session > m.last.0;
         if r.session > m.last.0 {
             // Its lease runs from its beginning, answered or not. A machine that reached no controller once got work in its
-            // next session by direct orders, and was taken for outwaited by the lease of the session before.
+            // next session by direct orders, and was taken to be past the lease of the session before.
             m.session_seen = now;
         }
         m.last = (r.session, r.seq);
@@ -51,40 +96,49 @@
             m.contacted = true;
             m.last_heard = now;
             // Its next report, due at once since its token has changed, tells as much.
-            m.probe_at = now + 1000;
+            m.probe_at = now + PROBE_AFTER_CONTACT_MS;
         }
-        let mut orders = Vec::new();
-        if r.token == token {
-            let overdue = 3 * self.p.report_ms;
-            let m = self.machine_mut(i);
-            // Something can be placed there from now on.
-            let fresh = !m.current || now > m.last_heard + overdue;
-            m.last_heard = now;
-            m.current = true;
-            self.changed |= fresh;
-            if self.machine(i).state == MachineState::Waiting {
-                self.machine_mut(i).idle_since = self.machine(i).tasks.is_empty().then_some(now);
-                self.measure_boot(i);
-                self.enter(i, MachineState::Up, "reported");
-            }
-            let lost = self.reconcile(i, r, live, &mut orders);
-            // A session that ended although its reports were answered, or a start in an answer that was never executed,
-            // may mean that the worker hears nothing of us: it has to show a new token before it gets work again. Without
-            // this, such a machine took the same tasks again and again and lost them.
-            if another || lost {
-                self.raise(i, if another { "another session" } else { "an answer was lost" });
-            } else if start {
-                self.collect_starts(i, false, &mut orders);
-                if orders.len() < ORDERS && !self.machine(i).direct {
-                    self.outbox.remove(&i);
-                }
-            }
+        another_session
+    }
+
+    /// Takes in the newest report under the current token.
+    fn take_current_report(
+        &mut self,
+        i: usize,
+        r: &Report,
+        arrival: Arrival,
+        another_session: bool,
+        orders: &mut Vec<Command>,
+    ) {
+        let now = self.now;
+        let overdue = 3 * self.p.report_ms;
+        let m = self.machine_mut(i);
+        // Something can be placed there from now on.
+        let fresh = !m.current || now > m.last_heard + overdue;
+        m.last_heard = now;
+        m.current = true;
+        self.changed |= fresh;
+        if self.machine(i).state == MachineState::Waiting {
+            self.machine_mut(i).idle_since = self.machine(i).tasks.is_empty().then_some(now);
+            self.measure_boot(i);
+            self.enter(i, MachineState::Up, "reported");
         }
-        if r.token != token {
-            // Nothing is concluded from it, but what is there of a job that is over is stopped by the first answer: without
-            // this, a machine that hung or was cut off once it had its lease renewed went on with it for another lease.
-            orders.extend(r.tasks.iter().filter(|l| l.state != TaskState::Exited).filter(|l| self.over(l)).map(halt));
+        let lost = self.reconcile(i, r, arrival, orders);
+        // A session that ended although its reports were answered, or a start in an answer that was never executed,
+        // may mean that the worker hears nothing of us: it has to show a new token before it gets work again. Without
+        // this, such a machine took the same tasks again and again and lost them.
+        if another_session || lost {
+            self.raise(i, if another_session { "another session" } else { "an answer was lost" });
+        } else if arrival == (Arrival::Report { may_start: true }) {
+            self.collect_starts(i, false, orders);
+            if orders.len() < ORDERS && !self.machine(i).direct {
+                self.outbox.remove(&i);
+            }
         }
+    }
+
+    /// The answer to a report.
+    fn reply(&mut self, i: usize, mut orders: Vec<Command>) -> ReportReply {
         // Stops first: where there are more orders than fit, the rest is told next time.
         orders.sort_by_key(|o| !matches!(o, Command::Stop { .. }));
         orders.truncate(ORDERS);
@@ -100,7 +154,7 @@
             m.counter += 1;
         }
         let token = self.token(self.machine(i));
-        ReportOutcome::Reply(ReportReply { token, orders })
+        ReportReply { token, orders }
     }
 
     /// Whether a line belongs to a job of which nothing may run any more: one cancelled, or gone from the store before this
@@ -111,98 +165,144 @@
     }
 
     /// The report is the newest under the current token: it is the truth about its machine, but for starts on their way:
-    /// direct ones whose answer is still out, and, where the report is the answer to direct orders (not `live`), those in
-    /// the response to a report, which the worker may not have received yet. Only its next report tells of these, since
-    /// it has one in flight at a time. (A direct stop that overtook such a start once made tasks run twice.)
+    /// direct ones whose answer is still out, and, where the report is the answer to direct orders, those in the response to a
+    /// report, which the worker may not have received yet. Only its next report tells of these, since it has one in flight at
+    /// a time. (A direct stop that overtook such a start once made tasks run twice.)
     /// True if a start in an answer to a report was not executed.
-    fn reconcile(&mut self, i: usize, r: &Report, live: bool, orders: &mut Vec<Command>) -> bool {
+    fn reconcile(&mut self, i: usize, r: &Report, arrival: Arrival, orders: &mut Vec<Command>) -> bool {
+        self.drop_replaced_attempts(i, r, arrival);
         let mut listed = HashSet::with_capacity(r.tasks.len());
-        // A live line of another attempt than the one that was sent here, which is not under way any more: that one is what
-        // is here. Taken for a stray, it was once stopped and its task started elsewhere before it had ended.
+        // What has ended first: a refused start of one attempt must not hide that another still runs here.
+        let (ended, live): (Vec<_>, Vec<_>) = r.tasks.iter().partition(|l| l.state == TaskState::Exited);
+        for line in ended {
+            self.reconcile_ended(i, line, &mut listed, orders);
+        }
+        for line in live {
+            self.reconcile_live(i, line, &mut listed, orders);
+        }
+        self.drop_unlisted(i, r, arrival, &listed)
+    }
+
+    /// The job and the number of a task that a report names, if the job is known here.
+    fn find_task(&self, line: &TaskReport) -> Option<(usize, u32)> {
+        let (job, t) = split_task(&line.task)?;
+        Some((*self.job_index.get(job)?, t))
+    }
+
+    /// The same for a task that its job has.
+    fn known_task(&self, line: &TaskReport) -> Option<(usize, u32)> {
+        self.find_task(line).filter(|(j, t)| *t < self.job(*j).tasks())
+    }
+
+    /// The attempt that a line of a machine's report is about, if it is the one that is known to be there.
+    fn attempt_here(&self, i: usize, j: usize, t: u32, line: &TaskReport) -> Option<TaskAttempt> {
+        let attempt = self.job(j).active.get(&t).copied();
+        attempt.filter(|a| a.machine == i && a.attempt == line.attempt)
+    }
+
+    /// A live line of another attempt than the one that was sent here, which is not under way any more: that one is what is
+    /// here. Taken for a stray, it was once stopped and its task started elsewhere before it had ended.
+    fn drop_replaced_attempts(&mut self, i: usize, r: &Report, arrival: Arrival) {
         for line in r.tasks.iter().filter(|l| l.state != TaskState::Exited) {
-            let found = split_task(&line.task).and_then(|(job, t)| Some((*self.job_index.get(job)?, t)));
-            let Some((j, t)) = found else { continue };
+            let Some((j, t)) = self.find_task(line) else { continue };
             let Some(a) = self.job(j).active.get(&t).copied() else { continue };
-            if a.machine == i && a.attempt != line.attempt && !self.under_way(i, &a, r, live) {
-                let listed = r.tasks.iter().any(|l| l.task == line.task && l.attempt == a.attempt);
-                if a.phase != Phase::Assigned && !listed {
-                    self.apply_event(j, t, TaskEvent::Gone);
-                }
-            }
-        }
-        // What has ended first: a refused start of one attempt must not hide that another still runs here.
-        let ended = |l: &&TaskReport| l.state == TaskState::Exited;
-        for line in r.tasks.iter().filter(ended).chain(r.tasks.iter().filter(|l| !ended(l))) {
-            let found = split_task(&line.task).and_then(|(job, t)| Some((*self.job_index.get(job)?, t)));
-            let known = found.filter(|(j, t)| *t < self.job(*j).tasks());
-            let name = || line.task.clone();
-            let Some((j, t)) = known else {
-                orders.push(match line.state {
-                    TaskState::Exited => Command::Forget { task: name(), attempt: line.attempt },
-                    _ => Command::Stop { task: name(), attempt: line.attempt, grace_s: 0.0 },
-                });
-                continue;
-            };
-            let here =
-                |p: &Self| p.job(j).active.get(&t).copied().filter(|a| a.machine == i && a.attempt == line.attempt);
-            if line.state == TaskState::Exited {
-                if here(self).is_some_and(|a| a.phase == Phase::Assigned) {
-                    continue;
-                }
-                let attempt = here(self);
-                if attempt.is_some() {
-                    listed.insert((j, t));
-                }
-                if self.exited(i, j, t, line.reason, attempt) {
-                    orders.push(Command::Forget { task: name(), attempt: line.attempt });
-                }
+            if a.machine != i || a.attempt == line.attempt || self.under_way(i, &a, r, arrival) {
                 continue;
             }
-            let early = matches!(line.state, TaskState::Fetching | TaskState::Gathering);
-            let phase = if early { Phase::Fetching } else { Phase::Running };
-            let job = self.job(j);
-            if !job.active.contains_key(&t) && !bit(&job.done, t) {
-                self.apply_event(j, t, TaskEvent::Adopt { machine: i, attempt: line.attempt, phase });
-                // Its line may have left the log.
-                self.log.wants(j, t, i, line.attempt);
-                if self.job(j).ended {
-                    self.apply_event(j, t, TaskEvent::Stop { save: false });
-                }
+            let listed = r.tasks.iter().any(|l| l.task == line.task && l.attempt == a.attempt);
+            if a.phase != Phase::Assigned && !listed {
+                self.apply_event(j, t, TaskEvent::Gone);
             }
-            let Some(a) = here(self) else {
-                orders.push(Command::Stop { task: name(), attempt: line.attempt, grace_s: 0.0 });
-                continue;
-            };
+        }
+    }
+
+    /// A task that has ended on a machine.
+    fn reconcile_ended(
+        &mut self,
+        i: usize,
+        line: &TaskReport,
+        listed: &mut HashSet<(usize, u32)>,
+        orders: &mut Vec<Command>,
+    ) {
+        let forget = Command::Forget { task: line.task.clone(), attempt: line.attempt };
+        let Some((j, t)) = self.known_task(line) else {
+            orders.push(forget);
+            return;
+        };
+        let attempt = self.attempt_here(i, j, t, line);
+        if attempt.is_some_and(|a| a.phase == Phase::Assigned) {
+            return;
+        }
+        if attempt.is_some() {
             listed.insert((j, t));
-            if let Some(a) = self.job_mut(j).active.get_mut(&t) {
-                a.shown = true;
+        }
+        if self.exited(i, j, t, line.reason, attempt) {
+            orders.push(forget);
+        }
+    }
+
+    /// A task that is on a machine and has not ended.
+    fn reconcile_live(
+        &mut self,
+        i: usize,
+        line: &TaskReport,
+        listed: &mut HashSet<(usize, u32)>,
+        orders: &mut Vec<Command>,
+    ) {
+        let stop = |grace_s: f64| Command::Stop { task: line.task.clone(), attempt: line.attempt, grace_s };
+        let Some((j, t)) = self.known_task(line) else {
+            orders.push(stop(0.0));
+            return;
+        };
+        let early = matches!(line.state, TaskState::Fetching | TaskState::Gathering);
+        let phase = if early { Phase::Fetching } else { Phase::Running };
+        let job = self.job(j);
+        if !job.active.contains_key(&t) && !bit(&job.done, t) {
+            self.apply_event(j, t, TaskEvent::Adopt { machine: i, attempt: line.attempt, phase });
+            // Its line may have left the log.
+            self.log.wants(j, t, i, line.attempt);
+            if self.job(j).ended {
+                self.apply_event(j, t, TaskEvent::Stop { save: false });
             }
-            if let Phase::Stopping { save } = a.phase {
-                if !(save && line.state == TaskState::Saving) {
-                    let grace_s = if save { self.job(j).record.spec.save_s } else { 0.0 };
-                    orders.push(Command::Stop { task: name(), attempt: line.attempt, grace_s });
-                }
-                continue;
+        }
+        let Some(a) = self.attempt_here(i, j, t, line) else {
+            orders.push(stop(0.0));
+            return;
+        };
+        listed.insert((j, t));
+        if let Some(a) = self.job_mut(j).active.get_mut(&t) {
+            a.shown = true;
+        }
+        if let Phase::Stopping { save } = a.phase {
+            if !(save && line.state == TaskState::Saving) {
+                orders.push(stop(if save { self.job(j).record.spec.save_s } else { 0.0 }));
             }
-            self.show(i, j, t, a, phase);
+            return;
         }
+        self.show(i, j, t, a, phase);
+    }
+
+    /// What a machine does not list is not there, unless its start is still under way. True if a start in an answer to a
+    /// report was not executed.
+    fn drop_unlisted(&mut self, i: usize, r: &Report, arrival: Arrival, listed: &HashSet<(usize, u32)>) -> bool {
         let absent: Vec<_> = self.machine(i).tasks.iter().copied().filter(|k| !listed.contains(k)).collect();
         let mut lost = false;
         for (j, t) in absent {
             let Some(a) = self.job(j).active.get(&t).copied() else { continue };
-            if a.phase != Phase::Assigned && !self.under_way(i, &a, r, live) {
-                tracing::info!(job = %self.job(j).record.spec.id, task = t, machine = %self.machine(i).name, "task gone");
-                lost |= !a.shown && !a.direct && a.token == r.token;
-                self.apply_event(j, t, TaskEvent::Gone);
+            if a.phase == Phase::Assigned || self.under_way(i, &a, r, arrival) {
+                continue;
             }
+            tracing::info!(job = %self.job(j).record.spec.id, task = t, machine = %self.machine(i).name, "task gone");
+            lost |= !a.shown && !a.direct && a.token == r.token;
+            self.apply_event(j, t, TaskEvent::Gone);
         }
         lost
     }
 
     /// Whether a start may still be on its way to a worker that has sent this report. One sent under an older token is
     /// void: the worker has seen this one.
-    fn under_way(&self, i: usize, a: &TaskAttempt, r: &Report, live: bool) -> bool {
-        !a.shown && a.token == r.token && if a.direct { self.machine(i).direct } else { !live }
+    fn under_way(&self, i: usize, a: &TaskAttempt, r: &Report, arrival: Arrival) -> bool {
+        !a.shown && a.token == r.token && if a.direct { self.machine(i).direct } else { !arrival.is_report() }
     }
 
     /// A live task's state as its worker tells it.
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -153,7 +153,7 @@
     fn answer(&mut self, r: &Report) -> Vec<Command> {
         self.scheduler.place();
         self.log();
-        match self.scheduler.report(r, true, true) {
+        match self.scheduler.report(r, Arrival::Report { may_start: true }) {
             ReportOutcome::Reply(reply) => reply.orders,
             other => panic!("{other:?}"),
         }
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -51,7 +51,7 @@
     // Neither runs anything any more, but n-2 has fetched the image.
     for n in ["n-1", "n-2"] {
         let r = w.report(n, w.token(), &[]);
-        w.scheduler.report(&r, true, true);
+        w.scheduler.report(&r, Arrival::Report { may_start: true });
     }
     w.tick(1100);
     assert_eq!(starts(&w.tell("n-1", &[])).len(), 0);
@@ -63,7 +63,7 @@
     let mut w = World::new();
     w.machine("n-1", "a");
     let r = w.report("n-1", 6 << TOKEN_BITS, &[]);
-    assert_eq!(w.scheduler.report(&r, true, true), ReportOutcome::Superseded);
+    assert_eq!(w.scheduler.report(&r, Arrival::Report { may_start: true }), ReportOutcome::Superseded);
 }
 
 #[test]
@@ -194,7 +194,7 @@
     let lines =
         [("wk-1/0", 71, run, None), ("wk-2/0", 72, run, None), ("wk-9/0", 7, run, None), ("wk-1/1", 70, done, None)];
     let r = w.report("n-1", 4 << TOKEN_BITS, &lines);
-    let ReportOutcome::Reply(reply) = w.scheduler.report(&r, true, false) else { panic!() };
+    let ReportOutcome::Reply(reply) = w.scheduler.report(&r, Arrival::Report { may_start: false }) else { panic!() };
     let stopped: Vec<&str> = reply
         .orders
         .iter()
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -75,13 +75,16 @@
     w.tick(1100);
     let r = w.report("n-1", w.token(), &[]);
     assert_eq!(
-        w.scheduler.report(&r, true, false),
+        w.scheduler.report(&r, Arrival::Report { may_start: false }),
         ReportOutcome::Reply(ReportReply { token: w.token(), orders: vec![] }),
         "renewing in an outage starts nothing"
     );
     assert_eq!(starts(&w.tell("n-1", &[])).len(), 1);
     let unregistered = w.report("n-77", w.token(), &[]);
-    assert_eq!(w.scheduler.report(&unregistered, true, true), ReportOutcome::UnregisteredMachine);
+    assert_eq!(
+        w.scheduler.report(&unregistered, Arrival::Report { may_start: true }),
+        ReportOutcome::UnregisteredMachine
+    );
 }
 
 #[test]
@@ -190,7 +193,7 @@
     w.scheduler.direct_answer(&sent[0], Some(&r));
     w.scheduler.drop_job("wk-1");
     let r = w.report("n-1", w.token(), &line(TaskState::Exited, Some(ExitReason::Stopped)));
-    match w.scheduler.report(&r, true, true) {
+    match w.scheduler.report(&r, Arrival::Report { may_start: true }) {
         // A copy of the direct order carries the old token.
         ReportOutcome::Reply(reply) => {
             assert_eq!(reply.token, w.token() + 1);
@@ -272,11 +275,11 @@
     let at = w.scheduler.now;
     let mut r = w.report("n-1", w.token(), &[]);
     r.session = 2;
-    w.scheduler.report(&r, false, false);
+    w.scheduler.report(&r, Arrival::DirectAnswer);
     let token = w.token() + 1;
     let mut r = w.report("n-1", token, &[]);
     r.session = 2;
-    w.scheduler.report(&r, false, false);
+    w.scheduler.report(&r, Arrival::DirectAnswer);
     w.job(spec("wk-1", 1), 101);
     w.scheduler.reconsider();
     w.scheduler.place();
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -31,7 +31,7 @@
     assert!(w.scheduler.append(8000, 60).is_none(), "their lines are being written");
     let r = w.report("n-1", w.token(), &[]);
     assert_eq!(
-        w.scheduler.report(&r, true, true),
+        w.scheduler.report(&r, Arrival::Report { may_start: true }),
         ReportOutcome::Reply(ReportReply { token: w.token(), orders: vec![] })
     );
     assert!(w.scheduler.direct(9).is_empty());
