--- a/src/node/tests/schedules.rs
+++ b/src/node/tests/schedules.rs
@@ -54,7 +54,7 @@
             let names: Vec<String> = w.workers.keys().cloned().collect();
             let machine = names[w.rng.gen_range(0..names.len())].clone();
             let for_ms = w.rng.gen_range(300..20_000);
-            let kind = w.rng.gen_range(0..13);
+            let kind = w.rng.gen_range(0..17);
             tracing::info!(now, kind, node, machine, for_ms, "trouble");
             match kind {
                 0 => w.refuse(node, true),
@@ -72,7 +72,20 @@
                     w.refuse(node, true);
                 }
                 11 => (0..3).for_each(|n| w.crash(n, for_ms / (n as u64 + 1))),
-                _ => w.workers.get_mut(&machine).unwrap().hold_report = for_ms,
+                12 => w.workers.get_mut(&machine).unwrap().hold_report = for_ms,
+                13 => {
+                    w.without_workers.insert(node);
+                }
+                14 => {
+                    w.without_peers.insert(node);
+                }
+                15 => {
+                    // The whole network.
+                    w.refuse(node, true);
+                    w.without_workers.insert(node);
+                    w.without_peers.insert(node);
+                }
+                _ => w.stands_still_ms = for_ms,
             }
             ends.push((now + for_ms, kind, node));
             (w.copies, w.held) = (0.2, 0.1);
@@ -90,6 +103,17 @@
                     w.island = None;
                     w.refuse(*node, false);
                 }
+                13 => {
+                    w.without_workers.remove(node);
+                }
+                14 => {
+                    w.without_peers.remove(node);
+                }
+                15 => {
+                    w.refuse(*node, false);
+                    w.without_workers.remove(node);
+                    w.without_peers.remove(node);
+                }
                 _ => {}
             }
             false
@@ -98,6 +122,9 @@
     (0..3).for_each(|n| w.refuse(n, false));
     w.outage(false);
     w.island = None;
+    w.without_workers.clear();
+    w.without_peers.clear();
+    w.stands_still_ms = 0;
     (w.cloud_down, w.service.late_share, w.copies, w.held, w.peers_cut_until) = (false, 0.0, 0.0, 0.0, 0);
     w.settles(400_000);
     w.broken
