--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -3,7 +3,8 @@
 #[cfg(test)]
 mod tests;
 
-use crate::scheduler::{MachineState, Offer, Scheduler, UnmetDemand, Utilization};
+use crate::cloud::RENT_MOST;
+use crate::scheduler::{Amounts, MachineState, Offer, Scheduler, UnmetDemand, Utilization};
 use std::collections::{HashMap, VecDeque};
 
 /// Machines to be rented.
@@ -47,6 +48,53 @@
 const FIRST_BACKOFF_MS: u64 = 8_000;
 const LAST_BACKOFF_MS: u64 = 60_000;
 
+/// Most machines that are planned at a time: by the time so many are rented, the demand is another one.
+const PLANNED_LIMIT: usize = 100;
+
+/// The available offer with the lowest price per useful CPU for `left` tasks of a demand. Room beyond the demand counts half,
+/// since others may use it.
+fn best_offer(
+    scheduler: &Scheduler,
+    demand: &UnmetDemand,
+    left: u32,
+    available: &impl Fn(&Offer) -> bool,
+) -> Option<Offer> {
+    let mut best: Option<(f64, Offer)> = None;
+    for (kind, machine_type) in scheduler.types().iter().enumerate() {
+        let n = demand.fitting(&scheduler.room_of_type(kind));
+        if n == 0 {
+            continue;
+        }
+        let useful = if left >= n { n as f64 } else { left as f64 + (n - left) as f64 / 2.0 };
+        for zone in machine_type.zones.iter().filter_map(|z| scheduler.zone_index(z)) {
+            for spot in [true, false] {
+                let offer = Offer { kind, zone, spot };
+                if !demand.allows(&offer) || !available(&offer) {
+                    continue;
+                }
+                let hourly = if spot { machine_type.spot_price } else { machine_type.price };
+                let price = hourly / useful;
+                if best.is_none_or(|(lowest, _)| price < lowest) {
+                    best = Some((price, offer));
+                }
+            }
+        }
+    }
+    best.map(|(_, offer)| offer)
+}
+
+/// Machines to be rented as requests, each as large as the cloud takes them.
+fn group_requests(offers: impl Iterator<Item = Offer>) -> Vec<RentalRequest> {
+    let mut requests: Vec<RentalRequest> = Vec::new();
+    for offer in offers {
+        match requests.iter_mut().find(|r| r.offer == offer && r.count < RENT_MOST) {
+            Some(request) => request.count += 1,
+            None => requests.push(RentalRequest { offer, count: 1 }),
+        }
+    }
+    requests
+}
+
 impl Fleet {
     /// An offer was refused, or only partly filled.
     pub fn refused(&mut self, offer: Offer, now: u64) {
@@ -89,69 +137,29 @@
         self.refused.get(offer).is_none_or(|b| b.until <= now)
     }
 
-    /// What to rent for these needs, the most urgent first.
+    /// What to rent for this demand, the most urgent first.
     pub fn rental_requests(&self, scheduler: &Scheduler, demands: &[UnmetDemand], now: u64) -> Vec<RentalRequest> {
-        let types = scheduler.types();
         // What would come up in a zone that is cut off is out of reach, and was once counted on all the same.
         let unreachable = scheduler.unreachable_zones();
-        let whole = |t: usize| [types[t].cpus, types[t].gpus, types[t].memory_gb].map(|x| (x * 1000.0) as u64);
-        // Room left on machines wished for already.
-        let mut wished: Vec<(Offer, [u64; 3])> = Vec::new();
-        for need in demands {
-            let mut left = need.tasks;
-            let allowed = |offer: &Offer| {
-                (need.spot || !offer.spot)
-                    && need.types.as_ref().is_none_or(|l| l.contains(&offer.kind))
-                    && need.zones.as_ref().is_none_or(|l| l.contains(&offer.zone))
-            };
-            let fits = |room: &[u64; 3]| {
-                (0..3).map(|i| room[i].checked_div(need.need[i]).unwrap_or(u64::MAX)).min().unwrap_or(0).min(1 << 20)
-                    as u32
-            };
-            for (_, room) in wished.iter_mut().filter(|(o, _)| allowed(o)) {
-                let n = fits(room).min(left);
-                (0..3).for_each(|i| room[i] -= need.need[i] * n as u64);
+        let available = |offer: &Offer| !unreachable.contains(&offer.zone) && self.open(offer, now);
+        // Machines that are to be rented, and what is left of their room.
+        let mut planned: Vec<(Offer, Amounts)> = Vec::new();
+        for demand in demands {
+            let mut left = demand.tasks;
+            for (_, room) in planned.iter_mut().filter(|(offer, _)| demand.allows(offer)) {
+                let n = demand.fitting(room).min(left);
+                *room = demand.rest(room, n);
                 left -= n;
             }
-            while left > 0 && wished.len() < 100 {
-                let mut best: Option<(f64, Offer, u32)> = None;
-                for (t, kind) in types.iter().enumerate() {
-                    let n = fits(&whole(t));
-                    if n == 0 {
-                        continue;
-                    }
-                    // Price per useful CPU: room beyond this need counts half, since others may use it.
-                    let useful = if left >= n { n as f64 } else { left as f64 + (n - left) as f64 / 2.0 };
-                    for zone in kind.zones.iter().filter_map(|z| scheduler.zone_index(z)) {
-                        for spot in [true, false] {
-                            let offer = Offer { kind: t, zone, spot };
-                            if !allowed(&offer) || unreachable.contains(&zone) || !self.open(&offer, now) {
-                                continue;
-                            }
-                            let hourly = if spot { kind.spot_price } else { kind.price };
-                            let price = hourly / useful;
-                            if best.is_none_or(|(p, ..)| price < p) {
-                                best = Some((price, offer, n));
-                            }
-                        }
-                    }
-                }
-                let Some((_, offer, n)) = best else { break };
-                let take = n.min(left);
-                let mut room = whole(offer.kind);
-                (0..3).for_each(|i| room[i] -= need.need[i] * take as u64);
-                wished.push((offer, room));
-                left -= take;
-            }
-        }
-        let mut out: Vec<RentalRequest> = Vec::new();
-        for (offer, _) in wished {
-            match out.iter_mut().find(|w| w.offer == offer && w.count < crate::cloud::RENT_MOST) {
-                Some(w) => w.count += 1,
-                None => out.push(RentalRequest { offer, count: 1 }),
+            while left > 0 && planned.len() < PLANNED_LIMIT {
+                let Some(offer) = best_offer(scheduler, demand, left, &available) else { break };
+                let whole = scheduler.room_of_type(offer.kind);
+                let n = demand.fitting(&whole).min(left);
+                planned.push((offer, demand.rest(&whole, n)));
+                left -= n;
             }
         }
-        out
+        group_requests(planned.into_iter().map(|(offer, _)| offer))
     }
 
     /// How much of ordinary machines' CPUs should be free in each zone for replicas to come: the largest rise of late
@@ -199,7 +207,7 @@
             });
             let best = offers.min_by(|(_, a), (_, b)| (a.price / a.cpus).total_cmp(&(b.price / b.cpus)));
             if let Some((t, kind)) = best.filter(|_| short > 0) {
-                let count = (short as f64 / (kind.cpus * 1000.0)).ceil().min(crate::cloud::RENT_MOST as f64) as u32;
+                let count = (short as f64 / (kind.cpus * 1000.0)).ceil().min(RENT_MOST as f64) as u32;
                 out.push(RentalRequest { offer: Offer { kind: t, zone, spot: false }, count });
             }
         }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -38,6 +38,25 @@
     pub service: bool,
 }
 
+impl UnmetDemand {
+    /// Whether machines of an offer may run these tasks.
+    pub fn allows(&self, offer: &Offer) -> bool {
+        (self.spot || !offer.spot)
+            && self.types.as_ref().is_none_or(|types| types.contains(&offer.kind))
+            && self.zones.as_ref().is_none_or(|zones| zones.contains(&offer.zone))
+    }
+
+    /// How many of the tasks fit into a machine's room.
+    pub fn fitting(&self, room: &Amounts) -> u32 {
+        fits(&self.need, room)
+    }
+
+    /// What is left of a machine's room beside a number of the tasks.
+    pub fn rest(&self, room: &Amounts, tasks: u32) -> Amounts {
+        less(room, &self.need, tasks as u64)
+    }
+}
+
 /// Machines in the order in which they are filled, spot machines first, and what is left of their room.
 pub(super) struct Pool {
     order: Vec<usize>,
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -48,6 +48,22 @@
     fresh
 }
 
+/// The bits of the finished tasks of a job and their number, from its stored ranges.
+fn restore_results(tasks: u32, stored: &[(u32, Vec<u8>)]) -> (Vec<u8>, u32) {
+    let mut bits = vec![0u8; (tasks as usize).div_ceil(8)];
+    let mut done = 0;
+    for (chunk, range) in stored {
+        let from = (*chunk as usize).saturating_mul(CHUNK as usize);
+        for i in (0..CHUNK).filter(|i| bit(range, *i)) {
+            let task = from + i as usize;
+            if task < tasks as usize && set_bit(&mut bits, task as u32) {
+                done += 1;
+            }
+        }
+    }
+    (bits, done)
+}
+
 impl Job {
     pub(super) fn tasks(&self) -> u32 {
         self.record.spec.tasks
@@ -132,33 +148,36 @@
             }
             return;
         }
-        let typical = self.types.iter().fold([1; 3], |a, t| {
-            let b = amounts(t.cpus, t.gpus, t.memory_gb);
-            std::array::from_fn(|i| a[i].max(b[i]))
+        let id = spec.id.clone();
+        let job = self.new_job(record, version, done, wall_ms);
+        let i = self.free_jobs.pop().unwrap_or_else(|| {
+            self.jobs.push(None);
+            self.jobs.len() - 1
         });
-        let need = amounts(spec.cpus, spec.gpus, spec.memory_gb);
-        let bytes = (spec.tasks as usize).div_ceil(8);
-        let mut bits = vec![0u8; bytes];
-        let mut done_n = 0;
-        for (chunk, stored) in done {
-            let from = (*chunk as usize).saturating_mul(CHUNK as usize);
-            for i in (0..CHUNK).filter(|i| bit(stored, *i)) {
-                let t = from + i as usize;
-                if t < spec.tasks as usize && set_bit(&mut bits, t as u32) {
-                    done_n += 1;
-                }
-            }
+        let submitted = job.submitted;
+        self.jobs[i] = Some(job);
+        let at = self.by_age.partition_point(|k| self.job(*k).submitted <= submitted);
+        self.by_age.insert(at, i);
+        self.job_index.insert(id, i);
+        if ended {
+            self.end_job(i);
         }
+        self.changed = true;
+    }
+
+    /// A job of which nothing is known but its record and its stored results.
+    fn new_job(&mut self, record: LiveRecord, version: u64, done: &[(u32, Vec<u8>)], wall_ms: u64) -> Job {
+        let spec = &record.spec;
+        let need = amounts(spec.cpus, spec.gpus, spec.memory_gb);
+        let types = spec.types.as_ref();
+        let (bits, done_n) = restore_results(spec.tasks, done);
         let age = wall_ms.saturating_sub(record.at_ms);
-        let job = Job {
+        Job {
             team: self.p.teams.iter().position(|t| t.name == spec.team),
             image: self.images.add(&spec.image),
-            class: placement::class_of(need, typical),
+            class: placement::class_of(need, self.largest_machine()),
             need,
-            types: spec
-                .types
-                .as_ref()
-                .map(|l| l.iter().map(|t| self.type_names.get(t).unwrap_or(usize::MAX)).collect()),
+            types: types.map(|l| l.iter().map(|t| self.type_names.get(t).unwrap_or(usize::MAX)).collect()),
             zone: spec.zone.as_ref().map(|z| self.zones.add(z)),
             ended: false,
             saved: bits.clone(),
@@ -181,21 +200,15 @@
             submitted: self.now.saturating_sub(age),
             version,
             record,
-        };
-        let id = job.record.spec.id.clone();
-        let i = self.free_jobs.pop().unwrap_or_else(|| {
-            self.jobs.push(None);
-            self.jobs.len() - 1
-        });
-        let submitted = job.submitted;
-        self.jobs[i] = Some(job);
-        let at = self.by_age.partition_point(|k| self.job(*k).submitted <= submitted);
-        self.by_age.insert(at, i);
-        self.job_index.insert(id, i);
-        if ended {
-            self.end_job(i);
         }
-        self.changed = true;
+    }
+
+    /// The most that any machine type has of each resource.
+    fn largest_machine(&self) -> Amounts {
+        self.types.iter().fold([1; 3], |most, t| {
+            let room = amounts(t.cpus, t.gpus, t.memory_gb);
+            std::array::from_fn(|i| most[i].max(room[i]))
+        })
     }
 
     /// A job is no longer unfinished: what runs of it is stopped, and counts until it is proven gone.
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -23,7 +23,7 @@
             return;
         }
         let kind = self.type_names.get(of.machine_type).unwrap_or(usize::MAX);
-        let room = self.types.get(kind).map_or([0; 3], |t| [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64));
+        let room = self.room_of_type(kind);
         let zone = self.zones.add(of.zone);
         let machine = Machine {
             name: name.to_string(),
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -165,6 +165,11 @@
         &self.types
     }
 
+    /// All the room of a machine of a type.
+    pub fn room_of_type(&self, kind: usize) -> Amounts {
+        self.types.get(kind).map_or([0; 3], |t| [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64))
+    }
+
     /// A zone's index.
     pub fn zone_index(&self, name: &str) -> Option<usize> {
         self.zones.get(name)
