--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -172,6 +172,11 @@
         term.is_some() && self.term() == term && self.authority() == Authority::Full
     }
 
+    /// Whether direct commands that were decided in a term may still be sent.
+    pub(super) fn may_send_direct(&self, term: Option<Term>, direct: &Direct) -> bool {
+        self.may_send(term) && self.scheduler.as_ref().is_some_and(|s| s.still_wanted(direct))
+    }
+
     /// The moment at which an answer to a worker that is decided now becomes void.
     pub(super) fn answer_valid_until(&self) -> Option<Instant> {
         let now = self.now();
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -131,7 +131,7 @@
                 let term = self.controller.borrow().term();
                 flying.set(flying.get() + 1);
                 actix::spawn(async move {
-                    let permitted = || me.controller.borrow().may_send(term);
+                    let permitted = || me.controller.borrow().may_send_direct(term, &d);
                     let answer = while_permitted(permitted, worker::send_direct(&me.http, &d)).await.flatten();
                     flying.set(flying.get() - 1);
                     me.controller.borrow_mut().direct_answer(term, &d, answer.as_ref());
--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -178,6 +178,24 @@
     }
 }
 
+/// A leader that goes on leading sends late what it decided: its connection to the worker took that long.
+#[test]
+fn a_start_that_waits_for_its_connection_is_not_sent_once_its_job_is_called_off() {
+    for delay in [500, 1900] {
+        let mut w = World::new(27, 4);
+        w.slow_connections_ms = delay;
+        w.submit(spec("wk-1", 6), 60_000);
+        w.submit(spec("wk-2", 6), 5000);
+        w.run(200);
+        let leader = w.leader().unwrap();
+        assert!(w.cancel(other(leader), "wk-1"));
+        w.run(30_000);
+        assert!(w.over("wk-2").is_some() && w.jobs["wk-1"].told.is_some());
+        whole(&w);
+        settled(w);
+    }
+}
+
 /// What a controller may lose for a time.
 #[derive(Debug, Clone, Copy)]
 enum Loss {
--- a/src/node/tests/world/controllers.rs
+++ b/src/node/tests/world/controllers.rs
@@ -200,6 +200,12 @@
             }
             return;
         }
+        if self.slow_connections_ms > 0 {
+            for direct in sends {
+                self.send(self.slow_connections_ms, Message::Decided { node: n, life, term, direct });
+            }
+            return;
+        }
         self.send_direct(n, life, term, sends);
     }
 
--- a/src/node/tests/world/mod.rs
+++ b/src/node/tests/world/mod.rs
@@ -166,6 +166,8 @@
     pub held_ms: u64,
     /// How long the answer to a write of the start log takes.
     pub write_ms: u64,
+    /// How long a connection to a worker takes to open.
+    pub slow_connections_ms: u64,
     /// The next controller that decides to start something stands still for so long before it sends that.
     pub stands_still_ms: u64,
     /// Watches that were silenced once stay silent, whatever is opened anew.
@@ -228,6 +230,7 @@
             held_ms: 2000,
             write_ms: STEP,
             stands_still_ms: 0,
+            slow_connections_ms: 0,
             watches_stuck: false,
         };
         for _ in 0..3 {
--- a/src/node/tests/world/workers.rs
+++ b/src/node/tests/world/workers.rs
@@ -188,7 +188,7 @@
                     return;
                 }
                 let Some(controller) = self.nodes[node].controller.as_mut() else { return };
-                if controller.may_send(term) {
+                if controller.may_send_direct(term, &direct) {
                     self.send_direct(node, life, term, vec![direct]);
                 } else {
                     controller.direct_answer(term, &direct, None);
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -2,7 +2,7 @@
 
 use super::start_log::plain;
 use super::*;
-use crate::protocol::Report;
+use crate::protocol::{split_task, Report};
 
 /// A margin beside the drift of clocks, in milliseconds.
 const LEASE_MARGIN_MS: u64 = 500;
@@ -283,6 +283,21 @@
         out
     }
 
+    /// Whether direct commands may still be sent: every start in them is of an attempt that is to run. A connection may take
+    /// seconds, in which the job is called off and that is confirmed to its user.
+    pub fn still_wanted(&self, direct: &Direct) -> bool {
+        direct.orders.iter().all(|command| match command {
+            Command::Start { task, attempt } => self.is_to_run(task, *attempt),
+            _ => true,
+        })
+    }
+
+    fn is_to_run(&self, task: &str, attempt: u64) -> bool {
+        let found = split_task(task).and_then(|(job, t)| Some((self.job_index.get(job)?, t)));
+        let active = found.and_then(|(j, t)| self.job(*j).active.get(&t));
+        active.is_some_and(|a| a.attempt == attempt && !a.stops())
+    }
+
     /// How much waits for a machine to be heard or proven gone, the most first: replicas, other tasks, nothing.
     fn worth(&self, m: &Machine) -> (std::cmp::Reverse<u64>, std::cmp::Reverse<usize>) {
         (std::cmp::Reverse(m.service_cpus), std::cmp::Reverse(m.tasks.len()))
