--- a/src/scheduler/boot_times/tests.rs
+++ b/src/scheduler/boot_times/tests.rs
@@ -23,6 +23,14 @@
     }
 }
 
+#[test]
+fn many_that_come_up_close_together_do_not_make_ordinary_ones_look_late() {
+    let mut boots = BootTimes::default();
+    (0..40u64).for_each(|n| boots.came_up(OFFER, NOMINAL, 1000, 24_000 + 100 * n));
+    // The rest of the same request takes a little more than the nominal time.
+    assert!(boots.expected_ms(OFFER, NOMINAL) > 45_000, "{}", boots.expected_ms(OFFER, NOMINAL));
+}
+
 #[test]
 fn quick_boots_shorten_what_counts_as_room_to_come_and_slow_ones_lengthen_it() {
     let mut boots = BootTimes::default();
