--- a/src/node/tests/world/rules.rs
+++ b/src/node/tests/world/rules.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// A lease, the silence before a release, the waits that PROTOCOL allows, twice.
+const SETTLING_MS: u64 = 200_000;
+
 impl World {
     /// A task starts on a machine.
     pub(super) fn began(&mut self, name: &str, task: &str) {
@@ -70,6 +73,26 @@
         out
     }
 
+    /// How long the rest of all work may take once all troubles are over: what is left of it, on the places that the team's
+    /// limit or the machines give beside services, and as long as silence, leases, displaced work and waits may cost.
+    pub fn time_for_the_rest(&self) -> u64 {
+        let (mut rest_ms, mut longest_ms, mut services) = (0, 0, 0);
+        for job in self.jobs.values().filter(|j| !j.asked) {
+            if job.spec.kind == Kind::Service {
+                services += job.spec.tasks as u64;
+                continue;
+            }
+            for task in (0..job.spec.tasks).filter(|t| !job.done.contains(t)) {
+                let run_ms = job.run_ms + job.apart_ms * task as u64 + self.fetch_ms;
+                rest_ms += run_ms;
+                longest_ms = longest_ms.max(run_ms);
+            }
+        }
+        let places = (self.machines_wanted * 4) as u64;
+        let allowed = self.limit.map_or(places, |cpus| places.min((cpus / 2.0) as u64));
+        rest_ms / allowed.saturating_sub(services).max(1) + 2 * longest_ms + SETTLING_MS
+    }
+
     /// Once all troubles are over: everything is done, runs, or was called off, and is known.
     pub fn settles(&mut self, within: u64) {
         let until = self.now() + within;
