--- a/benches/load/cloud.rs
+++ b/benches/load/cloud.rs
@@ -28,7 +28,11 @@
 impl Cloud {
     /// A cloud of which nothing is rented yet.
     pub fn new(capacity: usize, worker: worker::Settings) -> Self {
-        Cloud { capacity, worker, machines: Mutex::default() }
+        Cloud {
+            capacity,
+            worker,
+            machines: Mutex::default(),
+        }
     }
 
     fn machines(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, ListedMachine>> {
@@ -54,15 +58,20 @@
         boot_s: BOOT_S,
         zones: vec![ZONE.into()],
     };
-    HttpResponse::Ok().body(encode(&Catalogue { types: vec![machine_type] }))
+    HttpResponse::Ok().body(encode(&Catalogue {
+        types: vec![machine_type],
+    }))
 }
 
 async fn rent(cloud: web::Data<Cloud>, body: web::Bytes) -> HttpResponse {
-    let Some(request) = decode::<RentRequest>(&body) else { return HttpResponse::BadRequest().finish() };
+    let Some(request) = decode::<RentRequest>(&body) else {
+        return HttpResponse::BadRequest().finish();
+    };
     let mut machines = cloud.machines();
     let from = machines.len();
-    let names: Vec<String> =
-        (from..cloud.capacity.min(from + request.count as usize)).map(|i| format!("n-{i:06}")).collect();
+    let names: Vec<String> = (from..cloud.capacity.min(from + request.count as usize))
+        .map(|i| format!("n-{i:06}"))
+        .collect();
     if names.is_empty() {
         return HttpResponse::ServiceUnavailable().body("no capacity");
     }
@@ -76,19 +85,32 @@
             state: "running".into(),
             age_s: BOOT_S,
         };
-        actix_web::rt::spawn(worker::run(machine.clone(), address(from + i), cloud.worker.clone()));
+        actix_web::rt::spawn(worker::run(
+            machine.clone(),
+            address(from + i),
+            cloud.worker.clone(),
+        ));
         machines.insert(name.clone(), machine);
     }
     HttpResponse::Ok().body(encode(&MachineNames { machines: names }))
 }
 
-async fn list(cloud: web::Data<Cloud>, query: web::Query<BTreeMap<String, String>>) -> HttpResponse {
+async fn list(
+    cloud: web::Data<Cloud>,
+    query: web::Query<BTreeMap<String, String>>,
+) -> HttpResponse {
     let after = query.get("after").cloned().unwrap_or_default();
-    let limit = query.get("limit").and_then(|limit| limit.parse().ok()).unwrap_or(500);
+    let limit = query
+        .get("limit")
+        .and_then(|limit| limit.parse().ok())
+        .unwrap_or(500);
     let machines = cloud.machines();
     let mut rows = machines.values().filter(|machine| machine.id > after);
     let page = rows.by_ref().take(limit).cloned().collect();
-    HttpResponse::Ok().body(encode(&MachineList { machines: page, more: rows.next().is_some() }))
+    HttpResponse::Ok().body(encode(&MachineList {
+        machines: page,
+        more: rows.next().is_some(),
+    }))
 }
 
 /// The routes of the cloud. Nothing is released in these runs.
--- a/benches/load/http.rs
+++ b/benches/load/http.rs
@@ -8,7 +8,13 @@
 const MESSAGE_LIMIT: usize = 1 << 20;
 
 /// Sends a request.
-pub async fn request(stream: &mut TcpStream, method: &str, path: &str, to: SocketAddr, body: &[u8]) -> Option<()> {
+pub async fn request(
+    stream: &mut TcpStream,
+    method: &str,
+    path: &str,
+    to: SocketAddr,
+    body: &[u8],
+) -> Option<()> {
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {to}\r\nContent-Type: application/cbor\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -19,8 +25,14 @@
 
 /// Sends a response after which the connection is closed.
 pub async fn respond(stream: &mut TcpStream, status: u16, body: &[u8]) -> Option<()> {
-    let head = format!("HTTP/1.1 {status} OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
-    stream.write_all(&[head.as_bytes(), body].concat()).await.ok()
+    let head = format!(
+        "HTTP/1.1 {status} OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
+    stream
+        .write_all(&[head.as_bytes(), body].concat())
+        .await
+        .ok()
 }
 
 /// Reads a message: its head in lower case, and its body.
@@ -45,7 +57,9 @@
 }
 
 fn length(head: &str) -> Option<usize> {
-    let line = head.lines().find_map(|line| line.strip_prefix("content-length:"));
+    let line = head
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length:"));
     line.map_or(Some(0), |length| length.trim().parse().ok())
 }
 
--- a/benches/load/main.rs
+++ b/benches/load/main.rs
@@ -94,16 +94,36 @@
     );
     for peer in (0..CONTROLLERS).filter(|peer| *peer != index) {
         let address = internal_address(peer);
-        let _ = write!(text, "[[peers]]\nnode = \"{}\"\npeer_addr = \"{address}\"\n", name(peer));
+        let _ = write!(
+            text,
+            "[[peers]]\nnode = \"{}\"\npeer_addr = \"{address}\"\n",
+            name(peer)
+        );
     }
     let (state, cloud) = (local(STATE_PORT), local(CLOUD_PORT));
-    let _ = write!(text, "[external]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n");
+    let _ = write!(
+        text,
+        "[external]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n"
+    );
     let most = args.machines as f64 * args.cpus * 2.0;
-    let _ = write!(text, "[[deployment.teams]]\nname = \"team\"\ncpus = {most:.1}\ncpus_max = {most:.1}\n");
-    let _ = write!(text, "[deployment.workers]\nreport_s = {:.2}\nlease_s = 22.0\ncancel_s = 42.0\n", args.report_s);
-    text.push_str("[deployment.state]\nrps = 200.0\nwrite_rps = 40.0\nvalue_kb = 32.0\ntxn_ops = 16\n");
+    let _ = write!(
+        text,
+        "[[deployment.teams]]\nname = \"team\"\ncpus = {most:.1}\ncpus_max = {most:.1}\n"
+    );
+    let _ = write!(
+        text,
+        "[deployment.workers]\nreport_s = {:.2}\nlease_s = 22.0\ncancel_s = 42.0\n",
+        args.report_s
+    );
+    text.push_str(
+        "[deployment.state]\nrps = 200.0\nwrite_rps = 40.0\nvalue_kb = 32.0\ntxn_ops = 16\n",
+    );
     text.push_str("[deployment.cloud]\nrps = 10.0\nlist_lag_s = 10.0\n");
-    let _ = write!(text, "[deployment.machine_limits]\nmax_connections = {}\n", 2 * args.machines + 200);
+    let _ = write!(
+        text,
+        "[deployment.machine_limits]\nmax_connections = {}\n",
+        2 * args.machines + 200
+    );
     text
 }
 
@@ -120,17 +140,23 @@
 
 fn serve_stand_ins(args: &Args) -> std::io::Result<()> {
     let store = web::Data::new(store::Store::default());
-    let server = HttpServer::new(move || App::new().app_data(store.clone()).configure(store::routes)).workers(1);
+    let server =
+        HttpServer::new(move || App::new().app_data(store.clone()).configure(store::routes))
+            .workers(1);
     actix_web::rt::spawn(server.bind(local(STATE_PORT))?.run());
     let worker = worker::Settings {
-        controllers: (0..CONTROLLERS).map(|index| (name(index), api_address(index))).collect(),
+        controllers: (0..CONTROLLERS)
+            .map(|index| (name(index), api_address(index)))
+            .collect(),
         port: WORKER_PORT,
         report: Duration::from_secs_f64(args.report_s),
         task: Duration::from_secs_f64(args.task_s),
         cpus: args.cpus,
     };
     let cloud = web::Data::new(cloud::Cloud::new(args.machines, worker));
-    let server = HttpServer::new(move || App::new().app_data(cloud.clone()).configure(cloud::routes)).workers(1);
+    let server =
+        HttpServer::new(move || App::new().app_data(cloud.clone()).configure(cloud::routes))
+            .workers(1);
     actix_web::rt::spawn(server.bind(local(CLOUD_PORT))?.run());
     Ok(())
 }
@@ -173,6 +199,9 @@
         print_usage(controller, before, controller.usage(), args.measured_s);
     }
     let counts = counts.borrow();
-    println!("jobs accepted {}, done {}, failed requests {}", counts.accepted, counts.done, counts.failed);
+    println!(
+        "jobs accepted {}, done {}, failed requests {}",
+        counts.accepted, counts.done, counts.failed
+    );
     Ok(())
 }
--- a/benches/load/process.rs
+++ b/benches/load/process.rs
@@ -30,8 +30,14 @@
 impl Controller {
     /// Starts a controller.
     pub fn start(name: &str, program: &str, settings: &Path) -> io::Result<Controller> {
-        let child = Command::new(program).arg("--config").arg(settings).spawn()?;
-        Ok(Controller { name: name.to_string(), child })
+        let child = Command::new(program)
+            .arg("--config")
+            .arg(settings)
+            .spawn()?;
+        Ok(Controller {
+            name: name.to_string(),
+            child,
+        })
     }
 
     /// Its process id.
@@ -42,8 +48,15 @@
     /// What it has used.
     pub fn usage(&self) -> Usage {
         let base = format!("/proc/{}", self.pid());
-        let mut usage = Usage { cpu_ms: processor_ms(&base).unwrap_or(0.0), ..Usage::default() };
-        for task in std::fs::read_dir(format!("{base}/task")).into_iter().flatten().flatten() {
+        let mut usage = Usage {
+            cpu_ms: processor_ms(&base).unwrap_or(0.0),
+            ..Usage::default()
+        };
+        for task in std::fs::read_dir(format!("{base}/task"))
+            .into_iter()
+            .flatten()
+            .flatten()
+        {
             let status = std::fs::read_to_string(task.path().join("status")).unwrap_or_default();
             usage.waits += field(&status, "voluntary_ctxt_switches:");
             usage.resident_kb = field(&status, "VmRSS:");
@@ -70,5 +83,6 @@
 
 fn field(status: &str, name: &str) -> u64 {
     let line = status.lines().find_map(|line| line.strip_prefix(name));
-    line.and_then(|rest| rest.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|rest| rest.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
--- a/benches/load/store.rs
+++ b/benches/load/store.rs
@@ -2,7 +2,9 @@
 
 use actix_web::{web, HttpResponse};
 use ciborium::Value;
-use hollowswitch::protocol::{decode, encode, Change, Event, Item, LeaseReply, Page, Txn, TxnReply, Watched};
+use hollowswitch::protocol::{
+    decode, encode, Change, Event, Item, LeaseReply, Page, Txn, TxnReply, Watched,
+};
 use serde::Deserialize;
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound;
@@ -30,7 +32,10 @@
 
 impl Default for Store {
     fn default() -> Self {
-        Store { content: Mutex::default(), changed: watch::channel(0).0 }
+        Store {
+            content: Mutex::default(),
+            changed: watch::channel(0).0,
+        }
     }
 }
 
@@ -48,11 +53,19 @@
 
 fn cbor<T: serde::Serialize>(status: u16, body: &T) -> HttpResponse {
     let status = actix_web::http::StatusCode::from_u16(status).expect("a status of the protocol");
-    HttpResponse::build(status).content_type("application/cbor").body(encode(body))
+    HttpResponse::build(status)
+        .content_type("application/cbor")
+        .body(encode(body))
 }
 
 fn missing(revision: u64) -> HttpResponse {
-    cbor(404, &TxnReply { failed: Vec::new(), revision })
+    cbor(
+        404,
+        &TxnReply {
+            failed: Vec::new(),
+            revision,
+        },
+    )
 }
 
 impl Content {
@@ -61,7 +74,11 @@
         let event = match change {
             Change::Put { put, value, .. } => {
                 self.keys.insert(put.clone(), (value.clone(), version));
-                Event::Put { put, value, version }
+                Event::Put {
+                    put,
+                    value,
+                    version,
+                }
             }
             Change::Delete { key } => {
                 self.keys.remove(&key);
@@ -76,16 +93,32 @@
 
     fn run(&mut self, txn: Txn) -> HttpResponse {
         let version = |key: &str| self.keys.get(key).map_or(0, |(_, version)| *version);
-        let failed: Vec<String> =
-            txn.guards.iter().filter(|g| version(&g.key) != g.version).map(|g| g.key.clone()).collect();
+        let failed: Vec<String> = txn
+            .guards
+            .iter()
+            .filter(|g| version(&g.key) != g.version)
+            .map(|g| g.key.clone())
+            .collect();
         if !failed.is_empty() {
-            return cbor(409, &TxnReply { failed, revision: self.revision });
+            return cbor(
+                409,
+                &TxnReply {
+                    failed,
+                    revision: self.revision,
+                },
+            );
         }
         self.revision += !txn.apply.is_empty() as u64;
         for change in txn.apply {
             self.change(change);
         }
-        cbor(200, &TxnReply { failed: Vec::new(), revision: self.revision })
+        cbor(
+            200,
+            &TxnReply {
+                failed: Vec::new(),
+                revision: self.revision,
+            },
+        )
     }
 
     fn page(&self, query: &Query) -> Page {
@@ -94,12 +127,22 @@
         } else {
             Bound::Excluded(query.after.clone())
         };
-        let mut rows = self.keys.range((after, Bound::Unbounded)).take_while(|(key, _)| key.starts_with(&query.starts));
+        let mut rows = self
+            .keys
+            .range((after, Bound::Unbounded))
+            .take_while(|(key, _)| key.starts_with(&query.starts));
         let items = rows.by_ref().take(query.limit);
-        let items =
-            items.map(|(key, (value, version))| Item { key: key.clone(), value: value.clone(), version: *version });
+        let items = items.map(|(key, (value, version))| Item {
+            key: key.clone(),
+            value: value.clone(),
+            version: *version,
+        });
         let items = items.collect();
-        Page { items, more: rows.next().is_some(), revision: self.revision }
+        Page {
+            items,
+            more: rows.next().is_some(),
+            revision: self.revision,
+        }
     }
 
     fn events_after(&self, revision: u64, prefix: &str) -> Vec<Event> {
@@ -118,7 +161,9 @@
 }
 
 async fn multi(store: web::Data<Store>, body: web::Bytes) -> HttpResponse {
-    let Some(txn) = decode::<Txn>(&body) else { return HttpResponse::BadRequest().finish() };
+    let Some(txn) = decode::<Txn>(&body) else {
+        return HttpResponse::BadRequest().finish();
+    };
     let mut content = store.content();
     let response = content.run(txn);
     store.changed.send_replace(content.revision);
@@ -127,8 +172,17 @@
 
 async fn get(store: web::Data<Store>, key: web::Path<String>) -> HttpResponse {
     let content = store.content();
-    let Some((value, version)) = content.keys.get(key.as_str()) else { return missing(content.revision) };
-    cbor(200, &Item { key: key.into_inner(), value: value.clone(), version: *version })
+    let Some((value, version)) = content.keys.get(key.as_str()) else {
+        return missing(content.revision);
+    };
+    cbor(
+        200,
+        &Item {
+            key: key.into_inner(),
+            value: value.clone(),
+            version: *version,
+        },
+    )
 }
 
 async fn list(store: web::Data<Store>, query: web::Query<Query>) -> HttpResponse {
@@ -155,7 +209,12 @@
 async fn open_lease(store: web::Data<Store>) -> HttpResponse {
     let mut content = store.content();
     content.leases += 1;
-    cbor(200, &LeaseReply { lease: content.leases })
+    cbor(
+        200,
+        &LeaseReply {
+            lease: content.leases,
+        },
+    )
 }
 
 async fn renew_lease() -> HttpResponse {
--- a/benches/load/users.rs
+++ b/benches/load/users.rs
@@ -47,7 +47,11 @@
         class: if service { "service" } else { "array" }.into(),
         team: "team".into(),
         kind: if service { Kind::Service } else { Kind::Array },
-        priority: if service { Priority::Production } else { Priority::Normal },
+        priority: if service {
+            Priority::Production
+        } else {
+            Priority::Normal
+        },
         tasks: if service { 4 } else { load.tasks },
         cpus: load.cpus,
         gpus: 0.0,
--- a/benches/load/worker.rs
+++ b/benches/load/worker.rs
@@ -2,8 +2,8 @@
 
 use crate::http;
 use hollowswitch::protocol::{
-    decode, encode, Command, DirectOrders, ExitReason, ListedMachine, Redirect, Report, ReportReply, TaskReport,
-    TaskState,
+    decode, encode, Command, DirectOrders, ExitReason, ListedMachine, Redirect, Report,
+    ReportReply, TaskReport, TaskState,
 };
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -54,13 +54,22 @@
     }
 
     fn position(&self, task: &str, attempt: u64) -> Option<usize> {
-        self.report.tasks.iter().position(|t| t.task == task && t.attempt == attempt)
+        self.report
+            .tasks
+            .iter()
+            .position(|t| t.task == task && t.attempt == attempt)
     }
 
     fn start(&mut self, task: &str, attempt: u64) {
         if self.position(task, attempt).is_none() {
             let state = TaskState::Running;
-            self.report.tasks.push(TaskReport { task: task.into(), attempt, state, reason: None, saved: None });
+            self.report.tasks.push(TaskReport {
+                task: task.into(),
+                attempt,
+                state,
+                reason: None,
+                saved: None,
+            });
             self.ends.push(Some(Instant::now() + self.task));
         }
     }
@@ -87,7 +96,9 @@
     /// Ends what is due; true if anything was.
     fn end_due(&mut self) -> bool {
         let now = Instant::now();
-        let due: Vec<usize> = (0..self.ends.len()).filter(|i| self.ends[*i].is_some_and(|at| at <= now)).collect();
+        let due: Vec<usize> = (0..self.ends.len())
+            .filter(|i| self.ends[*i].is_some_and(|at| at <= now))
+            .collect();
         due.iter().for_each(|i| self.exit(*i, ExitReason::Done));
         !due.is_empty()
     }
@@ -102,11 +113,16 @@
     while let Ok((mut stream, _)) = listener.accept().await {
         let (worker, changed) = (worker.clone(), changed.clone());
         actix_web::rt::spawn(async move {
-            let Some((_, body)) = http::read(&mut stream).await else { return };
-            let Some(orders) = decode::<DirectOrders>(&body) else { return };
+            let Some((_, body)) = http::read(&mut stream).await else {
+                return;
+            };
+            let Some(orders) = decode::<DirectOrders>(&body) else {
+                return;
+            };
             let (status, report) = {
                 let mut worker = worker.borrow_mut();
-                let current = orders.token >= worker.report.token && orders.session == worker.report.session;
+                let current =
+                    orders.token >= worker.report.token && orders.session == worker.report.session;
                 if current {
                     worker.report.token = orders.token;
                     worker.execute(&orders.orders);
@@ -120,7 +136,11 @@
 }
 
 /// One report and its answer over a kept connection.
-async fn exchange(stream: &mut Option<TcpStream>, to: SocketAddr, body: &[u8]) -> Option<(u16, Vec<u8>)> {
+async fn exchange(
+    stream: &mut Option<TcpStream>,
+    to: SocketAddr,
+    body: &[u8],
+) -> Option<(u16, Vec<u8>)> {
     if stream.is_none() {
         *stream = TcpStream::connect(to).await.ok();
     }
@@ -129,7 +149,9 @@
         http::request(connection, "POST", "/hello", to, body).await?;
         http::read(connection).await
     };
-    let (head, body) = tokio::time::timeout(Duration::from_secs(4), answer).await.ok()??;
+    let (head, body) = tokio::time::timeout(Duration::from_secs(4), answer)
+        .await
+        .ok()??;
     let status = http::status(&head)?;
     if http::closes(&head) {
         *stream = None;
@@ -151,9 +173,15 @@
         notice_s: None,
         tasks: Vec::new(),
     };
-    let worker = Rc::new(RefCell::new(Worker { report, ends: Vec::new(), task: settings.task }));
+    let worker = Rc::new(RefCell::new(Worker {
+        report,
+        ends: Vec::new(),
+        task: settings.task,
+    }));
     let changed = Rc::new(Notify::new());
-    let listener = TcpListener::bind((address, settings.port)).await.expect("a free address");
+    let listener = TcpListener::bind((address, settings.port))
+        .await
+        .expect("a free address");
     actix_web::rt::spawn(serve(worker.clone(), changed.clone(), listener));
     let (mut target, mut stream) = (0, None);
     loop {
@@ -173,7 +201,10 @@
             Some((421, body)) => {
                 stream = None;
                 let leader = decode::<Redirect>(&body).and_then(|redirect| redirect.report_to);
-                let known = settings.controllers.iter().position(|(name, _)| Some(name) == leader.as_ref());
+                let known = settings
+                    .controllers
+                    .iter()
+                    .position(|(name, _)| Some(name) == leader.as_ref());
                 target = known.unwrap_or((target + 1) % settings.controllers.len());
                 tokio::time::sleep(REPORT_GAP).await;
                 continue;
--- a/src/api.rs
+++ b/src/api.rs
@@ -5,7 +5,8 @@
 
 use crate::limiter::{Limiter, Request};
 use crate::node::{
-    Abort, Answer, Health, Node, PeerCancelled, PeerView, Poll, Submit, WorkerAnswer, WorkerReport, WorkerResponse,
+    Abort, Answer, Health, Node, PeerCancelled, PeerView, Poll, Submit, WorkerAnswer, WorkerReport,
+    WorkerResponse,
 };
 use crate::peer;
 use crate::protocol::{self as wire, decode, encode, JobSpec, Report, BODY_LIMIT};
@@ -25,17 +26,26 @@
 }
 
 fn reply(status: u16, body: Vec<u8>) -> HttpResponse {
-    let status = actix_web::http::StatusCode::from_u16(status).unwrap_or(actix_web::http::StatusCode::OK);
-    HttpResponse::build(status).content_type("application/cbor").body(body)
+    let status =
+        actix_web::http::StatusCode::from_u16(status).unwrap_or(actix_web::http::StatusCode::OK);
+    HttpResponse::build(status)
+        .content_type("application/cbor")
+        .body(body)
 }
 
 fn plain(status: u16, error: &str) -> HttpResponse {
-    reply(status, encode(&std::collections::BTreeMap::from([("error", error)])))
+    reply(
+        status,
+        encode(&std::collections::BTreeMap::from([("error", error)])),
+    )
 }
 
 fn later(status: u16, error: &str, in_s: u32) -> HttpResponse {
     let mut r = plain(status, error);
-    r.headers_mut().insert(actix_web::http::header::RETRY_AFTER, actix_web::http::header::HeaderValue::from(in_s));
+    r.headers_mut().insert(
+        actix_web::http::header::RETRY_AFTER,
+        actix_web::http::header::HeaderValue::from(in_s),
+    );
     r
 }
 
@@ -66,31 +76,44 @@
         let from = Instant::now();
         let a = request.await.unwrap_or(Answer::Later(1));
         let served = !matches!(a, Answer::Later(_));
-        self.limiter.borrow_mut().leave(from.elapsed().as_millis() as u64, served);
+        self.limiter
+            .borrow_mut()
+            .leave(from.elapsed().as_millis() as u64, served);
         answer(a)
     }
 }
 
 async fn submit(door: web::Data<Door>, body: web::Bytes) -> HttpResponse {
-    let Some(spec) = decode::<JobSpec>(&body) else { return plain(400, "malformed") };
+    let Some(spec) = decode::<JobSpec>(&body) else {
+        return plain(400, "malformed");
+    };
     if let Err(field) = spec.check() {
         return plain(400, field);
     }
-    door.limited(Request::Change, async { door.node.send(Submit(spec)).await.ok() }).await
+    door.limited(Request::Change, async {
+        door.node.send(Submit(spec)).await.ok()
+    })
+    .await
 }
 
 async fn poll(door: web::Data<Door>, id: web::Path<String>) -> HttpResponse {
     if !wire::job_id(&id) {
         return plain(404, "no such job");
     }
-    door.limited(Request::Question, async { door.node.send(Poll(id.into_inner())).await.ok() }).await
+    door.limited(Request::Question, async {
+        door.node.send(Poll(id.into_inner())).await.ok()
+    })
+    .await
 }
 
 async fn abort(door: web::Data<Door>, id: web::Path<String>) -> HttpResponse {
     if !wire::job_id(&id) {
         return plain(404, "no such job");
     }
-    door.limited(Request::Change, async { door.node.send(Abort(id.into_inner())).await.ok() }).await
+    door.limited(Request::Change, async {
+        door.node.send(Abort(id.into_inner())).await.ok()
+    })
+    .await
 }
 
 async fn up(door: web::Data<Door>) -> HttpResponse {
@@ -128,7 +151,9 @@
 }
 
 async fn view(door: web::Data<Door>, body: web::Bytes) -> HttpResponse {
-    let Some(view) = peer::decode::<peer::View>(&body) else { return plain(400, "malformed") };
+    let Some(view) = peer::decode::<peer::View>(&body) else {
+        return plain(400, "malformed");
+    };
     match door.node.send(PeerView(view)).await {
         Ok(own) => HttpResponse::Ok().body(peer::encode(&own)),
         Err(_) => plain(503, "stopping"),
@@ -136,7 +161,9 @@
 }
 
 async fn cancelled(door: web::Data<Door>, body: web::Bytes) -> HttpResponse {
-    let Some(told) = peer::decode::<peer::Cancelled>(&body) else { return plain(400, "malformed") };
+    let Some(told) = peer::decode::<peer::Cancelled>(&body) else {
+        return plain(400, "malformed");
+    };
     match door.node.send(PeerCancelled(told)).await {
         Ok(revision) => HttpResponse::Ok().body(peer::encode(&revision)),
         Err(_) => plain(503, "stopping"),
@@ -158,7 +185,11 @@
     // A report lists everything on its machine; workers are not limited as users are.
     let report_limit = web::PayloadConfig::new(16 * BODY_LIMIT);
     config
-        .service(web::resource("/hello").app_data(report_limit).route(web::post().to(hello)))
+        .service(
+            web::resource("/hello")
+                .app_data(report_limit)
+                .route(web::post().to(hello)),
+        )
         .service(web::resource("/up").route(web::get().to(up)))
         .service(web::resource("/v1/jobs").route(web::post().to(submit)))
         .service(web::resource("/v1/jobs/{id}").route(web::get().to(poll)))
@@ -169,20 +200,46 @@
 fn peer_routes(config: &mut web::ServiceConfig) {
     let limit = || web::PayloadConfig::new(peer::LIMIT);
     config
-        .service(web::resource("/peer/view").app_data(limit()).route(web::post().to(view)))
-        .service(web::resource("/peer/cancelled").app_data(limit()).route(web::post().to(cancelled)));
+        .service(
+            web::resource("/peer/view")
+                .app_data(limit())
+                .route(web::post().to(view)),
+        )
+        .service(
+            web::resource("/peer/cancelled")
+                .app_data(limit())
+                .route(web::post().to(cancelled)),
+        );
 }
 
 /// Serves both addresses until the process ends, over a number of connections at most.
-pub async fn serve(node: Addr<Node>, addresses: Addresses, connections: usize) -> std::io::Result<()> {
+pub async fn serve(
+    node: Addr<Node>,
+    addresses: Addresses,
+    connections: usize,
+) -> std::io::Result<()> {
     let open = Connections::new(connections);
     let limiter = RefCell::new(Limiter::new(connections / 4));
-    let door = web::Data::new(Door { node, limiter, connections: open.clone() });
+    let door = web::Data::new(Door {
+        node,
+        limiter,
+        connections: open.clone(),
+    });
     let shared = addresses.api == addresses.internal;
     let app = |public: bool, peers: bool| {
-        let app = App::new().app_data(door.clone()).app_data(web::PayloadConfig::new(BODY_LIMIT));
-        let app = if public { app.configure(public_routes) } else { app };
-        let app = if peers { app.configure(peer_routes) } else { app };
+        let app = App::new()
+            .app_data(door.clone())
+            .app_data(web::PayloadConfig::new(BODY_LIMIT));
+        let app = if public {
+            app.configure(public_routes)
+        } else {
+            app
+        };
+        let app = if peers {
+            app.configure(peer_routes)
+        } else {
+            app
+        };
         app.default_service(web::to(|| async { plain(404, "no such path") }))
     };
     let public = server::serve(addresses.api, app(true, shared), open.clone());
@@ -190,5 +247,7 @@
         return public.await;
     }
     let internal = server::serve(addresses.internal, app(false, true), open);
-    futures_util::future::try_join(public, internal).await.map(|_| ())
+    futures_util::future::try_join(public, internal)
+        .await
+        .map(|_| ())
 }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -6,21 +6,44 @@
 #[test]
 fn a_user_who_is_told_to_come_back_is_told_when_and_may_go_elsewhere() {
     let r = answer(Answer::Later(7));
-    assert_eq!((r.status().as_u16(), r.headers().get("retry-after").unwrap().to_str().unwrap()), (503, "7"));
+    assert_eq!(
+        (
+            r.status().as_u16(),
+            r.headers().get("retry-after").unwrap().to_str().unwrap()
+        ),
+        (503, "7")
+    );
     assert_eq!(r.head().connection_type(), ConnectionType::Close);
-    assert_ne!(answer(Answer::Unknown).head().connection_type(), ConnectionType::Close);
+    assert_ne!(
+        answer(Answer::Unknown).head().connection_type(),
+        ConnectionType::Close
+    );
 }
 
 #[test]
 fn an_answer_to_a_worker_is_void_once_the_right_behind_it_has_ended() {
     let now = Instant::now();
     let decided = |valid_until| {
-        let answer = WorkerAnswer::Reply(wire::ReportReply { token: 5, orders: Vec::new() });
-        worker_response(WorkerResponse { answer, valid_until }, now).status().as_u16()
+        let answer = WorkerAnswer::Reply(wire::ReportReply {
+            token: 5,
+            orders: Vec::new(),
+        });
+        worker_response(
+            WorkerResponse {
+                answer,
+                valid_until,
+            },
+            now,
+        )
+        .status()
+        .as_u16()
     };
     assert_eq!(decided(Some(now + Duration::from_millis(1))), 200);
     assert_eq!(decided(Some(now)), 503);
     assert_eq!(decided(None), 503);
-    let elsewhere = WorkerResponse { answer: WorkerAnswer::Elsewhere(None), valid_until: Some(now) };
+    let elsewhere = WorkerResponse {
+        answer: WorkerAnswer::Elsewhere(None),
+        valid_until: Some(now),
+    };
     assert_eq!(worker_response(elsewhere, now).status().as_u16(), 421);
 }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,6 +1,8 @@
 //! The cloud's client.
 
-use crate::protocol::{decode, encode, Catalogue, ListedMachine, MachineList, MachineNames, MachineType, RentRequest};
+use crate::protocol::{
+    decode, encode, Catalogue, ListedMachine, MachineList, MachineNames, MachineType, RentRequest,
+};
 use crate::worker::exchange;
 use awc::http::Method;
 use std::net::SocketAddr;
@@ -37,28 +39,53 @@
 impl CloudClient {
     /// A client of the cloud at `addr`.
     pub fn new(http: awc::Client, addr: SocketAddr) -> Self {
-        CloudClient { http, base: format!("http://{addr}") }
+        CloudClient {
+            http,
+            base: format!("http://{addr}"),
+        }
     }
 
-    async fn call(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> Option<(u16, Vec<u8>)> {
-        exchange(&self.http, method, &format!("{}{path}", self.base), body, CALL, ANSWER_LIMIT, false).await.ok()
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+    ) -> Option<(u16, Vec<u8>)> {
+        exchange(
+            &self.http,
+            method,
+            &format!("{}{path}", self.base),
+            body,
+            CALL,
+            ANSWER_LIMIT,
+            false,
+        )
+        .await
+        .ok()
     }
 
     /// The machine types, or none if the cloud does not say.
     pub async fn catalogue(&self) -> Option<Vec<MachineType>> {
         let (status, body) = self.call(Method::GET, "/flavors", None).await?;
-        let c: Catalogue = if status == 200 { decode(&body)? } else { return None };
-        let sane = |t: &MachineType| t.cpus > 0.0 && t.memory_gb >= 0.0 && t.price >= 0.0 && t.boot_s >= 0.0;
+        let c: Catalogue = if status == 200 {
+            decode(&body)?
+        } else {
+            return None;
+        };
+        let sane = |t: &MachineType| {
+            t.cpus > 0.0 && t.memory_gb >= 0.0 && t.price >= 0.0 && t.boot_s >= 0.0
+        };
         (!c.types.is_empty() && c.types.iter().all(sane)).then_some(c.types)
     }
 
     /// Rents machines under a request name.
     pub async fn rent(&self, r: &RentRequest) -> Rented {
         match self.call(Method::POST, "/machines", Some(encode(r))).await {
-            Some((200, body)) => {
-                decode::<MachineNames>(&body).map_or(Rented::Unknown, |m| Rented::Machines(m.machines))
+            Some((200, body)) => decode::<MachineNames>(&body)
+                .map_or(Rented::Unknown, |m| Rented::Machines(m.machines)),
+            Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
+                Rented::NoCapacity
             }
-            Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => Rented::NoCapacity,
             Some((400 | 429 | 503, _)) => Rented::Refused,
             _ => Rented::Unknown,
         }
@@ -66,14 +93,30 @@
 
     /// Releases machines; true once they and everything on them are gone.
     pub async fn release(&self, machines: &[String]) -> bool {
-        let body = encode(&MachineNames { machines: machines.to_vec() });
-        matches!(self.call(Method::POST, "/machines/release", Some(body)).await, Some((200, _)))
+        let body = encode(&MachineNames {
+            machines: machines.to_vec(),
+        });
+        matches!(
+            self.call(Method::POST, "/machines/release", Some(body))
+                .await,
+            Some((200, _))
+        )
     }
 
     /// One page of the list.
     pub async fn list(&self, after: &str) -> Option<(Vec<ListedMachine>, bool)> {
-        let (status, body) = self.call(Method::GET, &format!("/machines?after={after}&limit=500"), None).await?;
-        let page: MachineList = if status == 200 { decode(&body)? } else { return None };
+        let (status, body) = self
+            .call(
+                Method::GET,
+                &format!("/machines?after={after}&limit=500"),
+                None,
+            )
+            .await?;
+        let page: MachineList = if status == 200 {
+            decode(&body)?
+        } else {
+            return None;
+        };
         Some((page.machines, page.more))
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -179,7 +179,9 @@
     /// workers, and for what is being closed; a process that runs out of memory is killed.
     pub fn server_connections(&self) -> usize {
         let by_sockets = self.max_connections * 17 / 20;
-        let by_memory = self.ram_mb.map(|mb| (mb * 1024.0 * CONNECTION_MEMORY / CONNECTION_KIB) as usize);
+        let by_memory = self
+            .ram_mb
+            .map(|mb| (mb * 1024.0 * CONNECTION_MEMORY / CONNECTION_KIB) as usize);
         by_sockets.min(by_memory.unwrap_or(usize::MAX)).max(8)
     }
 }
@@ -226,8 +228,14 @@
 
 fn read<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read { file: file.clone(), source })?;
-    toml::from_str(&text).map_err(|e| ConfigError::Parse { file, message: e.to_string().trim().to_string() })
+    let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
+        file: file.clone(),
+        source,
+    })?;
+    toml::from_str(&text).map_err(|e| ConfigError::Parse {
+        file,
+        message: e.to_string().trim().to_string(),
+    })
 }
 
 impl Settings {
@@ -246,7 +254,11 @@
 
     fn check(&self, platform: &Path, operator: &Path) -> Result<(), ConfigError> {
         let fail = |file: &Path, field: &str, problem| {
-            Err(ConfigError::Value { file: file.display().to_string(), field: field.into(), problem })
+            Err(ConfigError::Value {
+                file: file.display().to_string(),
+                field: field.into(),
+                problem,
+            })
         };
         let d = &self.platform.deployment;
         for (field, value) in [
@@ -266,22 +278,43 @@
             return fail(platform, "deployment.state.txn_ops", "must be at least 4");
         }
         if d.workers.lease_s <= d.workers.report_s {
-            return fail(platform, "deployment.workers.lease_s", "must exceed report_s");
+            return fail(
+                platform,
+                "deployment.workers.lease_s",
+                "must exceed report_s",
+            );
         }
         if d.workers.cancel_s <= d.workers.lease_s {
-            return fail(platform, "deployment.workers.cancel_s", "must exceed lease_s");
+            return fail(
+                platform,
+                "deployment.workers.cancel_s",
+                "must exceed lease_s",
+            );
         }
         for t in &d.teams {
             for (amount, most) in [(t.cpus, t.cpus_max), (t.gpus, t.gpus_max)] {
                 if !(amount.is_finite() && most.is_finite() && amount >= 0.0 && most >= 0.0) {
-                    return fail(platform, "deployment.teams", "has a negative or non-finite amount");
+                    return fail(
+                        platform,
+                        "deployment.teams",
+                        "has a negative or non-finite amount",
+                    );
                 }
                 if most > 0.0 && amount > most {
-                    return fail(platform, "deployment.teams", "guarantees more than its limit");
+                    return fail(
+                        platform,
+                        "deployment.teams",
+                        "guarantees more than its limit",
+                    );
                 }
             }
         }
-        if self.platform.peers.iter().any(|p| p.node == self.platform.node) {
+        if self
+            .platform
+            .peers
+            .iter()
+            .any(|p| p.node == self.platform.node)
+        {
             return fail(platform, "peers", "contains this node");
         }
         let o = &self.operator;
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -34,7 +34,10 @@
 "#;
 
 pub fn settings() -> Settings {
-    Settings { platform: toml::from_str(PLATFORM).unwrap(), operator: Operator::default() }
+    Settings {
+        platform: toml::from_str(PLATFORM).unwrap(),
+        operator: Operator::default(),
+    }
 }
 
 #[test]
@@ -48,7 +51,10 @@
 fn a_wrong_value_is_named() {
     let mut s = settings();
     s.platform.deployment.workers.cancel_s = 5.0;
-    let e = s.check(Path::new("p.toml"), Path::new("o.toml")).unwrap_err().to_string();
+    let e = s
+        .check(Path::new("p.toml"), Path::new("o.toml"))
+        .unwrap_err()
+        .to_string();
     assert!(e.contains("deployment.workers.cancel_s"), "{e}");
     assert!(Settings::load(Path::new("/nonexistent"), None).is_err());
 }
@@ -57,7 +63,10 @@
 fn the_grace_period_of_an_outage_ends_before_a_cancelled_task_could_overstay() {
     let s = settings();
     let w = &s.platform.deployment.workers;
-    assert!(s.operator.hold_s + (s.grace_ms() as f64) / 1000.0 + w.lease_s + 2.0 * w.report_s < w.cancel_s);
+    assert!(
+        s.operator.hold_s + (s.grace_ms() as f64) / 1000.0 + w.lease_s + 2.0 * w.report_s
+            < w.cancel_s
+    );
     // A longer leader lease leaves less, never an overstay.
     let mut long = settings();
     long.operator.hold_s = 20.0;
@@ -68,7 +77,13 @@
 
 #[test]
 fn connections_are_bounded_by_sockets_and_by_memory() {
-    let limits = |ram_mb, max_connections| MachineLimits { ram_mb, max_connections }.server_connections();
+    let limits = |ram_mb, max_connections| {
+        MachineLimits {
+            ram_mb,
+            max_connections,
+        }
+        .server_connections()
+    };
     assert_eq!(limits(None, 1000), 850);
     assert_eq!(limits(Some(46.0), 1000), 850);
     // More sockets than memory for their buffers.
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -79,14 +79,26 @@
         if n == 0 {
             continue;
         }
-        let useful = if left >= n { n as f64 } else { left as f64 + (n - left) as f64 / 2.0 };
-        for zone in machine_type.zones.iter().filter_map(|z| scheduler.zone_index(z)) {
+        let useful = if left >= n {
+            n as f64
+        } else {
+            left as f64 + (n - left) as f64 / 2.0
+        };
+        for zone in machine_type
+            .zones
+            .iter()
+            .filter_map(|z| scheduler.zone_index(z))
+        {
             for spot in [true, false] {
                 let offer = Offer { kind, zone, spot };
                 if !demand.allows(&offer) || !available(&offer) {
                     continue;
                 }
-                let hourly = if spot { machine_type.spot_price } else { machine_type.price };
+                let hourly = if spot {
+                    machine_type.spot_price
+                } else {
+                    machine_type.price
+                };
                 let price = hourly / useful;
                 if best.is_none_or(|(lowest, _)| price < lowest) {
                     best = Some((price, offer));
@@ -101,7 +113,10 @@
 fn group_requests(offers: impl Iterator<Item = Offer>) -> Vec<RentalRequest> {
     let mut requests: Vec<RentalRequest> = Vec::new();
     for offer in offers {
-        match requests.iter_mut().find(|r| r.offer == offer && r.count < RENT_MOST) {
+        match requests
+            .iter_mut()
+            .find(|r| r.offer == offer && r.count < RENT_MOST)
+        {
             Some(request) => request.count += 1,
             None => requests.push(RentalRequest { offer, count: 1 }),
         }
@@ -112,7 +127,10 @@
 impl Fleet {
     /// An offer was refused, or only partly filled.
     pub fn refused(&mut self, offer: Offer, now: u64) {
-        let b = self.refused.entry(offer).or_insert(Backoff { until: 0, step_ms: FIRST_BACKOFF_MS / 2 });
+        let b = self.refused.entry(offer).or_insert(Backoff {
+            until: 0,
+            step_ms: FIRST_BACKOFF_MS / 2,
+        });
         b.step_ms = (b.step_ms * 2).min(LAST_BACKOFF_MS);
         b.until = now + b.step_ms;
     }
@@ -120,7 +138,10 @@
     /// Machines of an offer do not come up: others are asked for a while.
     fn pause(&mut self, offer: Offer, for_ms: u64, now: u64) {
         let until = now + for_ms.min(LAST_BACKOFF_MS);
-        let backoff = self.refused.entry(offer).or_insert(Backoff { until, step_ms: FIRST_BACKOFF_MS / 2 });
+        let backoff = self.refused.entry(offer).or_insert(Backoff {
+            until,
+            step_ms: FIRST_BACKOFF_MS / 2,
+        });
         backoff.until = backoff.until.max(until);
     }
 
@@ -140,7 +161,11 @@
         rest_ms: u64,
         now: u64,
     ) -> Option<RentalRequest> {
-        let rests = |w: &RentalRequest| self.requested_at.get(&w.offer).is_some_and(|at| now < at + rest_ms);
+        let rests = |w: &RentalRequest| {
+            self.requested_at
+                .get(&w.offer)
+                .is_some_and(|at| now < at + rest_ms)
+        };
         let rested = rental_requests.iter().position(|w| !rests(w)).unwrap_or(0);
         let next = rental_requests.into_iter().nth(rested)?;
         self.requested_at.insert(next.offer, now);
@@ -152,7 +177,12 @@
     }
 
     /// What to rent for this demand, the most urgent first.
-    pub fn rental_requests(&self, scheduler: &Scheduler, demands: &[UnmetDemand], now: u64) -> Vec<RentalRequest> {
+    pub fn rental_requests(
+        &self,
+        scheduler: &Scheduler,
+        demands: &[UnmetDemand],
+        now: u64,
+    ) -> Vec<RentalRequest> {
         // What would come up in a zone that is cut off is out of reach, and was once counted on all the same.
         let unreachable = scheduler.unreachable_zones();
         let available = |offer: &Offer| !unreachable.contains(&offer.zone) && self.open(offer, now);
@@ -166,7 +196,9 @@
                 left -= n;
             }
             while left > 0 && planned.len() < PLANNED_LIMIT {
-                let Some(offer) = best_offer(scheduler, demand, left, &available) else { break };
+                let Some(offer) = best_offer(scheduler, demand, left, &available) else {
+                    break;
+                };
                 let whole = scheduler.room_of_type(offer.kind);
                 let n = demand.fitting(&whole).min(left);
                 planned.push((offer, demand.rest(&whole, n)));
@@ -201,7 +233,9 @@
             }
         }
         let sum = shares.values().sum::<u64>().max(1);
-        shares.values_mut().for_each(|n| *n = (rise as u128 * *n as u128 / sum as u128) as u64);
+        shares
+            .values_mut()
+            .for_each(|n| *n = (rise as u128 * *n as u128 / sum as u128) as u64);
         shares
     }
 
@@ -211,18 +245,44 @@
         let coming = scheduler.coming_up();
         let unreachable = scheduler.unreachable_zones();
         let mut out = Vec::new();
-        for (zone, reserve) in self.reserves(rise_ms).into_iter().filter(|(z, _)| !unreachable.contains(z)) {
-            let free: u64 =
-                utilization.iter().filter(|l| !l.offer.spot && l.offer.zone == zone).map(|l| l.cpus - l.used).sum();
+        for (zone, reserve) in self
+            .reserves(rise_ms)
+            .into_iter()
+            .filter(|(z, _)| !unreachable.contains(z))
+        {
+            let free: u64 = utilization
+                .iter()
+                .filter(|l| !l.offer.spot && l.offer.zone == zone)
+                .map(|l| l.cpus - l.used)
+                .sum();
             let short = reserve.saturating_sub(free + coming.get(&zone).copied().unwrap_or(0));
             let offers = scheduler.types().iter().enumerate().filter(|(t, kind)| {
-                kind.zones.iter().any(|z| scheduler.zone_index(z) == Some(zone))
-                    && self.open(&Offer { kind: *t, zone, spot: false }, now)
+                kind.zones
+                    .iter()
+                    .any(|z| scheduler.zone_index(z) == Some(zone))
+                    && self.open(
+                        &Offer {
+                            kind: *t,
+                            zone,
+                            spot: false,
+                        },
+                        now,
+                    )
             });
-            let best = offers.min_by(|(_, a), (_, b)| (a.price / a.cpus).total_cmp(&(b.price / b.cpus)));
+            let best =
+                offers.min_by(|(_, a), (_, b)| (a.price / a.cpus).total_cmp(&(b.price / b.cpus)));
             if let Some((t, kind)) = best.filter(|_| short > 0) {
-                let count = (short as f64 / (kind.cpus * 1000.0)).ceil().min(RENT_MOST as f64) as u32;
-                out.push(RentalRequest { offer: Offer { kind: t, zone, spot: false }, count });
+                let count = (short as f64 / (kind.cpus * 1000.0))
+                    .ceil()
+                    .min(RENT_MOST as f64) as u32;
+                out.push(RentalRequest {
+                    offer: Offer {
+                        kind: t,
+                        zone,
+                        spot: false,
+                    },
+                    count,
+                });
             }
         }
         out
@@ -231,11 +291,19 @@
     /// Remembers a demand, and forgets those from before the window.
     fn record_demand(&mut self, demand: Demand, window_ms: u64) {
         let now = demand.at;
-        match self.demand.back_mut().filter(|last| now < last.at + SAMPLE_MS) {
+        match self
+            .demand
+            .back_mut()
+            .filter(|last| now < last.at + SAMPLE_MS)
+        {
             Some(last) => last.merge(demand),
             None => self.demand.push_back(demand),
         }
-        while self.demand.front().is_some_and(|first| now > first.at + window_ms) {
+        while self
+            .demand
+            .front()
+            .is_some_and(|first| now > first.at + window_ms)
+        {
             self.demand.pop_front();
         }
     }
@@ -251,10 +319,21 @@
         now: u64,
     ) {
         let utilization = scheduler.utilization();
-        let wanted = demands.iter().map(|n| n.need[0] * n.tasks as u64).sum::<u64>();
+        let wanted = demands
+            .iter()
+            .map(|n| n.need[0] * n.tasks as u64)
+            .sum::<u64>();
         let (services, placed) = scheduler.service_demand();
         let all = wanted + utilization.iter().map(|l| l.used).sum::<u64>();
-        self.record_demand(Demand { at: now, all, services, placed }, window_ms);
+        self.record_demand(
+            Demand {
+                at: now,
+                all,
+                services,
+                placed,
+            },
+            window_ms,
+        );
         if !demands.is_empty() {
             scheduler.use_surplus();
             return;
@@ -264,7 +343,8 @@
         let peak = target(self.demand.iter().map(|d| d.all).max().unwrap_or(0));
         let all: u64 = utilization.iter().map(|l| l.cpus).sum();
         let reserves = self.reserves(rise_ms);
-        let (mut zone_peak, mut free, mut steady) = (HashMap::new(), HashMap::new(), HashMap::new());
+        let (mut zone_peak, mut free, mut steady) =
+            (HashMap::new(), HashMap::new(), HashMap::new());
         for (zone, n) in self.demand.iter().flat_map(|d| &d.placed) {
             let most = zone_peak.entry(*zone).or_insert(0);
             *most = target(*n).max(*most);
@@ -277,7 +357,8 @@
         let types = scheduler.types();
         let idle_price = |l: &Utilization| {
             let t = &types[l.offer.kind];
-            (if l.offer.spot { t.spot_price } else { t.price }) * (1.0 - l.used as f64 / l.cpus.max(1) as f64)
+            (if l.offer.spot { t.spot_price } else { t.price })
+                * (1.0 - l.used as f64 / l.cpus.max(1) as f64)
         };
         let may_go = |l: &&Utilization| {
             let Offer { zone, spot, .. } = l.offer;
@@ -287,8 +368,11 @@
                 && (spot || of(&steady, zone) - l.cpus >= of(&zone_peak, zone))
                 && (spot || of(&free, zone) >= of(&reserves, zone) + l.cpus)
         };
-        let go =
-            utilization.iter().filter(may_go).max_by(|a, b| idle_price(a).total_cmp(&idle_price(b))).map(|l| l.machine);
+        let go = utilization
+            .iter()
+            .filter(may_go)
+            .max_by(|a, b| idle_price(a).total_cmp(&idle_price(b)))
+            .map(|l| l.machine);
         if let Some(i) = go {
             scheduler.spare_machine(i);
         }
@@ -302,7 +386,8 @@
         let mut cpus: HashMap<usize, u64> = HashMap::new();
         for l in scheduler.utilization() {
             cpus.insert(l.machine, l.cpus);
-            *free.entry(l.offer.zone).or_default() += if l.offer.spot { 0 } else { l.cpus - l.used };
+            *free.entry(l.offer.zone).or_default() +=
+                if l.offer.spot { 0 } else { l.cpus - l.used };
         }
         for (i, m) in scheduler.machines() {
             let idle = m.idle_since.is_some_and(|s| now > s + idle_ms);
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -37,7 +37,14 @@
 }
 
 fn need(tasks: u32) -> UnmetDemand {
-    UnmetDemand { need: [8000, 0, 1000], tasks, spot: false, types: None, zones: None, service: false }
+    UnmetDemand {
+        need: [8000, 0, 1000],
+        tasks,
+        spot: false,
+        types: None,
+        zones: None,
+        service: false,
+    }
 }
 
 fn request(offer: Offer, count: u32) -> RentalRequest {
@@ -47,26 +54,58 @@
 #[test]
 fn an_offer_rests_after_a_request_while_others_are_wanted() {
     let mut fleet = Fleet::default();
-    let urgent = Offer { kind: 0, zone: 0, spot: false };
-    let other = Offer { spot: true, ..urgent };
+    let urgent = Offer {
+        kind: 0,
+        zone: 0,
+        spot: false,
+    };
+    let other = Offer {
+        spot: true,
+        ..urgent
+    };
     let both = || vec![request(urgent, 2), request(other, 50)];
-    assert_eq!(fleet.next_request(both(), 2000, 1000), Some(request(urgent, 2)));
+    assert_eq!(
+        fleet.next_request(both(), 2000, 1000),
+        Some(request(urgent, 2))
+    );
     // Urgent work that comes in a few tasks at a time does not take every call.
-    assert_eq!(fleet.next_request(both(), 2000, 1700), Some(request(other, 50)));
+    assert_eq!(
+        fleet.next_request(both(), 2000, 1700),
+        Some(request(other, 50))
+    );
     // Both rest: the most urgent goes first.
-    assert_eq!(fleet.next_request(both(), 2000, 2400), Some(request(urgent, 2)));
-    assert_eq!(fleet.next_request(vec![request(urgent, 1)], 2000, 2500), Some(request(urgent, 1)));
+    assert_eq!(
+        fleet.next_request(both(), 2000, 2400),
+        Some(request(urgent, 2))
+    );
+    assert_eq!(
+        fleet.next_request(vec![request(urgent, 1)], 2000, 2500),
+        Some(request(urgent, 1))
+    );
     assert_eq!(fleet.next_request(Vec::new(), 2000, 2600), None);
-    assert_eq!(fleet.next_request(both(), 2000, 9000), Some(request(urgent, 2)));
+    assert_eq!(
+        fleet.next_request(both(), 2000, 9000),
+        Some(request(urgent, 2))
+    );
 }
 
 #[test]
 fn an_offer_whose_machines_never_come_up_is_left_for_a_while_if_another_fits() {
     let (mut scheduler, mut fleet) = (scheduler(), Fleet::default());
-    let cheap = Offer { kind: 0, zone: 0, spot: false };
+    let cheap = Offer {
+        kind: 0,
+        zone: 0,
+        spot: false,
+    };
     let dear = Offer { kind: 1, ..cheap };
-    let hardware = Hardware { machine_type: "cheap", zone: "a", spot: false };
-    let wanted = |fleet: &Fleet, scheduler: &Scheduler, now| fleet.rental_requests(scheduler, &[need(3)], now);
+    let hardware = Hardware {
+        machine_type: "cheap",
+        zone: "a",
+        spot: false,
+    };
+    let wanted = |fleet: &Fleet, scheduler: &Scheduler, now| {
+        fleet.rental_requests(scheduler, &[need(3)], now)
+    };
     assert_eq!(wanted(&fleet, &scheduler, 1000), vec![request(cheap, 3)]);
     (0..3).for_each(|n| scheduler.add_machine(&format!("n-{n}"), hardware, Origin::Rented));
     scheduler.at(60_000);
@@ -77,10 +116,18 @@
     assert_eq!(scheduler.leaving(9).len(), 3);
     // Asked for again at once, it once cost a boot time again and again.
     assert_eq!(wanted(&fleet, &scheduler, 62_000), vec![request(dear, 3)]);
-    let only_cheap = UnmetDemand { types: Some(vec![0]), ..need(1) };
-    assert!(fleet.rental_requests(&scheduler, std::slice::from_ref(&only_cheap), 62_000).is_empty());
+    let only_cheap = UnmetDemand {
+        types: Some(vec![0]),
+        ..need(1)
+    };
+    assert!(fleet
+        .rental_requests(&scheduler, std::slice::from_ref(&only_cheap), 62_000)
+        .is_empty());
     // Not for ever: it is tried again, with twice the patience.
-    assert_eq!(fleet.rental_requests(&scheduler, &[only_cheap], 123_000), vec![request(cheap, 1)]);
+    assert_eq!(
+        fleet.rental_requests(&scheduler, &[only_cheap], 123_000),
+        vec![request(cheap, 1)]
+    );
     scheduler.at(123_000);
     scheduler.add_machine("n-9", hardware, Origin::Rented);
     scheduler.at(123_000 + 115_000);
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -94,7 +94,15 @@
 impl Leadership {
     /// A follower whose leader leases live `ttl_ms` and who may renew leases `grace_ms` beyond its authority to start.
     pub fn new(ttl_ms: u64, grace_ms: u64) -> Self {
-        Leadership { role: Role::Follower, ttl_ms, grace_ms, renewed: 0, known: 0, mirrored: 0, reads: Vec::new() }
+        Leadership {
+            role: Role::Follower,
+            ttl_ms,
+            grace_ms,
+            renewed: 0,
+            known: 0,
+            mirrored: 0,
+            reads: Vec::new(),
+        }
     }
 
     /// The role.
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -6,7 +6,14 @@
 fn leading() -> Leadership {
     let mut l = Leadership::new(2000, 10_000);
     assert!(l.apply(Event::Campaign));
-    assert!(l.apply(Event::Won { term: Term { epoch: 3, version: 9, lease: 1 }, sent: 1000 }));
+    assert!(l.apply(Event::Won {
+        term: Term {
+            epoch: 3,
+            version: 9,
+            lease: 1
+        },
+        sent: 1000
+    }));
     read(&mut l, 1000, 9);
     l.apply(Event::Mirrored(9));
     l
@@ -96,7 +103,14 @@
 #[test]
 fn a_follower_cannot_win_without_campaigning() {
     let mut l = Leadership::new(2000, 0);
-    assert!(!l.apply(Event::Won { term: Term { epoch: 1, version: 1, lease: 1 }, sent: 1 }));
+    assert!(!l.apply(Event::Won {
+        term: Term {
+            epoch: 1,
+            version: 1,
+            lease: 1
+        },
+        sent: 1
+    }));
     assert_eq!(*l.role(), Role::Follower);
 }
 
--- a/src/limiter.rs
+++ b/src/limiter.rs
@@ -47,7 +47,8 @@
             in_progress: 0,
             peak: 0,
             // Two digits over a minute: the bounds are valid, so the fallback is never taken.
-            window: Histogram::new_with_max(60_000, 2).unwrap_or_else(|_| Histogram::new(1).expect("valid precision")),
+            window: Histogram::new_with_max(60_000, 2)
+                .unwrap_or_else(|_| Histogram::new(1).expect("valid precision")),
             best_ms: f64::INFINITY,
         }
     }
--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -122,7 +122,10 @@
 impl ControllerState {
     /// A node that has yet to read the store.
     pub(super) fn new(settings: Settings, incarnation: u64, clock: Clock) -> ControllerState {
-        let me = LeaderRecord { node: settings.platform.node.clone(), incarnation };
+        let me = LeaderRecord {
+            node: settings.platform.node.clone(),
+            incarnation,
+        };
         let ttl = millis(settings.operator.hold_s);
         let state = &settings.platform.deployment.state;
         let user_changes = users_share(state.write_rps, settings.platform.peers.len() + 1, None);
@@ -172,7 +175,9 @@
     /// Milliseconds of the time of day.
     pub(super) fn wall(&self) -> u64 {
         match &self.clock {
-            Clock::Steady(_) => SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64),
+            Clock::Steady(_) => SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .map_or(0, |d| d.as_millis() as u64),
             #[cfg(test)]
             Clock::Scripted(now) => now.get(),
         }
@@ -190,7 +195,11 @@
 
     /// Whether direct commands that were decided in a term may still be sent.
     pub(super) fn may_send_direct(&self, term: Option<Term>, direct: &Direct) -> bool {
-        self.may_send(term) && self.scheduler.as_ref().is_some_and(|s| s.still_wanted(direct))
+        self.may_send(term)
+            && self
+                .scheduler
+                .as_ref()
+                .is_some_and(|s| s.still_wanted(direct))
     }
 
     /// The moment at which an answer to a worker that is decided now becomes void.
@@ -252,7 +261,9 @@
         for s in seen {
             match s {
                 MirrorChange::Job(id) => {
-                    let (Some(scheduler), Some(v)) = (self.scheduler.as_mut(), self.mirror.live.get(&id)) else {
+                    let (Some(scheduler), Some(v)) =
+                        (self.scheduler.as_mut(), self.mirror.live.get(&id))
+                    else {
                         continue;
                     };
                     // Another's word of its cancellation may be here before the mirror has seen it come and go.
@@ -281,7 +292,10 @@
         }
         let number = self.mirror.epoch.as_ref().map_or(0, |e| e.record.number);
         self.newest_epoch = self.newest_epoch.max(number);
-        if self.term().is_some_and(|term| self.newest_epoch > term.epoch) {
+        if self
+            .term()
+            .is_some_and(|term| self.newest_epoch > term.epoch)
+        {
             self.lead_event(Event::Ended);
         }
         vacant
@@ -300,18 +314,41 @@
         }
         for (id, v) in &self.mirror.live {
             let ended = self.mirror.over(id).is_some();
-            scheduler.add_job(v.record.clone(), v.version, &done_rows(&self.mirror, id), wall, ended);
+            scheduler.add_job(
+                v.record.clone(),
+                v.version,
+                &done_rows(&self.mirror, id),
+                wall,
+                ended,
+            );
         }
         for (id, v) in &self.mirror.stopping {
-            scheduler.add_job(v.record.clone(), v.version, &done_rows(&self.mirror, id), wall, true);
+            scheduler.add_job(
+                v.record.clone(),
+                v.version,
+                &done_rows(&self.mirror, id),
+                wall,
+                true,
+            );
         }
-        scheduler.inherit(self.mirror.starts.iter().map(|(slot, v)| (*slot, v.version, v.record.as_str())));
+        scheduler.inherit(
+            self.mirror
+                .starts
+                .iter()
+                .map(|(slot, v)| (*slot, v.version, v.record.as_str())),
+        );
         if self.unlogged {
             scheduler.wait_for_lease_expiry();
         }
         self.leads_since = now;
         let (jobs, rentals) = (self.mirror.live.len(), self.mirror.rentals.len());
-        tracing::info!(epoch, jobs, rentals, unsettled = scheduler.unsettled(), "epoch begins");
+        tracing::info!(
+            epoch,
+            jobs,
+            rentals,
+            unsettled = scheduler.unsettled(),
+            "epoch begins"
+        );
         self.scheduler = Some(scheduler);
     }
 
@@ -319,18 +356,42 @@
         if let Some(over) = self.mirror.over(id) {
             return Some(over_view(id, over));
         }
-        let counts = self.scheduler.as_ref().and_then(|p| p.counts(id)).or(self.counts.get(id).copied());
+        let counts = self
+            .scheduler
+            .as_ref()
+            .and_then(|p| p.counts(id))
+            .or(self.counts.get(id).copied());
         self.mirror.live.get(id)?;
         let (done, running) = counts.unwrap_or_default();
-        let state = if running > 0 { JobState::Running } else { JobState::Queued };
-        Some(JobView { id: id.into(), state, done: Some(done), running: Some(running) })
+        let state = if running > 0 {
+            JobState::Running
+        } else {
+            JobState::Queued
+        };
+        Some(JobView {
+            id: id.into(),
+            state,
+            done: Some(done),
+            running: Some(running),
+        })
     }
 
     pub(super) fn own_view(&self) -> View {
-        let counts = self.scheduler.as_ref().filter(|_| self.authority() != Authority::None).map(|p| p.all_counts());
+        let counts = self
+            .scheduler
+            .as_ref()
+            .filter(|_| self.authority() != Authority::None)
+            .map(|p| p.all_counts());
         let (node, revision) = (self.me.node.clone(), self.mirror.revision);
         let leader_changes_per_s = self.term().map(|_| self.own_changes.per_s(self.now()));
-        View { node, epoch: self.newest_epoch, revision, state_ok: self.state_ok(), leader_changes_per_s, counts }
+        View {
+            node,
+            epoch: self.newest_epoch,
+            revision,
+            state_ok: self.state_ok(),
+            leader_changes_per_s,
+            counts,
+        }
     }
 
     pub(super) fn state_ok(&self) -> bool {
@@ -342,14 +403,26 @@
         if v.epoch > self.newest_epoch {
             self.newest_epoch = v.epoch;
         }
-        if self.term().is_some_and(|term| self.newest_epoch > term.epoch) {
+        if self
+            .term()
+            .is_some_and(|term| self.newest_epoch > term.epoch)
+        {
             self.lead_event(Event::Ended);
         }
-        if let Some(changes_per_s) = v.leader_changes_per_s.filter(|_| v.epoch >= self.newest_epoch) {
+        if let Some(changes_per_s) = v
+            .leader_changes_per_s
+            .filter(|_| v.epoch >= self.newest_epoch)
+        {
             self.leader_changes = Some((changes_per_s, now));
         }
-        if let Some(counts) = v.counts.filter(|_| self.scheduler.is_none() && v.epoch >= self.newest_epoch) {
-            self.counts = counts.into_iter().map(|(id, done, running)| (id, (done, running))).collect();
+        if let Some(counts) = v
+            .counts
+            .filter(|_| self.scheduler.is_none() && v.epoch >= self.newest_epoch)
+        {
+            self.counts = counts
+                .into_iter()
+                .map(|(id, done, running)| (id, (done, running)))
+                .collect();
         }
         self.notices.mirrored(&v.node, v.revision);
         self.peer_health.told(v.node, v.state_ok, now);
@@ -358,10 +431,21 @@
     /// Adjusts the pace of users' changes to what the leader leaves.
     pub(super) fn adjust_pace(&mut self) {
         let now = self.now();
-        let fresh = self.leader_changes.filter(|(_, at)| now < at + LEADER_VIEW_TTL_MS).map(|(changes, _)| changes);
-        let leader = if self.term().is_some() { Some(self.own_changes.per_s(now)) } else { fresh };
+        let fresh = self
+            .leader_changes
+            .filter(|(_, at)| now < at + LEADER_VIEW_TTL_MS)
+            .map(|(changes, _)| changes);
+        let leader = if self.term().is_some() {
+            Some(self.own_changes.per_s(now))
+        } else {
+            fresh
+        };
         let platform = &self.settings.platform;
-        let most = users_share(platform.deployment.state.write_rps, platform.peers.len() + 1, leader);
+        let most = users_share(
+            platform.deployment.state.write_rps,
+            platform.peers.len() + 1,
+            leader,
+        );
         self.pacer.set_most(most);
     }
 
@@ -369,7 +453,13 @@
     /// nothing of it is started or believed to be done any more.
     pub(super) fn cancelled(&mut self, id: &str, tasks: u32) {
         let now = self.now();
-        self.mirror.remember_over(id, OverRecord { cancelled: true, tasks });
+        self.mirror.remember_over(
+            id,
+            OverRecord {
+                cancelled: true,
+                tasks,
+            },
+        );
         if let Some(scheduler) = self.scheduler.as_mut() {
             scheduler.at(now);
             scheduler.drop_job(id);
@@ -387,7 +477,11 @@
     /// be told.
     pub(super) fn learn_final_state(&mut self, id: &str, read: &Versioned<OverRecord>) {
         if read.record.cancelled && self.leader_may_miss(read.version) {
-            let cancelled = CancelledJob { job: id.to_string(), tasks: read.record.tasks, revision: read.version };
+            let cancelled = CancelledJob {
+                job: id.to_string(),
+                tasks: read.record.tasks,
+                revision: read.version,
+            };
             self.note_cancellation(cancelled);
         } else {
             self.mirror.remember_over(id, read.record);
@@ -397,7 +491,11 @@
     /// Another node's word of cancellations; tells how far this one's mirror is. It is passed on: the path from that node
     /// to the leader may be cut, and a user whose request is repeated here is answered once the leader knows, too.
     pub(super) fn take_cancelled(&mut self, told: &Cancelled) -> u64 {
-        for cancelled in told.jobs.iter().filter(|cancelled| wire::job_id(&cancelled.job)) {
+        for cancelled in told
+            .jobs
+            .iter()
+            .filter(|cancelled| wire::job_id(&cancelled.job))
+        {
             if self.leader_may_miss(cancelled.revision) {
                 self.note_cancellation(cancelled.clone());
             } else {
@@ -409,7 +507,9 @@
 
     /// The notice of a job's cancellation while a leader may not know of it.
     pub(super) fn unsettled_cancellation(&self, job: &str) -> Option<Notice> {
-        self.notices.find(job).filter(|notice| !self.stops_known(*notice))
+        self.notices
+            .find(job)
+            .filter(|notice| !self.stops_known(*notice))
     }
 
     /// Whether a leader may start tasks of a job whose cancellation became durable at a revision, for all that the mirrors
@@ -426,9 +526,12 @@
     /// Whether no leader can start anything any more of a job whose cancellation is durable: the leader of then has been
     /// told, or its leader lease has ended.
     pub(super) fn stops_known(&self, notice: Notice) -> bool {
-        let told = |leader: &Versioned<LeaderRecord>| self.notices.was_told(&leader.record.node, notice);
+        let told =
+            |leader: &Versioned<LeaderRecord>| self.notices.was_told(&leader.record.node, notice);
         let mirrored = self.mirror.revision >= notice.revision();
-        mirrored && (!self.leader_may_miss(notice.revision()) || self.mirror.leader.as_ref().is_some_and(told))
+        mirrored
+            && (!self.leader_may_miss(notice.revision())
+                || self.mirror.leader.as_ref().is_some_and(told))
     }
 
     /// Notes that this node runs. After it stood still, or had no processor, what it has not heard meanwhile says nothing of
@@ -463,20 +566,36 @@
         if authority == Authority::None {
             return elsewhere(leader, &self.me.node);
         }
-        let Some(scheduler) = self.scheduler.as_mut() else { return WorkerAnswer::Later };
+        let Some(scheduler) = self.scheduler.as_mut() else {
+            return WorkerAnswer::Later;
+        };
         scheduler.at(now);
-        match scheduler.report(r, Arrival::Report { may_start: authority == Authority::Full }) {
+        match scheduler.report(
+            r,
+            Arrival::Report {
+                may_start: authority == Authority::Full,
+            },
+        ) {
             ReportOutcome::Reply(reply) => WorkerAnswer::Reply(reply),
             ReportOutcome::Superseded => {
                 self.lead_event(Event::Ended);
                 WorkerAnswer::Later
             }
             ReportOutcome::UnregisteredMachine => {
-                if !self.released.contains_key(&r.machine) && self.unregistered.len() < UNREGISTERED_LIMIT {
+                if !self.released.contains_key(&r.machine)
+                    && self.unregistered.len() < UNREGISTERED_LIMIT
+                {
                     let (machine_type, zone) = (r.machine_type.clone(), r.zone.clone());
                     let ask = Some((r.address.clone(), r.session));
-                    self.unregistered
-                        .insert(r.machine.clone(), UnregisteredMachine { machine_type, zone, spot: r.spot, ask });
+                    self.unregistered.insert(
+                        r.machine.clone(),
+                        UnregisteredMachine {
+                            machine_type,
+                            zone,
+                            spot: r.spot,
+                            ask,
+                        },
+                    );
                 }
                 WorkerAnswer::Later
             }
@@ -490,7 +609,14 @@
 
     /// The checks behind a 422.
     pub(super) fn impossible(&self, s: &JobSpec) -> Option<&'static str> {
-        let Some(team) = self.settings.platform.deployment.teams.iter().find(|t| t.name == s.team) else {
+        let Some(team) = self
+            .settings
+            .platform
+            .deployment
+            .teams
+            .iter()
+            .find(|t| t.name == s.team)
+        else {
             return Some("unknown team");
         };
         let fits = self.types.iter().any(|t| {
@@ -503,19 +629,34 @@
         if !fits {
             return Some("no allowed machine type is large enough");
         }
-        let at_once = if s.kind == Kind::Array { 1.0 } else { s.tasks as f64 };
+        let at_once = if s.kind == Kind::Array {
+            1.0
+        } else {
+            s.tasks as f64
+        };
         let over = |each: f64, most: f64| most > 0.0 && each * at_once > most + 1e-9;
-        (over(s.cpus, team.cpus_max) || over(s.gpus, team.gpus_max)).then_some("more than the team's limit")
+        (over(s.cpus, team.cpus_max) || over(s.gpus, team.gpus_max))
+            .then_some("more than the team's limit")
     }
 }
 
 pub(super) fn done_rows(mirror: &Mirror, job: &str) -> Vec<(u32, Vec<u8>)> {
     let from = (job.to_string(), 0);
     let rows = mirror.done.range(from..).take_while(|((j, _), _)| j == job);
-    rows.map(|((_, chunk), v)| (*chunk, v.record.clone())).collect()
+    rows.map(|((_, chunk), v)| (*chunk, v.record.clone()))
+        .collect()
 }
 
 pub(super) fn over_view(id: &str, over: OverRecord) -> JobView {
-    let (state, done) = if over.cancelled { (JobState::Cancelled, 0) } else { (JobState::Done, over.tasks) };
-    JobView { id: id.into(), state, done: Some(done), running: Some(0) }
+    let (state, done) = if over.cancelled {
+        (JobState::Cancelled, 0)
+    } else {
+        (JobState::Done, over.tasks)
+    };
+    JobView {
+        id: id.into(),
+        state,
+        done: Some(done),
+        running: Some(0),
+    }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -156,7 +156,10 @@
     async fn sync(self) {
         let (rps, nodes) = {
             let c = self.controller.borrow();
-            (c.settings.platform.deployment.state.rps, c.settings.platform.peers.len() + 1)
+            (
+                c.settings.platform.deployment.state.rps,
+                c.settings.platform.peers.len() + 1,
+            )
         };
         // A quarter of the request budget goes to watches, shared among the nodes.
         let pace = ((4000.0 * nodes as f64 / rps) as u64).clamp(20, 1000);
@@ -217,7 +220,10 @@
         loop {
             pause(patience).await;
             let controller = self.controller.borrow();
-            if controller.lead.behind(controller.now().saturating_sub(patience)) {
+            if controller
+                .lead
+                .behind(controller.now().saturating_sub(patience))
+            {
                 return;
             }
         }
@@ -232,7 +238,10 @@
                 let mut controller = self.controller.borrow_mut();
                 let (leads, sent) = (controller.term().is_some(), controller.now());
                 let version = controller.mirror.epoch.as_ref().map_or(0, |e| e.version);
-                let txn = Txn { guards: vec![guard(store::epoch_key(), version)], apply: Vec::new() };
+                let txn = Txn {
+                    guards: vec![guard(store::epoch_key(), version)],
+                    apply: Vec::new(),
+                };
                 (std::mem::take(&mut controller.readers), txn, leads, sent)
             };
             if readers.is_empty() && !leads {
@@ -241,7 +250,9 @@
             let http = self.clone();
             actix::spawn(async move {
                 if let Ok(revision) = http.noted(http.store.barrier(&txn).await) {
-                    http.controller.borrow_mut().lead_event(Event::Read { sent, revision });
+                    http.controller
+                        .borrow_mut()
+                        .lead_event(Event::Read { sent, revision });
                     readers.into_iter().for_each(|r| {
                         let _ = r.send(revision);
                     });
@@ -262,18 +273,24 @@
             seen.wait_for(|r| *r >= revision).await.ok()?;
             Some(())
         };
-        matches!(tokio::time::timeout(Duration::from_millis(1500), wait).await, Ok(Some(())))
+        matches!(
+            tokio::time::timeout(Duration::from_millis(1500), wait).await,
+            Ok(Some(()))
+        )
     }
 
     /// Tells the others of cancellations, again until they know.
     async fn tell_cancelled(self) {
         let peers = self.controller.borrow().settings.platform.peers.clone();
         loop {
-            let _ = tokio::time::timeout(Duration::from_millis(500), self.cancelled.notified()).await;
+            let _ =
+                tokio::time::timeout(Duration::from_millis(500), self.cancelled.notified()).await;
             for p in &peers {
                 let (message, last) = {
                     let controller = self.controller.borrow();
-                    let Some((jobs, last)) = controller.notices.unknown_to(&p.node) else { continue };
+                    let Some((jobs, last)) = controller.notices.unknown_to(&p.node) else {
+                        continue;
+                    };
                     (Cancelled { jobs }, last)
                 };
                 let (me, node, addr) = (self.clone(), p.node.clone(), p.peer_addr);
@@ -296,7 +313,13 @@
             pause(900).await;
             for p in &peers {
                 let me = self.clone();
-                let (addr, own) = (p.peer_addr, View { counts: None, ..self.controller.borrow().own_view() });
+                let (addr, own) = (
+                    p.peer_addr,
+                    View {
+                        counts: None,
+                        ..self.controller.borrow().own_view()
+                    },
+                );
                 actix::spawn(async move {
                     let from = Instant::now();
                     let answer = peer::ask(&me.http, addr, &own).await;
@@ -304,7 +327,9 @@
                     let now = controller.now();
                     match answer {
                         Some(v) => controller.take_view(v),
-                        None if from.elapsed().as_millis() < REFUSED_MS => controller.peer_health.refused(now),
+                        None if from.elapsed().as_millis() < REFUSED_MS => {
+                            controller.peer_health.refused(now)
+                        }
                         None => {}
                     }
                 });
@@ -321,7 +346,8 @@
 impl Node {
     /// A node that has yet to be started.
     fn new(settings: Settings) -> Node {
-        let connections = (settings.platform.deployment.machine_limits.max_connections / 8).clamp(8, 100);
+        let connections =
+            (settings.platform.deployment.machine_limits.max_connections / 8).clamp(8, 100);
         let http = worker::http_client(connections);
         let incarnation = rand::thread_rng().gen::<u64>() >> 1;
         let external = settings.platform.external.clone();
@@ -396,7 +422,10 @@
         if controller.needs_pass() {
             self.shared.urgent.notify_one();
         }
-        MessageResult(WorkerResponse { answer, valid_until: controller.answer_valid_until() })
+        MessageResult(WorkerResponse {
+            answer,
+            valid_until: controller.answer_valid_until(),
+        })
     }
 }
 
@@ -425,8 +454,13 @@
 pub fn run(settings: Settings) -> std::io::Result<()> {
     let platform = settings.platform.clone();
     let connections = platform.deployment.machine_limits.server_connections();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let addresses = crate::api::Addresses { api: platform.api_addr, internal: platform.internal_addr };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    let addresses = crate::api::Addresses {
+        api: platform.api_addr,
+        internal: platform.internal_addr,
+    };
     actix::System::with_tokio_rt(|| runtime).block_on(async move {
         let node = Node::new(settings).start();
         crate::api::serve(node, addresses, connections).await
--- a/src/node/provisioning.rs
+++ b/src/node/provisioning.rs
@@ -51,7 +51,9 @@
                     controller.types.is_empty(),
                 )
             };
-            if (leads || typeless) && types_at.is_none_or(|t| now > t + if typeless { 1000 } else { 20_000 }) {
+            if (leads || typeless)
+                && types_at.is_none_or(|t| now > t + if typeless { 1000 } else { 20_000 })
+            {
                 types_at = Some(now);
                 self.await_cloud_call().await;
                 if let Some(types) = self.cloud.catalogue().await {
@@ -86,7 +88,8 @@
         if typeless {
             pause(FLEET_MS).await;
         } else {
-            let _ = tokio::time::timeout(Duration::from_millis(AUTHORITY_CHECK_MS), self.elected()).await;
+            let _ = tokio::time::timeout(Duration::from_millis(AUTHORITY_CHECK_MS), self.elected())
+                .await;
         }
     }
 
@@ -119,8 +122,11 @@
         let next = {
             let mut controller = self.controller.borrow_mut();
             let now = controller.now();
-            let call_ms = 1000.0 / (controller.settings.platform.deployment.cloud.rps * CLOUD_SHARE);
-            controller.fleet.next_request(rental_requests, (REST_CALLS * call_ms) as u64, now)
+            let call_ms =
+                1000.0 / (controller.settings.platform.deployment.cloud.rps * CLOUD_SHARE);
+            controller
+                .fleet
+                .next_request(rental_requests, (REST_CALLS * call_ms) as u64, now)
         };
         match next {
             Some(request) => self.rent(request.offer, request.count).await,
@@ -132,17 +138,32 @@
     pub(super) async fn store_types(&self, types: Vec<MachineType>) {
         let (guards, same) = {
             let controller = self.controller.borrow();
-            let Some(Term { version: epoch, .. }) = controller.term() else { return };
+            let Some(Term { version: epoch, .. }) = controller.term() else {
+                return;
+            };
             let old = controller.mirror.catalogue.as_ref();
             let shape = |l: &[MachineType]| {
-                l.iter().map(|t| (t.name.clone(), t.cpus as u64, t.zones.clone())).collect::<Vec<_>>()
+                l.iter()
+                    .map(|t| (t.name.clone(), t.cpus as u64, t.zones.clone()))
+                    .collect::<Vec<_>>()
             };
             let same = old.is_some_and(|c| shape(&c.record) == shape(&types));
             let version = old.map_or(0, |c| c.version);
-            (vec![guard(store::epoch_key(), epoch), guard(store::catalogue_key(), version)], same)
+            (
+                vec![
+                    guard(store::epoch_key(), epoch),
+                    guard(store::catalogue_key(), version),
+                ],
+                same,
+            )
         };
         if !same {
-            let _ = self.txn(&Txn { guards, apply: vec![put(store::catalogue_key(), &types, None)] }).await;
+            let _ = self
+                .txn(&Txn {
+                    guards,
+                    apply: vec![put(store::catalogue_key(), &types, None)],
+                })
+                .await;
         }
     }
 
@@ -162,7 +183,9 @@
         let idle_ms = millis(controller.settings.operator.idle_return_s);
         // Dead machines are listed as failed; what is silent for so long though its whole zone is, is not worth its price.
         let lost_ms = (4000.0 * w.lease_s) as u64;
-        let Some(scheduler) = controller.scheduler.as_mut() else { return Vec::new() };
+        let Some(scheduler) = controller.scheduler.as_mut() else {
+            return Vec::new();
+        };
         scheduler.at(now);
         for i in scheduler.silent(silent_ms, lost_ms) {
             scheduler.enter(i, MachineState::Releasing, "silent");
@@ -174,14 +197,26 @@
             let mut by_offer: BTreeMap<Offer, [u64; 4]> = BTreeMap::new();
             for l in scheduler.utilization() {
                 let sum = by_offer.entry(l.offer).or_default();
-                *sum = [sum[0] + 1, sum[1] + l.cpus, sum[2] + l.used, sum[3] + l.services];
+                *sum = [
+                    sum[0] + 1,
+                    sum[1] + l.cpus,
+                    sum[2] + l.used,
+                    sum[3] + l.services,
+                ];
             }
             tracing::debug!(pending, wanted, machines_cpus_used_services = ?by_offer, "look ahead");
         }
-        let boot_s = scheduler.types().iter().map(|t| t.boot_s).fold(f64::INFINITY, f64::min).min(600.0);
+        let boot_s = scheduler
+            .types()
+            .iter()
+            .map(|t| t.boot_s)
+            .fold(f64::INFINITY, f64::min)
+            .min(600.0);
         // Until a machine that is rented now is up, with some room for slow ones.
         let rise_ms = (boot_s * 1500.0) as u64 + 5000;
-        controller.fleet.surplus(scheduler, &demands, idle_ms + millis(boot_s), rise_ms, now);
+        controller
+            .fleet
+            .surplus(scheduler, &demands, idle_ms + millis(boot_s), rise_ms, now);
         controller.fleet.returns(scheduler, idle_ms, rise_ms, now);
         let mut rental_requests = controller.fleet.rental_requests(scheduler, &demands, now);
         rental_requests.extend(controller.fleet.ahead(scheduler, rise_ms, now));
@@ -200,7 +235,9 @@
         }
         let term = self.controller.borrow().term();
         let permitted = || self.controller.borrow().may_send(term);
-        let ok = while_permitted(permitted, self.cloud.release(&names)).await.unwrap_or(false);
+        let ok = while_permitted(permitted, self.cloud.release(&names))
+            .await
+            .unwrap_or(false);
         let mut controller = self.controller.borrow_mut();
         if ok {
             tracing::info!(machines = ?names, "released");
@@ -223,7 +260,9 @@
     fn leaving(&self) -> Vec<String> {
         let controller = self.controller.borrow();
         match controller.scheduler.as_ref() {
-            Some(scheduler) if controller.authority() == Authority::Full => scheduler.leaving(RELEASE_MOST),
+            Some(scheduler) if controller.authority() == Authority::Full => {
+                scheduler.leaving(RELEASE_MOST)
+            }
             _ => Vec::new(),
         }
     }
@@ -237,7 +276,9 @@
         {
             let mut controller = self.controller.borrow_mut();
             while some.len() < room {
-                let Some(next) = controller.unregistered.pop_first() else { break };
+                let Some(next) = controller.unregistered.pop_first() else {
+                    break;
+                };
                 some.push(next);
             }
         }
@@ -254,28 +295,58 @@
     async fn take_in(
         &self,
         machine: String,
-        UnregisteredMachine { machine_type, zone, spot, ask }: UnregisteredMachine,
+        UnregisteredMachine {
+            machine_type,
+            zone,
+            spot,
+            ask,
+        }: UnregisteredMachine,
     ) {
         let (token, epoch) = {
             let controller = self.controller.borrow();
-            let Some(Term { epoch: number, version, .. }) = controller.term() else { return };
-            let open =
-                controller.mirror.rentals.values().any(|h| {
-                    h.record.machines.is_none() && h.record.machine_type == machine_type && h.record.zone == zone
-                });
-            if open || controller.scheduler.as_ref().is_none_or(|p| p.knows(&machine)) {
+            let Some(Term {
+                epoch: number,
+                version,
+                ..
+            }) = controller.term()
+            else {
+                return;
+            };
+            let open = controller.mirror.rentals.values().any(|h| {
+                h.record.machines.is_none()
+                    && h.record.machine_type == machine_type
+                    && h.record.zone == zone
+            });
+            if open
+                || controller
+                    .scheduler
+                    .as_ref()
+                    .is_none_or(|p| p.knows(&machine))
+            {
                 return;
             }
             (crate::scheduler::first_token(number), version)
         };
         if let Some((address, session)) = ask {
-            let probe = Direct { machine: machine.clone(), address, token, session, orders: Vec::new() };
+            let probe = Direct {
+                machine: machine.clone(),
+                address,
+                token,
+                session,
+                orders: Vec::new(),
+            };
             if worker::send_direct(&self.http, &probe).await.is_none() {
                 return;
             }
         }
         let name = format!("found-{machine}");
-        let record = RentalRecord { machine_type, zone, spot, count: 1, machines: Some(vec![machine.clone()]) };
+        let record = RentalRecord {
+            machine_type,
+            zone,
+            spot,
+            count: 1,
+            machines: Some(vec![machine.clone()]),
+        };
         let txn = store::rental_txn(&guard(store::epoch_key(), epoch), &name, 0, &record);
         let known = match self.txn(&txn).await {
             Ok(Decided::Applied(_)) => true,
@@ -283,14 +354,23 @@
             // returned, until the next change of leader.
             Ok(Decided::Failed(keys)) if keys == [store::rental_key(&name)] => {
                 let controller = self.controller.borrow();
-                controller.mirror.rentals.get(&name).is_some_and(|h| h.record == record)
+                controller
+                    .mirror
+                    .rentals
+                    .get(&name)
+                    .is_some_and(|h| h.record == record)
             }
             _ => false,
         };
         if known {
             tracing::info!(%machine, "unexpected machine taken in");
             // Of another epoch this one knows from the store.
-            if self.controller.borrow().term().is_some_and(|term| term.version == epoch) {
+            if self
+                .controller
+                .borrow()
+                .term()
+                .is_some_and(|term| term.version == epoch)
+            {
                 self.add_machines(&record, Origin::Found);
             }
         }
@@ -299,7 +379,9 @@
     pub(super) fn add_machines(&self, r: &RentalRecord, origin: Origin) {
         let mut controller = self.controller.borrow_mut();
         let now = controller.now();
-        let Some(scheduler) = controller.scheduler.as_mut() else { return };
+        let Some(scheduler) = controller.scheduler.as_mut() else {
+            return;
+        };
         scheduler.at(now);
         for m in r.machines.iter().flatten() {
             scheduler.add_machine(m, r.hardware(), origin);
@@ -315,20 +397,31 @@
         let controller = &mut *controller;
         // The list may still show what an earlier leader has released: a new leader once took such machines in and counted
         // on them for a minute. Workers that report are taken in at once.
-        let lag_ms = (controller.settings.platform.deployment.cloud.list_lag_s * 2000.0) as u64 + 2000;
+        let lag_ms =
+            (controller.settings.platform.deployment.cloud.list_lag_s * 2000.0) as u64 + 2000;
         let settled = now > controller.leads_since + lag_ms;
         let scheduler = controller.scheduler.as_mut()?;
         let next = machines.last().map(|m| m.id.clone());
         for m in machines {
             match scheduler.index(&m.id) {
-                Some(i) if m.state == "failed" => scheduler.enter(i, MachineState::Releasing, "failed"),
+                Some(i) if m.state == "failed" => {
+                    scheduler.enter(i, MachineState::Releasing, "failed")
+                }
                 Some(i) => scheduler.listed(i, m.state == "running", &m.address, millis(m.age_s)),
                 None if !settled
                     || controller.released.contains_key(&m.id)
                     || controller.unregistered.len() >= UNREGISTERED_LIMIT => {}
                 None => {
                     let (machine_type, zone, spot) = (m.machine_type, m.zone, m.spot);
-                    controller.unregistered.insert(m.id, UnregisteredMachine { machine_type, zone, spot, ask: None });
+                    controller.unregistered.insert(
+                        m.id,
+                        UnregisteredMachine {
+                            machine_type,
+                            zone,
+                            spot,
+                            ask: None,
+                        },
+                    );
                 }
             }
         }
@@ -339,8 +432,14 @@
     pub(super) async fn settle_rentals(&self) -> bool {
         let open: Vec<(String, RentalRecord, u64)> = {
             let controller = self.controller.borrow();
-            let unknown = controller.mirror.rentals.iter().filter(|(_, h)| h.record.machines.is_none());
-            unknown.map(|(n, h)| (n.clone(), h.record.clone(), h.version)).collect()
+            let unknown = controller
+                .mirror
+                .rentals
+                .iter()
+                .filter(|(_, h)| h.record.machines.is_none());
+            unknown
+                .map(|(n, h)| (n.clone(), h.record.clone(), h.version))
+                .collect()
         };
         let mut left = false;
         for (name, record, version) in open {
@@ -355,8 +454,12 @@
         let (name, record, epoch) = {
             let mut controller = self.controller.borrow_mut();
             controller.rentals += 1;
-            let Some(Term { version: epoch, .. }) = controller.term() else { return false };
-            let Some(scheduler) = controller.scheduler.as_ref() else { return false };
+            let Some(Term { version: epoch, .. }) = controller.term() else {
+                return false;
+            };
+            let Some(scheduler) = controller.scheduler.as_ref() else {
+                return false;
+            };
             let record = RentalRecord {
                 machine_type: scheduler.types()[offer.kind].name.clone(),
                 zone: scheduler.zone_name(offer.zone).to_string(),
@@ -364,17 +467,39 @@
                 count,
                 machines: None,
             };
-            (format!("{}-{:x}-{}", controller.me.node, controller.me.incarnation, controller.rentals), record, epoch)
+            (
+                format!(
+                    "{}-{:x}-{}",
+                    controller.me.node, controller.me.incarnation, controller.rentals
+                ),
+                record,
+                epoch,
+            )
         };
-        match self.txn(&store::rental_txn(&guard(store::epoch_key(), epoch), &name, 0, &record)).await {
+        match self
+            .txn(&store::rental_txn(
+                &guard(store::epoch_key(), epoch),
+                &name,
+                0,
+                &record,
+            ))
+            .await
+        {
             Ok(Decided::Applied(version)) => self.call_rental(&name, record, version).await,
             _ => false,
         }
     }
 
     /// Calls the cloud for a stored request. True if its fate is known and stored.
-    pub(super) async fn call_rental(&self, name: &str, mut record: RentalRecord, version: u64) -> bool {
-        let Some(Term { version: epoch, .. }) = self.controller.borrow().term() else { return false };
+    pub(super) async fn call_rental(
+        &self,
+        name: &str,
+        mut record: RentalRecord,
+        version: u64,
+    ) -> bool {
+        let Some(Term { version: epoch, .. }) = self.controller.borrow().term() else {
+            return false;
+        };
         if self.controller.borrow().authority() != Authority::Full {
             return false;
         }
@@ -387,7 +512,9 @@
         };
         let term = self.controller.borrow().term();
         let permitted = || self.controller.borrow().may_send(term);
-        let rented = while_permitted(permitted, self.cloud.rent(&request)).await.unwrap_or(Rented::Unknown);
+        let rented = while_permitted(permitted, self.cloud.rent(&request))
+            .await
+            .unwrap_or(Rented::Unknown);
         tracing::info!(request = name, kind = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, ?rented, "rental");
         let got = match rented {
             Rented::Machines(m) => m,
@@ -396,10 +523,21 @@
         };
         self.note_offer(&record, got.len());
         record.machines = Some(got);
-        match self.txn(&store::rental_txn(&guard(store::epoch_key(), epoch), name, version, &record)).await {
+        match self
+            .txn(&store::rental_txn(
+                &guard(store::epoch_key(), epoch),
+                name,
+                version,
+                &record,
+            ))
+            .await
+        {
             Ok(Decided::Applied(version)) => {
                 // Until the watch brings it, the request would be taken for one whose answer is unknown, and called again.
-                self.controller.borrow_mut().mirror.put_rental(name, record.clone(), version);
+                self.controller
+                    .borrow_mut()
+                    .mirror
+                    .put_rental(name, record.clone(), version);
                 self.add_machines(&record, Origin::Rented);
                 true
             }
@@ -411,10 +549,21 @@
         let mut controller = self.controller.borrow_mut();
         let now = controller.now();
         let controller = &mut *controller;
-        let Some(scheduler) = controller.scheduler.as_ref() else { return };
-        let kind = scheduler.types().iter().position(|t| t.name == r.machine_type);
-        let (Some(kind), Some(zone)) = (kind, scheduler.zone_index(&r.zone)) else { return };
-        let offer = Offer { kind, zone, spot: r.spot };
+        let Some(scheduler) = controller.scheduler.as_ref() else {
+            return;
+        };
+        let kind = scheduler
+            .types()
+            .iter()
+            .position(|t| t.name == r.machine_type);
+        let (Some(kind), Some(zone)) = (kind, scheduler.zone_index(&r.zone)) else {
+            return;
+        };
+        let offer = Offer {
+            kind,
+            zone,
+            spot: r.spot,
+        };
         if got < r.count as usize {
             controller.fleet.refused(offer, now);
         } else {
--- a/src/node/tests/cancellations.rs
+++ b/src/node/tests/cancellations.rs
@@ -23,7 +23,16 @@
     w.watches_stuck = true;
     assert!(w.cancel(first, "wk-1"));
     w.run(1000);
-    assert!(w.nodes[leader].controller.as_ref().unwrap().mirror.over("wk-1").is_some(), "the leader was not told");
+    assert!(
+        w.nodes[leader]
+            .controller
+            .as_ref()
+            .unwrap()
+            .mirror
+            .over("wk-1")
+            .is_some(),
+        "the leader was not told"
+    );
     assert_eq!(w.running("wk-1"), 0);
     // The node that was asked does not know that the leader knows, and waits for the end of its authority.
     assert!(w.jobs["wk-1"].told.is_none());
@@ -43,7 +52,13 @@
     let name = |node: usize| format!("drover-{node}");
     let controller = w.nodes[second].controller.as_mut().unwrap();
     let revision = controller.mirror.revision + 1;
-    controller.take_cancelled(&Cancelled { jobs: vec![CancelledJob { job: "wk-1".into(), tasks: 4, revision }] });
+    controller.take_cancelled(&Cancelled {
+        jobs: vec![CancelledJob {
+            job: "wk-1".into(),
+            tasks: 4,
+            revision,
+        }],
+    });
     assert!(controller.unsettled_cancellation("wk-1").is_some());
     // Its own mirror alone says nothing of the leader.
     controller.mirror.revision = revision;
@@ -61,14 +76,22 @@
     let (leader, (first, _)) = (w.leader().unwrap(), followers(&w));
     let leader = format!("drover-{leader}");
     let controller = w.nodes[first].controller.as_mut().unwrap();
-    let cancelled =
-        |version| crate::store::Versioned { record: crate::store::OverRecord { cancelled: true, tasks: 4 }, version };
+    let cancelled = |version| crate::store::Versioned {
+        record: crate::store::OverRecord {
+            cancelled: true,
+            tasks: 4,
+        },
+        version,
+    };
     // What the leader's mirror is known to hold costs no word.
     let revision = controller.mirror.revision;
     controller.notices.mirrored(&leader, revision);
     controller.learn_final_state("wk-8", &cancelled(revision));
     assert!(controller.notices.unknown_to(&leader).is_none());
     controller.learn_final_state("wk-9", &cancelled(revision + 1));
-    assert_eq!(controller.notices.unknown_to(&leader).unwrap().0[0].job, "wk-9");
+    assert_eq!(
+        controller.notices.unknown_to(&leader).unwrap().0[0].job,
+        "wk-9"
+    );
     assert!(controller.mirror.over("wk-8").is_some() && controller.mirror.over("wk-9").is_some());
 }
--- a/src/node/tests/meetings.rs
+++ b/src/node/tests/meetings.rs
@@ -211,9 +211,13 @@
         if network || matches!(self, Loss::Store) {
             w.refuse(node, on);
         }
-        for (set, lost) in
-            [(&mut w.without_workers, network || matches!(self, Loss::Workers)), (&mut w.without_peers, network)]
-        {
+        for (set, lost) in [
+            (
+                &mut w.without_workers,
+                network || matches!(self, Loss::Workers),
+            ),
+            (&mut w.without_peers, network),
+        ] {
             if on && lost {
                 set.insert(node);
             } else {
@@ -278,7 +282,10 @@
     for _ in 0..3 {
         w.run(5300);
         let leader = w.leader().unwrap();
-        assert!(w.jobs.values().any(|j| !j.done.is_empty() && j.done.len() < j.spec.tasks as usize));
+        assert!(w
+            .jobs
+            .values()
+            .any(|j| !j.done.is_empty() && j.done.len() < j.spec.tasks as usize));
         w.crash(leader, 1000);
     }
     w.settles(60_000);
@@ -294,7 +301,12 @@
         w.submit(spec(&format!("wk-{round}"), 4), 9000);
         w.run(300);
         let now = w.now();
-        let name = w.workers.keys().nth(round % w.workers.len()).unwrap().clone();
+        let name = w
+            .workers
+            .keys()
+            .nth(round % w.workers.len())
+            .unwrap()
+            .clone();
         w.workers.get_mut(&name).unwrap().hung_until = now + 7000;
         w.run(6000);
         if round % 2 == 1 {
@@ -348,7 +360,10 @@
         w.run(5500 + offset * 100);
         let node = offset as usize % 3;
         // A late submission of the same job, and its cancellation, each where it crosses the last results.
-        let record = store::LiveRecord { spec: spec("wk-1", 2), at_ms: 1 };
+        let record = store::LiveRecord {
+            spec: spec("wk-1", 2),
+            at_ms: 1,
+        };
         let again = store::submit_txn("wk-1", &record);
         w.later(50 * (offset % 7), again.clone());
         let asked = w.cancel(node, "wk-1");
@@ -407,7 +422,10 @@
         let until = w.now() + LEASE + 8000;
         for n in &names[..2] {
             let x = w.workers.get_mut(n).unwrap();
-            (x.deaf_until, x.mute_until) = (if hears_no_worker { until } else { 0 }, if mute { until } else { 0 });
+            (x.deaf_until, x.mute_until) = (
+                if hears_no_worker { until } else { 0 },
+                if mute { until } else { 0 },
+            );
         }
         w.cloud_down = true;
         let leader = w.leader().unwrap();
@@ -509,7 +527,11 @@
     w.submit(array, 15_000);
     w.submit(joined, 15_000);
     w.run(5000);
-    for n in w.machines_of("wk-1").into_iter().chain(w.machines_of("wk-2")) {
+    for n in w
+        .machines_of("wk-1")
+        .into_iter()
+        .chain(w.machines_of("wk-2"))
+    {
         w.workers.remove(&n);
     }
     let leader = w.leader().unwrap();
@@ -526,7 +548,12 @@
         w.submit(spec(&format!("wk-1{round}"), 3), 4000);
         w.run(5000);
         let now = w.now();
-        let name = w.workers.keys().nth(round % w.workers.len()).unwrap().clone();
+        let name = w
+            .workers
+            .keys()
+            .nth(round % w.workers.len())
+            .unwrap()
+            .clone();
         if round % 2 == 0 {
             w.workers.get_mut(&name).unwrap().deaf_until = now + LEASE + 1000;
         }
@@ -567,19 +594,36 @@
     w.run(4000);
     // A row of results, written again once the job is over and its rows are deleted: version 0 fits, the job does not.
     let epoch = w.epoch_guard();
-    let live = store::guard(store::live_key("wk-1"), w.service.keys[&store::live_key("wk-1")].1);
+    let live = store::guard(
+        store::live_key("wk-1"),
+        w.service.keys[&store::live_key("wk-1")].1,
+    );
     let row = store::done_key("wk-1", 0);
-    let late = |guards| Txn { guards, apply: vec![store::put(row.clone(), &"07", None)] };
-    w.later(40_000, late(vec![epoch.clone(), live, store::guard(row.clone(), 0)]));
-    let record =
-        store::RentalRecord { machine_type: "m8".into(), zone: "a".into(), spot: false, count: 1, machines: None };
+    let late = |guards| Txn {
+        guards,
+        apply: vec![store::put(row.clone(), &"07", None)],
+    };
+    w.later(
+        40_000,
+        late(vec![epoch.clone(), live, store::guard(row.clone(), 0)]),
+    );
+    let record = store::RentalRecord {
+        machine_type: "m8".into(),
+        zone: "a".into(),
+        spot: false,
+        count: 1,
+        machines: None,
+    };
     w.later(41_000, store::rental_txn(&epoch, "r-late", 0, &record));
     w.run(1000);
     let leader = w.leader().unwrap();
     w.crash(leader, 100);
     w.run(45_000);
     assert!(w.over("wk-1").is_some());
-    assert!(!w.service.keys.contains_key(&row) && !w.service.keys.contains_key(&store::rental_key("r-late")));
+    assert!(
+        !w.service.keys.contains_key(&row)
+            && !w.service.keys.contains_key(&store::rental_key("r-late"))
+    );
     assert!(matches!(late(Vec::new()).apply[0], Change::Put { .. }));
     whole(&w);
 }
@@ -592,7 +636,12 @@
         let mut s = spec(&format!("wk-{n}"), 6);
         s.image = format!("i{n}");
         s.image_gb = 9.0;
-        s.priority = [Priority::Low, Priority::Normal, Priority::High, Priority::Production][n % 4];
+        s.priority = [
+            Priority::Low,
+            Priority::Normal,
+            Priority::High,
+            Priority::Production,
+        ][n % 4];
         w.submit(s, 8000);
         w.run(1000);
         if n == 5 {
--- a/src/node/tests/schedules.rs
+++ b/src/node/tests/schedules.rs
@@ -27,7 +27,12 @@
             _ => {}
         }
         let run = w.rng.gen_range(500..30_000);
-        s.priority = [Priority::Low, Priority::Normal, Priority::High, Priority::Production][w.rng.gen_range(0..4)];
+        s.priority = [
+            Priority::Low,
+            Priority::Normal,
+            Priority::High,
+            Priority::Production,
+        ][w.rng.gen_range(0..4)];
         let (id, apart) = (s.id.clone(), w.rng.gen_range(0..4) * 2500);
         w.submit(s, run);
         w.jobs.get_mut(&id).unwrap().apart_ms = apart;
@@ -43,14 +48,25 @@
             submit(&mut w);
         }
         if w.rng.gen_bool(0.08) {
-            let open: Vec<String> = w.jobs.keys().filter(|id| w.cancellable(id)).cloned().collect();
+            let open: Vec<String> = w
+                .jobs
+                .keys()
+                .filter(|id| w.cancellable(id))
+                .cloned()
+                .collect();
             if !open.is_empty() {
-                let (id, node) = (open[w.rng.gen_range(0..open.len())].clone(), w.rng.gen_range(0..3));
+                let (id, node) = (
+                    open[w.rng.gen_range(0..open.len())].clone(),
+                    w.rng.gen_range(0..3),
+                );
                 w.cancel(node, &id);
             }
         }
         if w.rng.gen_bool(0.12) {
-            let node = w.leader().filter(|_| w.rng.gen_bool(0.6)).unwrap_or(w.rng.gen_range(0..3));
+            let node = w
+                .leader()
+                .filter(|_| w.rng.gen_bool(0.6))
+                .unwrap_or(w.rng.gen_range(0..3));
             let names: Vec<String> = w.workers.keys().cloned().collect();
             let machine = names[w.rng.gen_range(0..names.len())].clone();
             let for_ms = w.rng.gen_range(300..20_000);
@@ -125,7 +141,13 @@
     w.without_workers.clear();
     w.without_peers.clear();
     w.stands_still_ms = 0;
-    (w.cloud_down, w.service.late_share, w.copies, w.held, w.peers_cut_until) = (false, 0.0, 0.0, 0.0, 0);
+    (
+        w.cloud_down,
+        w.service.late_share,
+        w.copies,
+        w.held,
+        w.peers_cut_until,
+    ) = (false, 0.0, 0.0, 0.0, 0);
     let within = w.time_for_the_rest();
     w.settles(within);
     w.broken
@@ -134,13 +156,26 @@
 #[test]
 fn no_rule_breaks_in_random_schedules_of_troubles() {
     // More seeds, or the log of one, on demand.
-    let number = |name: &str, or| std::env::var(name).ok().and_then(|s| s.parse::<u64>().ok()).unwrap_or(or);
+    let number = |name: &str, or| {
+        std::env::var(name)
+            .ok()
+            .and_then(|s| s.parse::<u64>().ok())
+            .unwrap_or(or)
+    };
     if std::env::var_os("WORLD_LOG").is_some() {
-        tracing_subscriber::fmt().without_time().with_target(false).with_ansi(false).init();
+        tracing_subscriber::fmt()
+            .without_time()
+            .with_target(false)
+            .with_ansi(false)
+            .init();
     }
     let from = number("WORLD_FROM", 0);
     for seed in from..from + number("WORLD_SEEDS", 40) {
         let broken = play(seed);
-        assert!(broken.is_empty(), "seed {seed}: {:#?}", &broken[..broken.len().min(5)]);
+        assert!(
+            broken.is_empty(),
+            "seed {seed}: {:#?}",
+            &broken[..broken.len().min(5)]
+        );
     }
 }
--- a/src/node/tests/world/controllers.rs
+++ b/src/node/tests/world/controllers.rs
@@ -34,7 +34,14 @@
     pub(super) fn watch(&mut self, n: usize) {
         let now = self.now();
         let (reach, stuck) = (self.service.reach(n).is_ok(), self.watches_stuck);
-        let Controller { controller: Some(controller), watch, .. } = &mut self.nodes[n] else { return };
+        let Controller {
+            controller: Some(controller),
+            watch,
+            ..
+        } = &mut self.nodes[n]
+        else {
+            return;
+        };
         if let Some((opened, silent)) = watch {
             *silent |= !reach;
             let left_behind = now >= *opened + 500 && controller.lead.behind(now - 500);
@@ -45,7 +52,9 @@
         if watch.is_none() && reach {
             *watch = Some((now, false));
         }
-        if watch.is_some_and(|(_, silent)| !silent) && self.service.revision > controller.mirror.revision {
+        if watch.is_some_and(|(_, silent)| !silent)
+            && self.service.revision > controller.mirror.revision
+        {
             let from = controller.mirror.revision;
             let newer = |e: &&Event| match e {
                 Event::Put { version, .. } | Event::Delete { version, .. } => *version > from,
@@ -64,7 +73,10 @@
         let controller = self.nodes[n].controller.as_mut().unwrap();
         if let Some((epoch, version, sent, until)) = awaits {
             if controller.mirror.revision >= version && controller.term().is_some() {
-                controller.lead_event(LeadEvent::Read { sent, revision: version });
+                controller.lead_event(LeadEvent::Read {
+                    sent,
+                    revision: version,
+                });
                 controller.rebuild(epoch);
                 self.nodes[n].awaits = None;
             } else if now > until {
@@ -82,14 +94,19 @@
             match (reach, self.service.leases.get_mut(&lease)) {
                 (Ok(()), Some((end, ttl))) => {
                     *end = now + *ttl;
-                    controller.lead_event(LeadEvent::Read { sent: now, revision });
+                    controller.lead_event(LeadEvent::Read {
+                        sent: now,
+                        revision,
+                    });
                     controller.lead_event(LeadEvent::Renewed(now));
                     if controller.scheduler.is_some() && controller.authority() == Authority::None {
                         self.give_up(n);
                     }
                 }
                 (Ok(()), None) => controller.lead_event(LeadEvent::Ended),
-                _ if controller.authority() == Authority::None => controller.lead_event(LeadEvent::Ended),
+                _ if controller.authority() == Authority::None => {
+                    controller.lead_event(LeadEvent::Ended)
+                }
                 _ => {}
             }
             return;
@@ -115,7 +132,14 @@
         let controller = self.nodes[n].controller.as_mut().unwrap();
         match won {
             Some((epoch, version)) => {
-                controller.lead_event(LeadEvent::Won { term: Term { epoch, version, lease }, sent: now });
+                controller.lead_event(LeadEvent::Won {
+                    term: Term {
+                        epoch,
+                        version,
+                        lease,
+                    },
+                    sent: now,
+                });
                 self.nodes[n].awaits = Some((epoch, version, now, now + ttl * 3 / 4));
             }
             None => {
@@ -144,15 +168,33 @@
         }
         if let Some(w) = self.nodes[n].writing.take() {
             let key = store::starts_key(w.append.slot);
-            let demand = !matches!(w.done, Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused));
-            let found = if demand && self.service.reach(n).is_ok() { self.service.get::<String>(&key) } else { None };
-            self.nodes[n].controller.as_mut().unwrap().logged(w.term, w.append, w.done, found);
+            let demand = !matches!(
+                w.done,
+                Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused)
+            );
+            let found = if demand && self.service.reach(n).is_ok() {
+                self.service.get::<String>(&key)
+            } else {
+                None
+            };
+            self.nodes[n]
+                .controller
+                .as_mut()
+                .unwrap()
+                .logged(w.term, w.append, w.done, found);
         }
-        let Some((append, term, txn)) = self.nodes[n].controller.as_mut().unwrap().next_append() else { return };
+        let Some((append, term, txn)) = self.nodes[n].controller.as_mut().unwrap().next_append()
+        else {
+            return;
+        };
         let done = self.txn(n, &txn);
         let unanswered = done == Err(StoreError::Unknown);
-        self.nodes[n].writing =
-            Some(Writing { append, term, done, at: now + if unanswered { 1500 } else { self.write_ms } });
+        self.nodes[n].writing = Some(Writing {
+            append,
+            term,
+            done,
+            at: now + if unanswered { 1500 } else { self.write_ms },
+        });
     }
 
     pub(super) fn persist(&mut self, n: usize) {
@@ -161,18 +203,38 @@
             return;
         }
         self.nodes[n].flush_at = now + 500;
-        let Some(epoch) = self.nodes[n].controller.as_ref().unwrap().write_guard() else { return };
-        for (id, tasks, txn) in self.nodes[n].controller.as_ref().unwrap().completions(&epoch) {
+        let Some(epoch) = self.nodes[n].controller.as_ref().unwrap().write_guard() else {
+            return;
+        };
+        for (id, tasks, txn) in self.nodes[n]
+            .controller
+            .as_ref()
+            .unwrap()
+            .completions(&epoch)
+        {
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
-                self.nodes[n].controller.as_mut().unwrap().completed(&id, tasks);
+                self.nodes[n]
+                    .controller
+                    .as_mut()
+                    .unwrap()
+                    .completed(&id, tasks);
             }
         }
         if let Some((rows, txn)) = self.nodes[n].controller.as_ref().unwrap().ranges(&epoch) {
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
-                self.nodes[n].controller.as_mut().unwrap().stored(&epoch, &rows);
+                self.nodes[n]
+                    .controller
+                    .as_mut()
+                    .unwrap()
+                    .stored(&epoch, &rows);
             }
         }
-        if let Some((gone, txn)) = self.nodes[n].controller.as_ref().unwrap().forgettable(&epoch) {
+        if let Some((gone, txn)) = self.nodes[n]
+            .controller
+            .as_ref()
+            .unwrap()
+            .forgettable(&epoch)
+        {
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
                 gone.iter().for_each(|m| {
                     self.nodes[n].controller.as_mut().unwrap().gone.remove(m);
@@ -191,36 +253,80 @@
             Pass::Nothing => return,
             Pass::GiveUp(_) => return self.give_up(n),
         };
-        let (life, term) = (self.nodes[n].life, self.nodes[n].controller.as_ref().unwrap().term());
+        let (life, term) = (
+            self.nodes[n].life,
+            self.nodes[n].controller.as_ref().unwrap().term(),
+        );
         let starts = |d: &Direct| d.orders.iter().any(|o| matches!(o, Command::Start { .. }));
         if self.stands_still_ms > 0 && sends.iter().any(starts) {
             let pause = std::mem::take(&mut self.stands_still_ms);
             self.nodes[n].frozen_until = self.now() + pause;
             for direct in sends {
-                self.send(pause, Message::Decided { node: n, life, term, direct });
+                self.send(
+                    pause,
+                    Message::Decided {
+                        node: n,
+                        life,
+                        term,
+                        direct,
+                    },
+                );
             }
             return;
         }
         if self.slow_connections_ms > 0 {
             for direct in sends {
-                self.send(self.slow_connections_ms, Message::Decided { node: n, life, term, direct });
+                self.send(
+                    self.slow_connections_ms,
+                    Message::Decided {
+                        node: n,
+                        life,
+                        term,
+                        direct,
+                    },
+                );
             }
             return;
         }
         self.send_direct(n, life, term, sends);
     }
 
-    pub(super) fn send_direct(&mut self, n: usize, life: u64, term: Option<Term>, sends: Vec<Direct>) {
+    pub(super) fn send_direct(
+        &mut self,
+        n: usize,
+        life: u64,
+        term: Option<Term>,
+        sends: Vec<Direct>,
+    ) {
         for direct in sends {
             self.sent(&direct.orders);
             let held_up = self.held > 0.0 && self.rng.gen_bool(self.held);
-            let delay = if held_up { self.rng.gen_range(self.held_ms..20_000) } else { STEP };
+            let delay = if held_up {
+                self.rng.gen_range(self.held_ms..20_000)
+            } else {
+                STEP
+            };
             let sent = self.now();
             if delay >= 2000 {
-                let lost = Message::DirectAnswer { node: n, life, term, direct: direct.clone(), report: None };
+                let lost = Message::DirectAnswer {
+                    node: n,
+                    life,
+                    term,
+                    direct: direct.clone(),
+                    report: None,
+                };
                 self.send(2000, lost);
             }
-            self.send(delay, Message::Direct { node: n, life, term, direct, sent });
+            self.send(
+                delay,
+                Message::Direct {
+                    node: n,
+                    life,
+                    term,
+                    direct,
+                    sent,
+                },
+            );
         }
     }
 
@@ -230,7 +336,9 @@
             return;
         }
         self.nodes[n].cloud_at = now + 400;
-        let Some(epoch) = self.nodes[n].controller.as_ref().unwrap().write_guard() else { return };
+        let Some(epoch) = self.nodes[n].controller.as_ref().unwrap().write_guard() else {
+            return;
+        };
         let controller = self.nodes[n].controller.as_mut().unwrap();
         let w = controller.settings.platform.deployment.workers.clone();
         let scheduler = controller.scheduler.as_mut().unwrap();
@@ -247,15 +355,34 @@
         if self.workers.len() < self.machines_wanted {
             self.made += 1;
             let in_a = self.workers.values().filter(|w| w.zone == ZONES[0]).count();
-            let (name, zone) = (format!("n-{:04}", self.made), ZONES[(in_a * 2 > self.workers.len()) as usize]);
-            let of =
-                RentalRecord { machine_type: "m8".into(), zone: zone.into(), spot: false, count: 1, machines: None };
-            let record = RentalRecord { machines: Some(vec![name.clone()]), ..of };
+            let (name, zone) = (
+                format!("n-{:04}", self.made),
+                ZONES[(in_a * 2 > self.workers.len()) as usize],
+            );
+            let of = RentalRecord {
+                machine_type: "m8".into(),
+                zone: zone.into(),
+                spot: false,
+                count: 1,
+                machines: None,
+            };
+            let record = RentalRecord {
+                machines: Some(vec![name.clone()]),
+                ..of
+            };
             let txn = store::rental_txn(&epoch, &format!("r-{}", self.made), 0, &record);
             if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
                 let controller = self.nodes[n].controller.as_mut().unwrap();
-                let of = Hardware { machine_type: "m8", zone, spot: false };
-                controller.scheduler.as_mut().unwrap().add_machine(&name, of, Origin::Rented);
+                let of = Hardware {
+                    machine_type: "m8",
+                    zone,
+                    spot: false,
+                };
+                controller
+                    .scheduler
+                    .as_mut()
+                    .unwrap()
+                    .add_machine(&name, of, Origin::Rented);
                 self.boot(name, zone);
             }
         }
@@ -295,8 +422,16 @@
                 continue;
             }
             let name = format!("drover-{b}");
-            let Some(hint) = self.nodes[a].controller.as_ref().map(|c| c.notices.unknown_to(&name)) else { continue };
-            let Some(other) = self.nodes[b].controller.as_mut() else { continue };
+            let Some(hint) = self.nodes[a]
+                .controller
+                .as_ref()
+                .map(|c| c.notices.unknown_to(&name))
+            else {
+                continue;
+            };
+            let Some(other) = self.nodes[b].controller.as_mut() else {
+                continue;
+            };
             if let Some((jobs, last)) = hint {
                 let revision = other.take_cancelled(&crate::peer::Cancelled { jobs });
                 let notices = &mut self.nodes[a].controller.as_mut().unwrap().notices;
@@ -313,7 +448,9 @@
     pub(super) fn answer_users(&mut self) {
         let now = self.now();
         for job in self.jobs.values_mut() {
-            let Some((node, notice, since)) = job.answering else { continue };
+            let Some((node, notice, since)) = job.answering else {
+                continue;
+            };
             let most = 2500 * 1001 / 1000;
             let known = match self.nodes[node].controller.as_ref() {
                 Some(c) => c.stops_known(notice) || now > since + most,
@@ -342,8 +479,12 @@
         let decided = self.service.decide(txn);
         if let Decided::Applied(_) = decided {
             for change in &txn.apply {
-                let Change::Put { put, value, .. } = change else { continue };
-                let Some(id) = put.split_once("/over/").map(|(_, id)| id.to_string()) else { continue };
+                let Change::Put { put, value, .. } = change else {
+                    continue;
+                };
+                let Some(id) = put.split_once("/over/").map(|(_, id)| id.to_string()) else {
+                    continue;
+                };
                 let over: OverRecord = value.deserialized().unwrap();
                 if before.contains_key(put) {
                     self.breaks(format!("went_back: {id}"));
@@ -352,7 +493,8 @@
                 if over.cancelled != truth.asked && over.cancelled {
                     self.breaks(format!("went_back: {id} cancelled by nobody"));
                 }
-                if !over.cancelled && self.jobs[&id].done.len() < self.jobs[&id].spec.tasks as usize {
+                if !over.cancelled && self.jobs[&id].done.len() < self.jobs[&id].spec.tasks as usize
+                {
                     self.breaks(format!("not_done: {id}"));
                 }
             }
@@ -364,13 +506,17 @@
     pub(super) fn sent(&mut self, orders: &[Command]) {
         let now = self.now();
         for o in orders {
-            let Command::Start { task, .. } = o else { continue };
+            let Command::Start { task, .. } = o else {
+                continue;
+            };
             self.starts += 1;
             let id = split_task(task).unwrap().0;
             let job = self.jobs.get_mut(id).unwrap();
             job.placed_at = now;
             if job.told.is_some_and(|t| t < now) {
-                self.breaks(format!("start of {task} sent after its confirmed cancellation"));
+                self.breaks(format!(
+                    "start of {task} sent after its confirmed cancellation"
+                ));
             }
         }
     }
--- a/src/node/tests/world/mod.rs
+++ b/src/node/tests/world/mod.rs
@@ -16,11 +16,13 @@
 use crate::node::WorkerAnswer;
 use crate::peer::{CancelledJob, Notice};
 use crate::protocol::{
-    split_task, Change, Command, Event, ExitReason, Guard, JobSpec, Kind, MachineType, Report, ReportReply, TaskReport,
-    TaskState, Txn,
+    split_task, Change, Command, Event, ExitReason, Guard, JobSpec, Kind, MachineType, Report,
+    ReportReply, TaskReport, TaskState, Txn,
 };
 use crate::scheduler::{Append, Direct, Hardware, MachineState, Origin};
-use crate::store::{self, guard, Decided, LiveRecord, Mirror, OverRecord, RentalRecord, StoreError, Versioned};
+use crate::store::{
+    self, guard, Decided, LiveRecord, Mirror, OverRecord, RentalRecord, StoreError, Versioned,
+};
 use ciborium::Value;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::cell::Cell;
@@ -181,7 +183,10 @@
     let mut s = crate::config::tests::settings();
     let name = |n: usize| format!("drover-{n}");
     s.platform.node = name(node);
-    let peer = |n| crate::config::Peer { node: name(n), peer_addr: "127.0.0.1:1".parse().unwrap() };
+    let peer = |n| crate::config::Peer {
+        node: name(n),
+        peer_addr: "127.0.0.1:1".parse().unwrap(),
+    };
     s.platform.peers = (0..nodes).filter(|n| *n != node).map(peer).collect();
     s.platform.deployment.teams[0].cpus_max = limit.unwrap_or(0.0);
     s
@@ -270,7 +275,9 @@
     /// The controller with the authority to start.
     pub fn leader(&self) -> Option<usize> {
         let full = |c: &Controller| {
-            c.controller.as_ref().is_some_and(|c| c.scheduler.is_some() && c.authority() == Authority::Full)
+            c.controller
+                .as_ref()
+                .is_some_and(|c| c.scheduler.is_some() && c.authority() == Authority::Full)
         };
         self.nodes.iter().position(full)
     }
@@ -299,8 +306,14 @@
     }
 
     pub fn submit(&mut self, spec: JobSpec, run_ms: u64) {
-        let record = LiveRecord { spec: spec.clone(), at_ms: self.now() };
-        assert!(matches!(self.service.decide(&store::submit_txn(&spec.id, &record)), Decided::Applied(_)));
+        let record = LiveRecord {
+            spec: spec.clone(),
+            at_ms: self.now(),
+        };
+        assert!(matches!(
+            self.service.decide(&store::submit_txn(&spec.id, &record)),
+            Decided::Applied(_)
+        ));
         let placed_at = self.now();
         let truth = Truth {
             spec,
@@ -322,11 +335,21 @@
         if self.service.reach(node).is_err() || now < self.nodes[node].frozen_until {
             return false;
         }
-        let Some(controller) = self.nodes[node].controller.as_mut() else { return false };
-        let Some(live) = controller.mirror.live.get(id).cloned() else { return false };
-        let Decided::Applied(revision) = self.service.decide(&store::abort_txn(id, &live)) else { return false };
+        let Some(controller) = self.nodes[node].controller.as_mut() else {
+            return false;
+        };
+        let Some(live) = controller.mirror.live.get(id).cloned() else {
+            return false;
+        };
+        let Decided::Applied(revision) = self.service.decide(&store::abort_txn(id, &live)) else {
+            return false;
+        };
         let tasks = live.record.spec.tasks;
-        let notice = controller.note_cancellation(CancelledJob { job: id.into(), tasks, revision });
+        let notice = controller.note_cancellation(CancelledJob {
+            job: id.into(),
+            tasks,
+            revision,
+        });
         self.jobs.get_mut(id).unwrap().answering = Some((node, notice, now));
         true
     }
@@ -338,7 +361,9 @@
     }
 
     pub fn over(&self, id: &str) -> Option<OverRecord> {
-        self.service.get::<OverRecord>(&store::over_key(id)).map(|v| v.record)
+        self.service
+            .get::<OverRecord>(&store::over_key(id))
+            .map(|v| v.record)
     }
 
     pub fn step(&mut self) {
@@ -348,7 +373,9 @@
         }
         let now = self.now();
         self.service.tick(now);
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.queue).into_iter().partition(|(at, _)| *at <= now);
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.queue)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.queue = rest;
         due.into_iter().for_each(|(_, m)| self.deliver(m));
         (0..self.nodes.len()).for_each(|n| self.drive(n));
@@ -361,7 +388,9 @@
 
     /// The epoch's number.
     pub fn epoch(&self) -> u64 {
-        self.service.get::<store::EpochRecord>(&store::epoch_key()).map_or(0, |e| e.record.number)
+        self.service
+            .get::<store::EpochRecord>(&store::epoch_key())
+            .map_or(0, |e| e.record.number)
     }
 
     /// A late write as a test wants it.
--- a/src/node/tests/world/rules.rs
+++ b/src/node/tests/world/rules.rs
@@ -8,18 +8,30 @@
 impl World {
     /// A task starts on a machine.
     pub(super) fn began(&mut self, name: &str, task: &str) {
-        let elsewhere: Vec<String> =
-            self.on_machines().filter(|(m, t, _)| *t == task && *m != name).map(|(m, ..)| m.to_string()).collect();
+        let elsewhere: Vec<String> = self
+            .on_machines()
+            .filter(|(m, t, _)| *t == task && *m != name)
+            .map(|(m, ..)| m.to_string())
+            .collect();
         if !elsewhere.is_empty() {
-            self.breaks(format!("ran_twice: {task} starts on {name}, is on {elsewhere:?}"));
+            self.breaks(format!(
+                "ran_twice: {task} starts on {name}, is on {elsewhere:?}"
+            ));
         }
         let (id, _) = split_task(task).unwrap();
         let job = &self.jobs[id];
-        if job.spec.zone.as_ref().is_some_and(|z| *z != self.workers[name].zone) {
+        if job
+            .spec
+            .zone
+            .as_ref()
+            .is_some_and(|z| *z != self.workers[name].zone)
+        {
             self.breaks(format!("wrong_place: {task} on {name}"));
         }
         if self.jobs[id].spec.scatter || self.jobs[id].spec.together {
-            let zones = self.on_machines().filter(|(_, t, _)| split_task(t).is_some_and(|(j, _)| j == id));
+            let zones = self
+                .on_machines()
+                .filter(|(_, t, _)| split_task(t).is_some_and(|(j, _)| j == id));
             let mut by_zone: HashMap<String, u32> = HashMap::new();
             zones.for_each(|(_, _, z)| *by_zone.entry(z.into()).or_default() += 1);
             let spec = &self.jobs[id].spec;
@@ -62,13 +74,19 @@
 
     /// Tasks of a job that run.
     pub fn running(&self, id: &str) -> usize {
-        self.on_machines().filter(|(_, task, _)| split_task(task).is_some_and(|(j, _)| j == id)).count()
+        self.on_machines()
+            .filter(|(_, task, _)| split_task(task).is_some_and(|(j, _)| j == id))
+            .count()
     }
 
     /// Machines on which a job runs.
     pub fn machines_of(&self, id: &str) -> Vec<String> {
         let of = |t: &str| split_task(t).is_some_and(|(j, _)| j == id);
-        let mut out: Vec<String> = self.on_machines().filter(|(_, t, _)| of(t)).map(|(m, ..)| m.to_string()).collect();
+        let mut out: Vec<String> = self
+            .on_machines()
+            .filter(|(_, t, _)| of(t))
+            .map(|(m, ..)| m.to_string())
+            .collect();
         out.dedup();
         out
     }
@@ -89,7 +107,9 @@
             }
         }
         let places = (self.machines_wanted * 4) as u64;
-        let allowed = self.limit.map_or(places, |cpus| places.min((cpus / 2.0) as u64));
+        let allowed = self
+            .limit
+            .map_or(places, |cpus| places.min((cpus / 2.0) as u64));
         rest_ms / allowed.saturating_sub(services).max(1) + 2 * longest_ms + SETTLING_MS
     }
 
@@ -102,19 +122,31 @@
                 return;
             }
             if self.now() > until {
-                let roles: Vec<Option<Role>> =
-                    self.nodes.iter().map(|n| n.controller.as_ref().map(|c| c.lead.role().clone())).collect();
+                let roles: Vec<Option<Role>> = self
+                    .nodes
+                    .iter()
+                    .map(|n| n.controller.as_ref().map(|c| c.lead.role().clone()))
+                    .collect();
                 let machines: Vec<String> = self
                     .workers
                     .iter()
                     .map(|(n, w)| {
-                        let tasks: Vec<_> =
-                            w.tasks.iter().map(|(k, t)| (k.0.as_str(), k.1, t.state, t.reason)).collect();
-                        format!("{n} {} session {} token {:x} node {} {tasks:?}", w.zone, w.session, w.token, w.node)
+                        let tasks: Vec<_> = w
+                            .tasks
+                            .iter()
+                            .map(|(k, t)| (k.0.as_str(), k.1, t.state, t.reason))
+                            .collect();
+                        format!(
+                            "{n} {} session {} token {:x} node {} {tasks:?}",
+                            w.zone, w.session, w.token, w.node
+                        )
                     })
                     .collect();
                 self.breaks(format!("not settled: {open:?}, {roles:?}, {machines:#?}"));
-                if let Some(c) = self.leader().and_then(|l| self.nodes[l].controller.as_ref()) {
+                if let Some(c) = self
+                    .leader()
+                    .and_then(|l| self.nodes[l].controller.as_ref())
+                {
                     eprintln!("{}", c.scheduler.as_ref().unwrap().describe());
                 }
                 return;
@@ -131,7 +163,13 @@
                 (None, Kind::Service) => live && self.running(id) as u32 == j.spec.tasks,
                 _ => false,
             };
-            (!settled).then(|| format!("{id} live={live} running={} done={}", self.running(id), j.done.len()))
+            (!settled).then(|| {
+                format!(
+                    "{id} live={live} running={} done={}",
+                    self.running(id),
+                    j.done.len()
+                )
+            })
         };
         self.jobs.iter().filter_map(open).collect()
     }
--- a/src/node/tests/world/service.rs
+++ b/src/node/tests/world/service.rs
@@ -26,12 +26,18 @@
 
     pub fn decide(&mut self, txn: &Txn) -> Decided {
         let version = |g: &&Guard| self.keys.get(&g.key).map_or(0, |k| k.1) != g.version;
-        let failed: Vec<String> = txn.guards.iter().filter(version).map(|g| g.key.clone()).collect();
+        let failed: Vec<String> = txn
+            .guards
+            .iter()
+            .filter(version)
+            .map(|g| g.key.clone())
+            .collect();
         if !failed.is_empty() {
             return Decided::Failed(failed);
         }
         let leases = &self.leases;
-        let lost = |c: &Change| matches!(c, Change::Put { lease: Some(h), .. } if !leases.contains_key(h));
+        let lost =
+            |c: &Change| matches!(c, Change::Put { lease: Some(h), .. } if !leases.contains_key(h));
         if txn.apply.iter().any(lost) {
             return Decided::Failed(vec!["hold".into()]);
         }
@@ -41,8 +47,13 @@
         for change in &txn.apply {
             match change {
                 Change::Put { put, value, lease } => {
-                    self.keys.insert(put.clone(), (value.clone(), self.revision, *lease));
-                    self.events.push(Event::Put { put: put.clone(), value: value.clone(), version: self.revision });
+                    self.keys
+                        .insert(put.clone(), (value.clone(), self.revision, *lease));
+                    self.events.push(Event::Put {
+                        put: put.clone(),
+                        value: value.clone(),
+                        version: self.revision,
+                    });
                 }
                 Change::Delete { key } => self.remove(key.clone()),
             }
@@ -52,14 +63,21 @@
 
     pub(super) fn remove(&mut self, key: String) {
         if self.keys.remove(&key).is_some() {
-            self.events.push(Event::Delete { key, version: self.revision });
+            self.events.push(Event::Delete {
+                key,
+                version: self.revision,
+            });
         }
     }
 
     pub(super) fn end_lease(&mut self, lease: u64) {
         if self.leases.remove(&lease).is_some() {
-            let keys: Vec<String> =
-                self.keys.iter().filter(|(_, v)| v.2 == Some(lease)).map(|(k, _)| k.clone()).collect();
+            let keys: Vec<String> = self
+                .keys
+                .iter()
+                .filter(|(_, v)| v.2 == Some(lease))
+                .map(|(k, _)| k.clone())
+                .collect();
             for key in keys {
                 self.revision += 1;
                 self.remove(key);
@@ -69,7 +87,12 @@
 
     pub(super) fn tick(&mut self, now: u64) {
         if !self.down {
-            let ended: Vec<u64> = self.leases.iter().filter(|(_, (end, _))| now > *end).map(|(h, _)| *h).collect();
+            let ended: Vec<u64> = self
+                .leases
+                .iter()
+                .filter(|(_, (end, _))| now > *end)
+                .map(|(h, _)| *h)
+                .collect();
             ended.into_iter().for_each(|h| self.end_lease(h));
         }
     }
@@ -77,12 +100,17 @@
     /// An outage is over: every leader lease has its full time again.
     pub(super) fn up(&mut self, now: u64) {
         self.down = false;
-        self.leases.values_mut().for_each(|(end, ttl)| *end = now + *ttl);
+        self.leases
+            .values_mut()
+            .for_each(|(end, ttl)| *end = now + *ttl);
     }
 
     pub(super) fn get<T: serde::de::DeserializeOwned>(&self, key: &str) -> Option<Versioned<T>> {
         let (value, version, _) = self.keys.get(key)?;
-        Some(Versioned { record: value.deserialized().ok()?, version: *version })
+        Some(Versioned {
+            record: value.deserialized().ok()?,
+            version: *version,
+        })
     }
 
     pub(super) fn load(&self) -> Mirror {
--- a/src/node/tests/world/workers.rs
+++ b/src/node/tests/world/workers.rs
@@ -34,13 +34,21 @@
         let w = self.workers.get_mut(name).unwrap();
         if now > w.lease_from + 12_000 {
             // Also while it hangs: it goes on within its lease only.
-            tracing::info!(now, name, session = w.session, tasks = w.tasks.len(), "worker's lease is over");
+            tracing::info!(
+                now,
+                name,
+                session = w.session,
+                tasks = w.tasks.len(),
+                "worker's lease is over"
+            );
             w.tasks.clear();
             w.session += 1;
             (w.lease_from, w.waits) = (now, None);
         }
         if now < w.hung_until {
-            w.tasks.values_mut().for_each(|t| (t.ready_at, t.ends_at) = (t.ready_at + STEP, t.ends_at + STEP));
+            w.tasks
+                .values_mut()
+                .for_each(|t| (t.ready_at, t.ends_at) = (t.ready_at + STEP, t.ends_at + STEP));
             return;
         }
         let mut began = Vec::new();
@@ -72,10 +80,27 @@
             let report = self.report_of(name);
             if !mute {
                 if self.copies > 0.0 && self.rng.gen_bool(self.copies) {
-                    let (delay, node) = (self.rng.gen_range(2000..20_000), self.rng.gen_range(0..nodes));
-                    self.send(delay, Message::Report { node, report: report.clone(), copy: true });
+                    let (delay, node) = (
+                        self.rng.gen_range(2000..20_000),
+                        self.rng.gen_range(0..nodes),
+                    );
+                    self.send(
+                        delay,
+                        Message::Report {
+                            node,
+                            report: report.clone(),
+                            copy: true,
+                        },
+                    );
                 }
-                self.send(STEP + held_up, Message::Report { node, report, copy: held_up > 4000 });
+                self.send(
+                    STEP + held_up,
+                    Message::Report {
+                        node,
+                        report,
+                        copy: held_up > 4000,
+                    },
+                );
             }
         }
         began.iter().for_each(|task| self.began(name, task));
@@ -97,8 +122,16 @@
                     }
                     let (id, number) = split_task(task).unwrap();
                     let job = &self.jobs[id];
-                    let busy = w.tasks.iter().any(|((t, _), s)| t == task && s.state != TaskState::Exited);
-                    let cpus = w.tasks.values().filter(|s| s.state != TaskState::Exited).count() as f64 * 2.0;
+                    let busy = w
+                        .tasks
+                        .iter()
+                        .any(|((t, _), s)| t == task && s.state != TaskState::Exited);
+                    let cpus = w
+                        .tasks
+                        .values()
+                        .filter(|s| s.state != TaskState::Exited)
+                        .count() as f64
+                        * 2.0;
                     let (state, reason) = match () {
                         _ if busy => (TaskState::Exited, Some(ExitReason::Busy)),
                         _ if cpus + 2.0 > 8.0 => (TaskState::Exited, Some(ExitReason::NoRoom)),
@@ -107,8 +140,20 @@
                     let ready_at = now + fetch_ms;
                     let run = job.run_ms + job.apart_ms * number as u64;
                     let run = if job.done.contains(&number) { 0 } else { run };
-                    let ends_at = if job.spec.kind == Kind::Service { u64::MAX / 2 } else { ready_at + run };
-                    w.tasks.insert(key, OnMachine { state, reason, ready_at, ends_at });
+                    let ends_at = if job.spec.kind == Kind::Service {
+                        u64::MAX / 2
+                    } else {
+                        ready_at + run
+                    };
+                    w.tasks.insert(
+                        key,
+                        OnMachine {
+                            state,
+                            reason,
+                            ready_at,
+                            ends_at,
+                        },
+                    );
                 }
                 Command::Stop { task, attempt, .. } => {
                     if let Some(t) = w.tasks.get_mut(&(task.clone(), *attempt)) {
@@ -119,7 +164,10 @@
                 }
                 Command::Forget { task, attempt } => {
                     let key = (task.clone(), *attempt);
-                    if w.tasks.get(&key).is_some_and(|t| t.state == TaskState::Exited) {
+                    if w.tasks
+                        .get(&key)
+                        .is_some_and(|t| t.state == TaskState::Exited)
+                    {
                         w.tasks.remove(&key);
                     }
                 }
@@ -141,7 +189,9 @@
                 if now < frozen {
                     return self.send(frozen - now, Message::Report { node, report, copy });
                 }
-                let Some(controller) = self.nodes[node].controller.as_mut() else { return };
+                let Some(controller) = self.nodes[node].controller.as_mut() else {
+                    return;
+                };
                 let answer = controller.report(&report);
                 if let WorkerAnswer::Reply(ReportReply { orders, .. }) = &answer {
                     let orders = orders.clone();
@@ -149,16 +199,44 @@
                         self.sent(&orders);
                     }
                 }
-                let Some(w) = self.workers.get(&name) else { return };
-                if copy || w.session != session || w.seq < seq || now < w.deaf_until || !self.joined(&w.zone, node) {
+                let Some(w) = self.workers.get(&name) else {
+                    return;
+                };
+                if copy
+                    || w.session != session
+                    || w.seq < seq
+                    || now < w.deaf_until
+                    || !self.joined(&w.zone, node)
+                {
                     return;
                 }
                 let sent = w.waits.unwrap_or(0);
-                self.send(STEP, Message::Reply { worker: name, session, sent, node, answer });
+                self.send(
+                    STEP,
+                    Message::Reply {
+                        worker: name,
+                        session,
+                        sent,
+                        node,
+                        answer,
+                    },
+                );
             }
-            Message::Reply { worker, session, sent, node, answer } => {
-                let Some(w) = self.workers.get_mut(&worker) else { return };
-                if now < w.hung_until || w.waits != Some(sent) || w.session != session || now > sent + 4000 {
+            Message::Reply {
+                worker,
+                session,
+                sent,
+                node,
+                answer,
+            } => {
+                let Some(w) = self.workers.get_mut(&worker) else {
+                    return;
+                };
+                if now < w.hung_until
+                    || w.waits != Some(sent)
+                    || w.session != session
+                    || now > sent + 4000
+                {
                     return;
                 }
                 w.waits = None;
@@ -183,22 +261,46 @@
                     }
                 }
             }
-            Message::Decided { node, life, term, direct } => {
+            Message::Decided {
+                node,
+                life,
+                term,
+                direct,
+            } => {
                 if self.nodes[node].life != life {
                     return;
                 }
-                let Some(controller) = self.nodes[node].controller.as_mut() else { return };
+                let Some(controller) = self.nodes[node].controller.as_mut() else {
+                    return;
+                };
                 if controller.may_send_direct(term, &direct) {
                     self.send_direct(node, life, term, vec![direct]);
                 } else {
                     controller.direct_answer(term, &direct, None);
                 }
             }
-            Message::Direct { node, life, term, direct, sent } => {
+            Message::Direct {
+                node,
+                life,
+                term,
+                direct,
+                sent,
+            } => {
                 let name = direct.machine.clone();
-                let lost = |report| Message::DirectAnswer { node, life, term, direct: direct.clone(), report };
-                let joined = self.workers.get(&name).is_some_and(|w| self.joined(&w.zone, node));
-                let Some(w) = self.workers.get_mut(&name) else { return self.send(2000, lost(None)) };
+                let lost = |report| Message::DirectAnswer {
+                    node,
+                    life,
+                    term,
+                    direct: direct.clone(),
+                    report,
+                };
+                let joined = self
+                    .workers
+                    .get(&name)
+                    .is_some_and(|w| self.joined(&w.zone, node));
+                let Some(w) = self.workers.get_mut(&name) else {
+                    return self.send(2000, lost(None));
+                };
                 if now < w.deaf_until || !joined {
                     // Lost on its way.
                     return self.send(2000, lost(None));
@@ -210,7 +312,16 @@
                         let none = lost(None);
                         self.send((sent + 2000) - now, none);
                     }
-                    return self.send(rest, Message::Direct { node, life, term, direct, sent: 0 });
+                    return self.send(
+                        rest,
+                        Message::Direct {
+                            node,
+                            life,
+                            term,
+                            direct,
+                            sent: 0,
+                        },
+                    );
                 }
                 if direct.token >= w.token && direct.session == w.session {
                     w.token = direct.token;
@@ -218,10 +329,25 @@
                 }
                 let report = self.report_of(&name);
                 if now < sent + 2000 {
-                    self.send(STEP, Message::DirectAnswer { node, life, term, direct, report: Some(report) });
+                    self.send(
+                        STEP,
+                        Message::DirectAnswer {
+                            node,
+                            life,
+                            term,
+                            direct,
+                            report: Some(report),
+                        },
+                    );
                 }
             }
-            Message::DirectAnswer { node, life, term, direct, report } => {
+            Message::DirectAnswer {
+                node,
+                life,
+                term,
+                direct,
+                report,
+            } => {
                 let n = &mut self.nodes[node];
                 if n.life == life {
                     if let Some(controller) = n.controller.as_mut() {
@@ -234,7 +360,8 @@
 
     /// Whether a zone's machines and a controller reach each other.
     pub(super) fn joined(&self, zone: &str, node: usize) -> bool {
-        !self.without_workers.contains(&node) && self.island.is_none_or(|(z, n)| (z == zone) == (n == node))
+        !self.without_workers.contains(&node)
+            && self.island.is_none_or(|(z, n)| (z == zone) == (n == node))
     }
 
     pub(super) fn send(&mut self, delay: u64, message: Message) {
--- a/src/node/user_requests.rs
+++ b/src/node/user_requests.rs
@@ -46,7 +46,10 @@
         match self.read_over(&id).await {
             Ok(over) => Answer::Job(200, over_view(&id, over)),
             Err(StoreError::Gone) => {
-                self.controller.borrow_mut().mirror.remember_absent(&id, generation);
+                self.controller
+                    .borrow_mut()
+                    .mirror
+                    .remember_absent(&id, generation);
                 Answer::Unknown
             }
             Err(_) => Answer::Later(1),
@@ -57,7 +60,10 @@
     fn admit_read(&self) -> Result<(), Answer> {
         let mut controller = self.controller.borrow_mut();
         let now = controller.now();
-        controller.user_reads.take(now).map_err(|wait_ms| Answer::Later(wait_ms.div_ceil(1000) as u32))
+        controller
+            .user_reads
+            .take(now)
+            .map_err(|wait_ms| Answer::Later(wait_ms.div_ceil(1000) as u32))
     }
 
     /// Whether a user may cause a number of changes now.
@@ -88,7 +94,12 @@
         let (known, ready, never, at_ms) = {
             let controller = self.controller.borrow();
             let ready = controller.mirror.loaded && !controller.types.is_empty();
-            (controller.mirror.live.contains_key(&id), ready, controller.impossible(&spec), controller.wall())
+            (
+                controller.mirror.live.contains_key(&id),
+                ready,
+                controller.impossible(&spec),
+                controller.wall(),
+            )
         };
         if known {
             // Repeated: a failed transaction would count as a change, and crowds of repeats would use up the changes.
@@ -111,13 +122,20 @@
             return later;
         }
         let txn = store::submit_txn(&id, &LiveRecord { spec, at_ms });
-        let queued = JobView { id: id.clone(), state: JobState::Queued, done: Some(0), running: Some(0) };
+        let queued = JobView {
+            id: id.clone(),
+            state: JobState::Queued,
+            done: Some(0),
+            running: Some(0),
+        };
         match self.user_txn(&txn).await {
             Ok(Decided::Applied(_)) => Answer::Job(201, queued),
-            Ok(Decided::Failed(keys)) if keys.contains(&store::over_key(&id)) => match self.read_over(&id).await {
-                Ok(over) => Answer::Job(200, over_view(&id, over)),
-                Err(_) => Answer::Later(1),
-            },
+            Ok(Decided::Failed(keys)) if keys.contains(&store::over_key(&id)) => {
+                match self.read_over(&id).await {
+                    Ok(over) => Answer::Job(200, over_view(&id, over)),
+                    Err(_) => Answer::Later(1),
+                }
+            }
             Ok(Decided::Failed(_)) => {
                 let controller = self.controller.borrow();
                 match controller.mirror.live.contains_key(&id) {
@@ -126,17 +144,23 @@
                 }
             }
             // Read back what an unanswered transaction did.
-            Err(StoreError::Unknown) => match self.noted(self.store.get::<LiveRecord>(&store::live_key(&id)).await) {
-                Ok(_) => Answer::Job(200, queued),
-                Err(_) => Answer::Later(1),
-            },
+            Err(StoreError::Unknown) => {
+                match self.noted(self.store.get::<LiveRecord>(&store::live_key(&id)).await) {
+                    Ok(_) => Answer::Job(200, queued),
+                    Err(_) => Answer::Later(1),
+                }
+            }
             Err(_) => Answer::Later(1),
         }
     }
 
     /// Confirms a cancellation that is durable at a revision.
     async fn confirm(&self, id: &str, over: OverRecord, revision: u64) -> Answer {
-        let cancelled = CancelledJob { job: id.to_string(), tasks: over.tasks, revision };
+        let cancelled = CancelledJob {
+            job: id.to_string(),
+            tasks: over.tasks,
+            revision,
+        };
         self.controller.borrow_mut().note_cancellation(cancelled);
         self.cancelled.notify_one();
         self.urgent.notify_one();
@@ -158,7 +182,11 @@
     async fn stops_known(&self, notice: Notice) {
         let (begun, most) = {
             let controller = self.controller.borrow();
-            (controller.now(), (controller.settings.operator.hold_s * 1000.0 * (1.0 + crate::leader::DRIFT)) as u64)
+            (
+                controller.now(),
+                (controller.settings.operator.hold_s * 1000.0 * (1.0 + crate::leader::DRIFT))
+                    as u64,
+            )
         };
         loop {
             {
@@ -185,19 +213,26 @@
                     other => return other,
                 }
             };
-            let over = OverRecord { cancelled: true, tasks: live.record.spec.tasks };
+            let over = OverRecord {
+                cancelled: true,
+                tasks: live.record.spec.tasks,
+            };
             if let Err(later) = self.admit(3) {
                 return later;
             }
             let txn = store::abort_txn(&id, &live);
             match self.user_txn(&txn).await {
                 Ok(Decided::Applied(revision)) => return self.confirm(&id, over, revision).await,
-                Ok(Decided::Failed(_)) | Err(StoreError::Unknown) => match self.final_state(&id).await {
-                    Ok(found) if found.record.cancelled => return self.confirm(&id, found.record, found.version).await,
-                    Ok(found) => return Answer::Job(200, over_view(&id, found.record)),
-                    Err(StoreError::Gone) => pause(100).await,
-                    Err(_) => return Answer::Later(1),
-                },
+                Ok(Decided::Failed(_)) | Err(StoreError::Unknown) => {
+                    match self.final_state(&id).await {
+                        Ok(found) if found.record.cancelled => {
+                            return self.confirm(&id, found.record, found.version).await
+                        }
+                        Ok(found) => return Answer::Job(200, over_view(&id, found.record)),
+                        Err(StoreError::Gone) => pause(100).await,
+                        Err(_) => return Answer::Later(1),
+                    }
+                }
                 Err(_) => return Answer::Later(1),
             }
         }
--- a/src/pacer.rs
+++ b/src/pacer.rs
@@ -19,7 +19,9 @@
 /// the leader needs next to none.
 pub fn users_share(write_rps: f64, nodes: usize, leader_changes_per_s: Option<f64>) -> f64 {
     let least = write_rps * USERS_GUARANTEED_SHARE;
-    let left = leader_changes_per_s.map_or(0.0, |leader| write_rps * PLANNED_SHARE - leader.max(0.0) * LEADER_HEADROOM);
+    let left = leader_changes_per_s.map_or(0.0, |leader| {
+        write_rps * PLANNED_SHARE - leader.max(0.0) * LEADER_HEADROOM
+    });
     least.max(left) / nodes.max(1) as f64
 }
 
@@ -36,7 +38,13 @@
 impl Pacer {
     /// One that may reach `most` changes a second.
     pub fn new(most: f64) -> Pacer {
-        Pacer { per_s: most / 2.0, most, tokens: most / 2.0, at: 0, promised: 0.0 }
+        Pacer {
+            per_s: most / 2.0,
+            most,
+            tokens: most / 2.0,
+            at: 0,
+            promised: 0.0,
+        }
     }
 
     /// Changes the pace that may be reached.
@@ -48,14 +56,17 @@
     /// Whether a number of changes may be made now; otherwise in how many seconds to come back.
     pub fn take(&mut self, changes: u32, now: u64) -> Result<(), u32> {
         // A burst worth a second, as the service itself allows.
-        self.tokens = (self.tokens + now.saturating_sub(self.at) as f64 * self.per_s / 1000.0).min(self.per_s.max(1.0));
+        self.tokens = (self.tokens + now.saturating_sub(self.at) as f64 * self.per_s / 1000.0)
+            .min(self.per_s.max(1.0));
         self.at = self.at.max(now);
         if self.tokens >= 1.0 {
             self.tokens -= changes as f64;
             return Ok(());
         }
         self.promised = self.promised.max(now as f64) + changes as f64 * 1000.0 / self.per_s;
-        Err(((self.promised - now as f64) / 1000.0).ceil().clamp(1.0, 30.0) as u32)
+        Err(((self.promised - now as f64) / 1000.0)
+            .ceil()
+            .clamp(1.0, 30.0) as u32)
     }
 
     /// A change was taken.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -84,7 +84,9 @@
     /// Whether a node that the state service does not answer is alone with that: the service answers another one, or
     /// nothing of the others is reached either. In an outage, where the others are in the same case, it is not.
     pub fn alone(&self, now: u64) -> bool {
-        self.told.values().any(|(at, ok)| *ok && now < at + PEER_VIEW_TTL_MS)
+        self.told
+            .values()
+            .any(|(at, ok)| *ok && now < at + PEER_VIEW_TTL_MS)
             || now > self.reached_at + ISOLATED_AFTER_MS
     }
 }
@@ -109,8 +111,22 @@
     post(http, format!("http://{addr}/peer/cancelled"), told).await
 }
 
-async fn post<T: Serialize, R: DeserializeOwned>(http: &awc::Client, url: String, message: &T) -> Option<R> {
+async fn post<T: Serialize, R: DeserializeOwned>(
+    http: &awc::Client,
+    url: String,
+    message: &T,
+) -> Option<R> {
     let within = Duration::from_secs(1);
-    let (status, body) = exchange(http, Method::POST, &url, Some(encode(message)), within, LIMIT, false).await.ok()?;
+    let (status, body) = exchange(
+        http,
+        Method::POST,
+        &url,
+        Some(encode(message)),
+        within,
+        LIMIT,
+        false,
+    )
+    .await
+    .ok()?;
     (status == 200).then(|| decode(&body))?
 }
--- a/src/peer/notices.rs
+++ b/src/peer/notices.rs
@@ -36,7 +36,10 @@
 
 impl Entry {
     fn notice(&self) -> Notice {
-        Notice { sequence: self.sequence, revision: self.cancelled.revision }
+        Notice {
+            sequence: self.sequence,
+            revision: self.cancelled.revision,
+        }
     }
 }
 
@@ -65,28 +68,49 @@
     /// A cancellation is durable.
     pub fn add(&mut self, cancelled: CancelledJob) -> Notice {
         self.newest += 1;
-        let entry = Entry { cancelled, sequence: self.newest };
+        let entry = Entry {
+            cancelled,
+            sequence: self.newest,
+        };
         let notice = entry.notice();
         self.entries.push_back(entry);
         if self.entries.len() > NOTICE_LIMIT {
-            self.dropped = self.entries.pop_front().map_or(self.dropped, |entry| entry.sequence);
+            self.dropped = self
+                .entries
+                .pop_front()
+                .map_or(self.dropped, |entry| entry.sequence);
         }
         notice
     }
 
     /// The notice of a job's cancellation, while it is kept.
     pub fn find(&self, job: &str) -> Option<Notice> {
-        self.entries.iter().rev().find(|entry| entry.cancelled.job == job).map(Entry::notice)
+        self.entries
+            .iter()
+            .rev()
+            .find(|entry| entry.cancelled.job == job)
+            .map(Entry::notice)
     }
 
     /// What a peer has yet to be told, the oldest first, and the last notice among it.
     pub fn unknown_to(&self, peer: &str) -> Option<(Vec<CancelledJob>, Notice)> {
         let knowledge = self.knowledge(peer);
-        let from = self.entries.partition_point(|entry| entry.sequence <= knowledge.told);
-        let unknown = self.entries.range(from..).filter(|entry| entry.cancelled.revision > knowledge.mirrored);
+        let from = self
+            .entries
+            .partition_point(|entry| entry.sequence <= knowledge.told);
+        let unknown = self
+            .entries
+            .range(from..)
+            .filter(|entry| entry.cancelled.revision > knowledge.mirrored);
         let message: Vec<&Entry> = unknown.take(MESSAGE_LIMIT).collect();
         let last = message.last()?.notice();
-        Some((message.into_iter().map(|entry| entry.cancelled.clone()).collect(), last))
+        Some((
+            message
+                .into_iter()
+                .map(|entry| entry.cancelled.clone())
+                .collect(),
+            last,
+        ))
     }
 
     /// A peer was told of everything up to a notice.
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -4,7 +4,11 @@
 use super::*;
 
 fn cancelled(job: &str, revision: u64) -> CancelledJob {
-    CancelledJob { job: job.into(), tasks: 3, revision }
+    CancelledJob {
+        job: job.into(),
+        tasks: 3,
+        revision,
+    }
 }
 
 #[test]
@@ -26,11 +30,20 @@
 fn garbage_is_no_view() {
     let counts = Some(vec![("wk-1".into(), 1, 2)]);
     let leader_changes_per_s = Some(7.5);
-    let v = View { node: "a".into(), epoch: 4, revision: 8, state_ok: true, leader_changes_per_s, counts };
+    let v = View {
+        node: "a".into(),
+        epoch: 4,
+        revision: 8,
+        state_ok: true,
+        leader_changes_per_s,
+        counts,
+    };
     assert_eq!(decode::<View>(&encode(&v)).unwrap().counts, v.counts);
     assert!(decode::<View>(&[255; 40]).is_none());
     assert!(decode::<View>(&[]).is_none());
-    let told = Cancelled { jobs: vec![cancelled("wk-1", 8)] };
+    let told = Cancelled {
+        jobs: vec![cancelled("wk-1", 8)],
+    };
     assert_eq!(decode::<Cancelled>(&encode(&told)).unwrap(), told);
     assert!(decode::<Cancelled>(&[255; 40]).is_none());
 }
@@ -46,7 +59,10 @@
     // Its mirror has seen the first; a word of less takes nothing back.
     notices.mirrored("b", 41);
     notices.mirrored("b", 7);
-    assert_eq!(notices.unknown_to("b").unwrap().0, vec![cancelled("wk-2", 42)]);
+    assert_eq!(
+        notices.unknown_to("b").unwrap().0,
+        vec![cancelled("wk-2", 42)]
+    );
     assert!(notices.is_known_by("b", first) && !notices.is_known_by("b", second));
     notices.told("b", last);
     assert!(notices.unknown_to("b").is_none() && notices.is_known_by("b", second));
@@ -73,7 +89,10 @@
     notices.told("b", last);
     let earlier = notices.add(cancelled("wk-1", 40));
     assert!(notices.is_known_by("b", later) && !notices.is_known_by("b", earlier));
-    assert_eq!(notices.unknown_to("b").unwrap().0, vec![cancelled("wk-1", 40)]);
+    assert_eq!(
+        notices.unknown_to("b").unwrap().0,
+        vec![cancelled("wk-1", 40)]
+    );
 }
 
 #[test]
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -12,7 +12,10 @@
 use std::task::Poll;
 
 /// Runs a call; `None` if `permitted` was false before one of its steps. Its request may have been sent by then.
-pub async fn while_permitted<F: Future>(permitted: impl Fn() -> bool, call: F) -> Option<F::Output> {
+pub async fn while_permitted<F: Future>(
+    permitted: impl Fn() -> bool,
+    call: F,
+) -> Option<F::Output> {
     let mut call = pin!(call);
     poll_fn(|context| {
         if !permitted() {
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -89,8 +89,15 @@
     if ask.transfer_test {
         for h in candidates.iter().filter(|h| h.holder) {
             let free = h.room.min(ask.waiting) as usize;
-            places.extend(std::iter::repeat_n((ask.time_s / h.c, h.machine, true), free));
-            places.extend(h.ends_s.iter().map(|end| (ask.time_s / h.c + end, h.machine, false)));
+            places.extend(std::iter::repeat_n(
+                (ask.time_s / h.c, h.machine, true),
+                free,
+            ));
+            places.extend(
+                h.ends_s
+                    .iter()
+                    .map(|end| (ask.time_s / h.c + end, h.machine, false)),
+            );
         }
         places.sort_by(|a, b| b.0.total_cmp(&a.0));
     }
@@ -102,15 +109,22 @@
     let mut from = 0;
     while from < candidates.len() && left > 0 {
         let floor = candidates[from].c / ask.group_factor;
-        let to = from + candidates[from..].iter().take_while(|m| m.c >= floor).count();
-        let mut group: Vec<&Candidate> = candidates[from..to].iter().filter(|m| m.room > 0).collect();
+        let to = from
+            + candidates[from..]
+                .iter()
+                .take_while(|m| m.c >= floor)
+                .count();
+        let mut group: Vec<&Candidate> =
+            candidates[from..to].iter().filter(|m| m.room > 0).collect();
         group.sort_by_key(|m| (!m.holder, m.order));
         for m in group {
             if !m.holder {
                 // Equation (5) of the paper with its sides named.
                 let here = ask.time_s / m.c + ask.transfer_s;
                 while left > 0 && places.last().is_some_and(|(there, ..)| here >= *there) {
-                    let Some((_, holder, free)) = places.pop() else { break };
+                    let Some((_, holder, free)) = places.pop() else {
+                        break;
+                    };
                     if !free {
                         out.later.push((holder, 1));
                     } else if done.contains(&holder) {
--- a/src/protocol/state_service.rs
+++ b/src/protocol/state_service.rs
@@ -130,7 +130,11 @@
     fn try_from(fields: EventFields) -> Result<Event, Self::Error> {
         let version = fields.version;
         match (fields.put, fields.drop) {
-            (Some(put), None) => Ok(Event::Put { put, value: fields.value.unwrap_or(ciborium::Value::Null), version }),
+            (Some(put), None) => Ok(Event::Put {
+                put,
+                value: fields.value.unwrap_or(ciborium::Value::Null),
+                version,
+            }),
             (None, Some(key)) => Ok(Event::Delete { key, version }),
             _ => Err("an event is either a put or a drop"),
         }
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -21,11 +21,41 @@
 fn bad_fields_are_named() {
     let spec = crate::scheduler::tests::spec("wk-7", 1);
     for (bad, field) in [
-        (JobSpec { id: "xx-1".into(), ..spec.clone() }, "id"),
-        (JobSpec { tasks: 0, ..spec.clone() }, "chores"),
-        (JobSpec { cpus: f64::NAN, ..spec.clone() }, "cores"),
-        (JobSpec { save_s: -1.0, ..spec.clone() }, "an amount"),
-        (JobSpec { deadline_s: Some(-3.0), ..spec.clone() }, "dueS"),
+        (
+            JobSpec {
+                id: "xx-1".into(),
+                ..spec.clone()
+            },
+            "id",
+        ),
+        (
+            JobSpec {
+                tasks: 0,
+                ..spec.clone()
+            },
+            "chores",
+        ),
+        (
+            JobSpec {
+                cpus: f64::NAN,
+                ..spec.clone()
+            },
+            "cores",
+        ),
+        (
+            JobSpec {
+                save_s: -1.0,
+                ..spec.clone()
+            },
+            "an amount",
+        ),
+        (
+            JobSpec {
+                deadline_s: Some(-3.0),
+                ..spec.clone()
+            },
+            "dueS",
+        ),
     ] {
         assert_eq!(bad.check(), Err(field));
     }
@@ -36,9 +66,16 @@
 #[test]
 fn changes_and_events_keep_their_wire_names() {
     let txn = Txn {
-        guards: vec![Guard { key: "a/b".into(), version: 0 }],
+        guards: vec![Guard {
+            key: "a/b".into(),
+            version: 0,
+        }],
         apply: vec![
-            Change::Put { put: "a/b".into(), value: cbor!({"x"=>1}).unwrap(), lease: Some(7) },
+            Change::Put {
+                put: "a/b".into(),
+                value: cbor!({"x"=>1}).unwrap(),
+                lease: Some(7),
+            },
             Change::Delete { key: "c/d".into() },
         ],
     };
@@ -47,6 +84,12 @@
         "apply"=>[{"put"=>"a/b","v"=>{"x"=>1},"tenure"=>7},{"drop"=>"c/d"}]})
     .unwrap();
     assert_eq!(back, expect);
-    let orders = ReportReply { token: 4, orders: vec![Command::Start { task: "wk-1/0".into(), attempt: 2 }] };
+    let orders = ReportReply {
+        token: 4,
+        orders: vec![Command::Start {
+            task: "wk-1/0".into(),
+            attempt: 2,
+        }],
+    };
     assert_eq!(decode::<ReportReply>(&encode(&orders)).unwrap(), orders);
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -116,14 +116,25 @@
         if !amount(self.cpus) || self.cpus <= 0.0 {
             return Err("cores");
         }
-        let amounts = [self.gpus, self.memory_gb, self.image_gb, self.estimate_s, self.checkpoint_s, self.save_s];
+        let amounts = [
+            self.gpus,
+            self.memory_gb,
+            self.image_gb,
+            self.estimate_s,
+            self.checkpoint_s,
+            self.save_s,
+        ];
         if !amounts.into_iter().all(amount) {
             return Err("an amount");
         }
         if self.deadline_s.is_some_and(|d| !amount(d)) {
             return Err("dueS");
         }
-        if self.types.as_ref().is_some_and(|t| t.len() > 64 || !t.iter().all(|s| name(s))) {
+        if self
+            .types
+            .as_ref()
+            .is_some_and(|t| t.len() > 64 || !t.iter().all(|s| name(s)))
+        {
             return Err("breeds");
         }
         if self.zone.as_ref().is_some_and(|z| !name(z)) {
@@ -135,7 +146,8 @@
 
 /// Whether a job id has the form that all have.
 pub fn job_id(id: &str) -> bool {
-    id.strip_prefix("wk-").is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix("wk-")
+        .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
 /// A job's state as users see it.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -99,7 +99,12 @@
     #[serde(rename = "baton")]
     pub token: u64,
     /// Seconds until the cloud takes the machine.
-    #[serde(rename = "recallS", default, deserialize_with = "opt_num", skip_serializing_if = "Option::is_none")]
+    #[serde(
+        rename = "recallS",
+        default,
+        deserialize_with = "opt_num",
+        skip_serializing_if = "Option::is_none"
+    )]
     pub notice_s: Option<f64>,
     /// All tasks there.
     #[serde(rename = "chores")]
--- a/src/rate.rs
+++ b/src/rate.rs
@@ -16,7 +16,12 @@
     /// A full bucket that refills at `per_s` tokens a second and holds `burst` tokens, one at least.
     pub fn new(per_s: f64, burst: f64) -> TokenBucket {
         let burst = burst.max(1.0);
-        TokenBucket { per_ms: per_s.max(0.001) / 1000.0, burst, tokens: burst, updated_at: 0 }
+        TokenBucket {
+            per_ms: per_s.max(0.001) / 1000.0,
+            burst,
+            tokens: burst,
+            updated_at: 0,
+        }
     }
 
     /// Takes a token, or tells after how many milliseconds there will be one.
@@ -44,7 +49,11 @@
 impl RateMeter {
     /// One that forgets within a few times `window_ms`.
     pub fn new(window_ms: u64) -> RateMeter {
-        RateMeter { window_ms: window_ms.max(1) as f64, per_s: 0.0, updated_at: 0 }
+        RateMeter {
+            window_ms: window_ms.max(1) as f64,
+            per_s: 0.0,
+            updated_at: 0,
+        }
     }
 
     /// Takes in that something was done a number of times just now.
--- a/src/scheduler/boot_times.rs
+++ b/src/scheduler/boot_times.rs
@@ -46,7 +46,13 @@
 impl BootTime {
     fn new(nominal_ms: f64) -> BootTime {
         let deviation_ms = nominal_ms * FIRST_DEVIATION;
-        BootTime { mean_ms: nominal_ms, deviation_ms, newest_up: None, patience: 1, stretched_at: 0 }
+        BootTime {
+            mean_ms: nominal_ms,
+            deviation_ms,
+            newest_up: None,
+            patience: 1,
+            stretched_at: 0,
+        }
     }
 
     fn expected_ms(&self) -> f64 {
@@ -58,22 +64,34 @@
     /// The time within which machines of an offer are expected up, in milliseconds.
     pub(super) fn expected_ms(&self, offer: Offer, nominal_ms: f64) -> u64 {
         let known = self.by_offer.get(&offer);
-        known.map_or_else(|| BootTime::new(nominal_ms).expected_ms(), BootTime::expected_ms) as u64
+        known.map_or_else(
+            || BootTime::new(nominal_ms).expected_ms(),
+            BootTime::expected_ms,
+        ) as u64
     }
 
     /// The time after which a machine of an offer is given up, in milliseconds.
     pub(super) fn give_up_ms(&self, offer: Offer, nominal_ms: f64) -> u64 {
         let patience = self.by_offer.get(&offer).map_or(1, |b| b.patience);
         // The nominal time is the least: a burst of quick boots says nothing of a slow one.
-        let expected = self.expected_ms(offer, nominal_ms).max(BootTime::new(nominal_ms).expected_ms() as u64);
+        let expected = self
+            .expected_ms(offer, nominal_ms)
+            .max(BootTime::new(nominal_ms).expected_ms() as u64);
         (expected as f64 * GIVE_UP_FACTOR) as u64 * patience as u64
     }
 
     /// A machine that was rented at a time has come up.
     pub(super) fn came_up(&mut self, offer: Offer, nominal_ms: f64, rented_at: u64, took_ms: u64) {
-        let boot = self.by_offer.entry(offer).or_insert_with(|| BootTime::new(nominal_ms));
+        let boot = self
+            .by_offer
+            .entry(offer)
+            .or_insert_with(|| BootTime::new(nominal_ms));
         let deviation = (took_ms as f64 - boot.mean_ms).abs();
-        let weight = if deviation > boot.deviation_ms { RISE_WEIGHT } else { DECAY_WEIGHT };
+        let weight = if deviation > boot.deviation_ms {
+            RISE_WEIGHT
+        } else {
+            DECAY_WEIGHT
+        };
         boot.deviation_ms += weight * (deviation - boot.deviation_ms);
         boot.mean_ms += MEAN_WEIGHT * (took_ms as f64 - boot.mean_ms);
         boot.newest_up = boot.newest_up.max(Some(rented_at));
@@ -82,8 +100,17 @@
 
     /// A machine that was rented at a time is given up. True if the offer is in doubt: of its machines that were rented as
     /// late none has come up.
-    pub(super) fn gave_up(&mut self, offer: Offer, nominal_ms: f64, rented_at: u64, now: u64) -> bool {
-        let boot = self.by_offer.entry(offer).or_insert_with(|| BootTime::new(nominal_ms));
+    pub(super) fn gave_up(
+        &mut self,
+        offer: Offer,
+        nominal_ms: f64,
+        rented_at: u64,
+        now: u64,
+    ) -> bool {
+        let boot = self
+            .by_offer
+            .entry(offer)
+            .or_insert_with(|| BootTime::new(nominal_ms));
         if boot.newest_up.is_some_and(|up| up >= rented_at) {
             return false;
         }
--- a/src/scheduler/boot_times/tests.rs
+++ b/src/scheduler/boot_times/tests.rs
@@ -2,7 +2,11 @@
 
 use super::*;
 
-const OFFER: Offer = Offer { kind: 0, zone: 0, spot: false };
+const OFFER: Offer = Offer {
+    kind: 0,
+    zone: 0,
+    spot: false,
+};
 const NOMINAL: f64 = 40_000.0;
 
 #[test]
@@ -28,7 +32,11 @@
     let mut boots = BootTimes::default();
     (0..40u64).for_each(|n| boots.came_up(OFFER, NOMINAL, 1000, 24_000 + 100 * n));
     // The rest of the same request takes a little more than the nominal time.
-    assert!(boots.expected_ms(OFFER, NOMINAL) > 45_000, "{}", boots.expected_ms(OFFER, NOMINAL));
+    assert!(
+        boots.expected_ms(OFFER, NOMINAL) > 45_000,
+        "{}",
+        boots.expected_ms(OFFER, NOMINAL)
+    );
 }
 
 #[test]
@@ -55,7 +63,8 @@
     // PeerHealth of that request tell nothing new.
     assert!(boots.gave_up(OFFER, NOMINAL, 6000, 127_000));
     assert_eq!(boots.give_up_ms(OFFER, NOMINAL) / 1000, 240);
-    (0..9).for_each(|n| assert!(boots.gave_up(OFFER, NOMINAL, 200_000 * (n + 1), 200_000 * (n + 2))));
+    (0..9)
+        .for_each(|n| assert!(boots.gave_up(OFFER, NOMINAL, 200_000 * (n + 1), 200_000 * (n + 2))));
     assert_eq!(boots.give_up_ms(OFFER, NOMINAL) / 1000, 480);
     // They were late, not dead: measured at last.
     boots.came_up(OFFER, NOMINAL, 1_900_000, 300_000);
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -48,8 +48,14 @@
     /// Whether machines of an offer may run these tasks.
     pub fn allows(&self, offer: &Offer) -> bool {
         (self.spot || !offer.spot)
-            && self.types.as_ref().is_none_or(|types| types.contains(&offer.kind))
-            && self.zones.as_ref().is_none_or(|zones| zones.contains(&offer.zone))
+            && self
+                .types
+                .as_ref()
+                .is_none_or(|types| types.contains(&offer.kind))
+            && self
+                .zones
+                .as_ref()
+                .is_none_or(|zones| zones.contains(&offer.zone))
     }
 
     /// How many of the tasks fit into a machine's room.
@@ -70,11 +76,22 @@
 }
 
 impl Pool {
-    pub(super) fn new(scheduler: &Scheduler, rooms: impl Iterator<Item = (usize, Amounts)>) -> Pool {
-        let mut pool = Pool { order: Vec::new(), room: vec![[0; 3]; scheduler.machines.len()] };
+    pub(super) fn new(
+        scheduler: &Scheduler,
+        rooms: impl Iterator<Item = (usize, Amounts)>,
+    ) -> Pool {
+        let mut pool = Pool {
+            order: Vec::new(),
+            room: vec![[0; 3]; scheduler.machines.len()],
+        };
         let mut ordinary = Vec::new();
         for (i, room) in rooms {
-            if scheduler.machine(i).spot { &mut pool.order } else { &mut ordinary }.push(i);
+            if scheduler.machine(i).spot {
+                &mut pool.order
+            } else {
+                &mut ordinary
+            }
+            .push(i);
             pool.room[i] = room;
         }
         pool.order.append(&mut ordinary);
@@ -100,7 +117,11 @@
                 continue;
             }
             if bound {
-                n = n.min(scheduler.zone_cap(job, m.zone).saturating_sub(zones.get(&m.zone).copied().unwrap_or(0)));
+                n = n.min(
+                    scheduler
+                        .zone_cap(job, m.zone)
+                        .saturating_sub(zones.get(&m.zone).copied().unwrap_or(0)),
+                );
                 *zones.entry(m.zone).or_default() += n;
             }
             self.room[i] = less(&self.room[i], &job.need, n as u64);
@@ -130,26 +151,55 @@
     /// Looks ahead: stops lower work where a higher job or a guarantee has a claim, and returns what finds no room even
     /// on the machines that are coming up.
     pub fn unmet_demand(&mut self, preempt: bool) -> Vec<UnmetDemand> {
-        let mut room = Pool::new(self, self.machines().filter(|(_, m)| self.open(m)).map(|(i, m)| (i, self.coming(m))));
-        let mut later = Pool::new(self, self.machines().filter(|(_, m)| self.on_its_way(m)).map(|(i, m)| (i, m.room)));
+        let mut room = Pool::new(
+            self,
+            self.machines()
+                .filter(|(_, m)| self.open(m))
+                .map(|(i, m)| (i, self.coming(m))),
+        );
+        let mut later = Pool::new(
+            self,
+            self.machines()
+                .filter(|(_, m)| self.on_its_way(m))
+                .map(|(i, m)| (i, m.room)),
+        );
         let mut team_left: Vec<[u64; 2]> = (0..self.params.teams.len())
-            .map(|t| std::array::from_fn(|r| self.params.teams[t].limit[r].saturating_sub(self.team_use[t][r])))
+            .map(|t| {
+                std::array::from_fn(|r| {
+                    self.params.teams[t].limit[r].saturating_sub(self.team_use[t][r])
+                })
+            })
             .collect();
         let queue = self.queue();
-        let least = queue.iter().map(|j| self.job(*j).need).reduce(|a, b| std::array::from_fn(|r| a[r].min(b[r])));
+        let least = queue
+            .iter()
+            .map(|j| self.job(*j).need)
+            .reduce(|a, b| std::array::from_fn(|r| a[r].min(b[r])));
         let least = least.unwrap_or([1; 3]);
-        let (mut demands, mut unplaceable, mut asked) =
-            (Vec::new(), UnplaceableRequests::default(), Vec::<FailedSearch>::new());
+        let (mut demands, mut unplaceable, mut asked) = (
+            Vec::new(),
+            UnplaceableRequests::default(),
+            Vec::<FailedSearch>::new(),
+        );
         for j in queue {
             let job = self.job(j);
             let Some(team) = job.team else { continue };
-            let quota = (0..2).map(|r| team_left[team][r].checked_div(job.need[r]).unwrap_or(u64::MAX)).min();
-            let mut left = job.wanted(self.now).min(quota.unwrap_or(0).min(u32::MAX as u64) as u32);
+            let quota = (0..2)
+                .map(|r| {
+                    team_left[team][r]
+                        .checked_div(job.need[r])
+                        .unwrap_or(u64::MAX)
+                })
+                .min();
+            let mut left = job
+                .wanted(self.now)
+                .min(quota.unwrap_or(0).min(u32::MAX as u64) as u32);
             if left == 0 || (job.record.spec.kind == Kind::Gang && left < job.pending()) {
                 continue;
             }
             let taken = left as u64;
-            team_left[team] = std::array::from_fn(|r| team_left[team][r].saturating_sub(job.need[r] * taken));
+            team_left[team] =
+                std::array::from_fn(|r| team_left[team][r].saturating_sub(job.need[r] * taken));
             let mut zones: HashMap<usize, u32> = HashMap::new();
             if !unplaceable.covers(job) {
                 left = room.take(self, job, left, &mut zones);
@@ -164,7 +214,12 @@
                 continue;
             }
             let (need, spec) = (job.need, &job.record.spec);
-            let (types, zone, spot, service) = (job.types.clone(), job.zone, spec.spot, spec.kind == Kind::Service);
+            let (types, zone, spot, service) = (
+                job.types.clone(),
+                job.zone,
+                spec.spot,
+                spec.kind == Kind::Service,
+            );
             let capped: Option<Vec<usize>> = (spec.scatter || spec.together).then(|| {
                 (0..self.zones.count())
                     .filter(|z| self.zone_cap(job, *z) > zones.get(z).copied().unwrap_or(0))
@@ -203,7 +258,10 @@
     pub fn service_demand(&self) -> (u64, HashMap<usize, u64>) {
         let mut all = 0;
         let mut placed: HashMap<usize, u64> = HashMap::new();
-        for job in self.jobs().filter(|j| j.record.spec.kind == Kind::Service && !j.ended) {
+        for job in self
+            .jobs()
+            .filter(|j| j.record.spec.kind == Kind::Service && !j.ended)
+        {
             all += job.need[0] * job.tasks() as u64;
             for (zone, n) in &job.zone_use {
                 *placed.entry(*zone).or_default() += job.need[0] * *n as u64;
@@ -225,11 +283,23 @@
 
     /// The machines that take tasks.
     pub fn utilization(&self) -> Vec<Utilization> {
-        let open = self.machines().filter(|(_, m)| m.state == MachineState::Up && m.notice_at.is_none());
+        let open = self
+            .machines()
+            .filter(|(_, m)| m.state == MachineState::Up && m.notice_at.is_none());
         open.map(|(machine, m)| {
-            let cpus = self.types.get(m.kind).map_or(0, |t| (t.cpus * 1000.0) as u64);
+            let cpus = self
+                .types
+                .get(m.kind)
+                .map_or(0, |t| (t.cpus * 1000.0) as u64);
             let used = cpus.saturating_sub(m.room[0]);
-            Utilization { machine, offer: m.offer(), since: m.since, cpus, used, services: m.service_cpus }
+            Utilization {
+                machine,
+                offer: m.offer(),
+                since: m.since,
+                cpus,
+                used,
+                services: m.service_cpus,
+            }
         })
         .collect()
     }
@@ -243,7 +313,9 @@
     /// Takes surplus machines back into use.
     pub fn use_surplus(&mut self) {
         for i in 0..self.machines.len() {
-            let back = |m: &Machine| m.surplus && m.state == MachineState::Draining && m.notice_at.is_none();
+            let back = |m: &Machine| {
+                m.surplus && m.state == MachineState::Draining && m.notice_at.is_none()
+            };
             if self.machines[i].as_ref().is_some_and(back) {
                 self.enter(i, MachineState::Up, "needed again");
                 self.machine_mut(i).surplus = false;
@@ -254,14 +326,23 @@
     /// Moves one replica off a surplus machine on which nothing else is left, if a holder has room for it.
     pub fn move_replica(&mut self) {
         for i in 0..self.machines.len() {
-            let Some(m) = self.machines[i].as_ref().filter(|m| m.surplus && m.state == MachineState::Draining) else {
+            let Some(m) = self.machines[i]
+                .as_ref()
+                .filter(|m| m.surplus && m.state == MachineState::Draining)
+            else {
+                continue;
+            };
+            let services = m
+                .tasks
+                .iter()
+                .all(|(j, _)| self.job(*j).record.spec.kind == Kind::Service);
+            let Some(&(j, t)) = m.tasks.iter().next().filter(|_| services) else {
                 continue;
             };
-            let services = m.tasks.iter().all(|(j, _)| self.job(*j).record.spec.kind == Kind::Service);
-            let Some(&(j, t)) = m.tasks.iter().next().filter(|_| services) else { continue };
             let job = self.job(j);
             let free = |o: &Machine| {
-                let same_zone = o.zone == m.zone || !(job.record.spec.scatter || job.record.spec.together);
+                let same_zone =
+                    o.zone == m.zone || !(job.record.spec.scatter || job.record.spec.together);
                 self.open(o)
                     && self.may_host(job, o)
                     && same_zone
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -44,7 +44,8 @@
 }
 
 pub(super) fn bit(bits: &[u8], i: u32) -> bool {
-    bits.get(i as usize / 8).is_some_and(|b| b >> (i % 8) & 1 == 1)
+    bits.get(i as usize / 8)
+        .is_some_and(|b| b >> (i % 8) & 1 == 1)
 }
 
 pub(super) fn set_bit(bits: &mut [u8], i: u32) -> bool {
@@ -99,7 +100,11 @@
     pub(super) fn wanted(&self, now: u64) -> u32 {
         let pending = self.pending();
         if self.record.spec.kind != Kind::Gang && self.fails_everywhere(now) {
-            return if self.active.is_empty() { pending.min(1) } else { 0 };
+            return if self.active.is_empty() {
+                pending.min(1)
+            } else {
+                0
+            };
         }
         pending
     }
@@ -146,7 +151,14 @@
 impl Scheduler {
     /// Takes in a job. `done` holds its stored ranges; `wall_ms` is the time of day now; `ended`: it was cancelled, and
     /// only what runs of it matters.
-    pub fn add_job(&mut self, record: LiveRecord, version: u64, done: &[(u32, Vec<u8>)], wall_ms: u64, ended: bool) {
+    pub fn add_job(
+        &mut self,
+        record: LiveRecord,
+        version: u64,
+        done: &[(u32, Vec<u8>)],
+        wall_ms: u64,
+        ended: bool,
+    ) {
         let spec = &record.spec;
         if let Some(&i) = self.job_index.get(&spec.id) {
             if ended {
@@ -162,7 +174,9 @@
         });
         let submitted = job.submitted;
         self.jobs[i] = Some(job);
-        let at = self.by_age.partition_point(|k| self.job(*k).submitted <= submitted);
+        let at = self
+            .by_age
+            .partition_point(|k| self.job(*k).submitted <= submitted);
         self.by_age.insert(at, i);
         self.job_index.insert(id, i);
         if ended {
@@ -172,7 +186,13 @@
     }
 
     /// A job of which nothing is known but its record and its stored results.
-    fn new_job(&mut self, record: LiveRecord, version: u64, done: &[(u32, Vec<u8>)], wall_ms: u64) -> Job {
+    fn new_job(
+        &mut self,
+        record: LiveRecord,
+        version: u64,
+        done: &[(u32, Vec<u8>)],
+        wall_ms: u64,
+    ) -> Job {
         let spec = &record.spec;
         let need = amounts(spec.cpus, spec.gpus, spec.memory_gb);
         let types = spec.types.as_ref();
@@ -183,7 +203,11 @@
             image: self.images.add(&spec.image),
             class: placement::class_of(need, self.largest_machine()),
             need,
-            types: types.map(|l| l.iter().map(|t| self.type_names.get(t).unwrap_or(usize::MAX)).collect()),
+            types: types.map(|l| {
+                l.iter()
+                    .map(|t| self.type_names.get(t).unwrap_or(usize::MAX))
+                    .collect()
+            }),
             zone: spec.zone.as_ref().map(|z| self.zones.add(z)),
             ended: false,
             saved: bits.clone(),
@@ -235,7 +259,11 @@
     /// Cancelled jobs of which nothing can run any more. Those still listed in the store may be dropped there.
     pub fn stopped_jobs(&mut self) -> Vec<String> {
         let over: Vec<usize> = (0..self.jobs.len())
-            .filter(|&i| self.jobs[i].as_ref().is_some_and(|j| j.ended && j.active.is_empty()))
+            .filter(|&i| {
+                self.jobs[i]
+                    .as_ref()
+                    .is_some_and(|j| j.ended && j.active.is_empty())
+            })
             .collect();
         over.into_iter()
             .filter_map(|i| {
@@ -244,7 +272,10 @@
                 let job = self.jobs[i].take()?;
                 self.free_jobs.push(i);
                 self.dirty.retain(|(j, _), _| *j != i);
-                self.machines.iter_mut().flatten().for_each(|m| m.errors.retain(|e| *e != i));
+                self.machines
+                    .iter_mut()
+                    .flatten()
+                    .for_each(|m| m.errors.retain(|e| *e != i));
                 self.job_index.remove(&job.record.spec.id);
                 Some(job.record.spec.id)
             })
@@ -264,18 +295,27 @@
         let mut oldest: Vec<_> = self.dirty.iter().map(|(k, since)| (*since, *k)).collect();
         oldest.sort_unstable();
         let rows = oldest.into_iter().filter_map(|(_, (i, chunk))| {
-            let j = self.jobs[i].as_ref().filter(|j| !j.ended && j.done_n < j.tasks())?;
+            let j = self.jobs[i]
+                .as_ref()
+                .filter(|j| !j.ended && j.done_n < j.tasks())?;
             let from = (chunk * CHUNK) as usize / 8;
             let to = (from + CHUNK as usize / 8).min(j.done.len());
             let bits = j.done[from..to].to_vec();
-            Some(DoneChunk { job: j.record.spec.id.clone(), version: j.version, chunk, bits })
+            Some(DoneChunk {
+                job: j.record.spec.id.clone(),
+                version: j.version,
+                chunk,
+                bits,
+            })
         });
         rows.take(most).collect()
     }
 
     /// A range is durable.
     pub fn saved(&mut self, row: &DoneChunk) {
-        let Some(&i) = self.job_index.get(&row.job) else { return };
+        let Some(&i) = self.job_index.get(&row.job) else {
+            return;
+        };
         let from = row.chunk * CHUNK;
         let job = self.job_mut(i);
         for n in (0..row.bits.len() as u32 * 8).filter(|n| bit(&row.bits, *n)) {
@@ -283,7 +323,10 @@
                 job.saved_n += 1;
             }
         }
-        let (a, b) = ((from / 8) as usize, ((from + CHUNK) as usize / 8).min(job.done.len()));
+        let (a, b) = (
+            (from / 8) as usize,
+            ((from + CHUNK) as usize / 8).min(job.done.len()),
+        );
         let all = job.done[a..b] == job.saved[a..b];
         // What has finished meanwhile takes its turn behind the others.
         let now = self.now;
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -129,6 +129,10 @@
 impl Machine {
     /// The offer that it was rented from.
     pub fn offer(&self) -> Offer {
-        Offer { kind: self.kind, zone: self.zone, spot: self.spot }
+        Offer {
+            kind: self.kind,
+            zone: self.zone,
+            spot: self.spot,
+        }
     }
 }
