--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -90,7 +90,12 @@
         if next != MachineState::Up {
             let unsent: Vec<_> = self.machine(i).tasks.iter().copied().collect();
             for (j, t) in unsent {
-                if self.job(j).active.get(&t).is_some_and(|a| a.phase == Phase::Assigned) {
+                if self
+                    .job(j)
+                    .active
+                    .get(&t)
+                    .is_some_and(|a| a.phase == Phase::Assigned)
+                {
                     self.apply_event(j, t, TaskEvent::Gone);
                 }
             }
@@ -100,7 +105,9 @@
 
     /// The cloud has confirmed that a machine is gone, and everything on it.
     pub fn machine_gone(&mut self, name: &str) {
-        let Some(i) = self.machine_index.remove(name) else { return };
+        let Some(i) = self.machine_index.remove(name) else {
+            return;
+        };
         for (j, t) in self.machine(i).tasks.clone() {
             self.apply_event(j, t, TaskEvent::Gone);
         }
@@ -118,7 +125,9 @@
 
     /// Machines that may hold tasks of earlier epochs and were neither heard nor outwaited nor released.
     pub fn unsettled(&self) -> usize {
-        self.machines().filter(|(_, m)| !m.current && !m.tasks.is_empty()).count()
+        self.machines()
+            .filter(|(_, m)| !m.current && !m.tasks.is_empty())
+            .count()
     }
 
     /// The cloud lists a machine. If it is running, it should be heard from now on. If it starts, its age tells how long it has
@@ -142,12 +151,16 @@
 
     /// The boot time that the cloud tells for a machine type.
     fn nominal_boot_ms(&self, kind: usize) -> f64 {
-        self.types.get(kind).map_or(UNKNOWN_BOOT_MS, |t| t.boot_s * 1000.0)
+        self.types
+            .get(kind)
+            .map_or(UNKNOWN_BOOT_MS, |t| t.boot_s * 1000.0)
     }
 
     /// For how long a machine has been on its way.
     fn boot_age_ms(&self, m: &Machine) -> u64 {
-        self.now.saturating_sub(m.since).saturating_add(m.rented_before_ms)
+        self.now
+            .saturating_sub(m.since)
+            .saturating_add(m.rented_before_ms)
     }
 
     /// Whether a machine has been on its way for too long to be worth its price any more. One that was heard, or is listed as
@@ -155,16 +168,22 @@
     pub fn never_came_up(&self, m: &Machine) -> bool {
         m.state == MachineState::Waiting
             && !m.contacted
-            && self.boot_age_ms(m) > self.boot_times.give_up_ms(m.offer(), self.nominal_boot_ms(m.kind))
+            && self.boot_age_ms(m)
+                > self
+                    .boot_times
+                    .give_up_ms(m.offer(), self.nominal_boot_ms(m.kind))
     }
 
     /// Gives up a machine that has not come up. If its offer is in doubt, tells for how long to ask others: as long as it took
     /// to learn this.
     pub fn give_up_boot(&mut self, i: usize) -> Option<(Offer, u64)> {
         let m = self.machine(i);
-        let (offer, nominal_ms, age_ms) = (m.offer(), self.nominal_boot_ms(m.kind), self.boot_age_ms(m));
+        let (offer, nominal_ms, age_ms) =
+            (m.offer(), self.nominal_boot_ms(m.kind), self.boot_age_ms(m));
         let rented_at = m.since.saturating_sub(m.rented_before_ms);
-        let in_doubt = self.boot_times.gave_up(offer, nominal_ms, rented_at, self.now);
+        let in_doubt = self
+            .boot_times
+            .gave_up(offer, nominal_ms, rented_at, self.now);
         self.enter(i, MachineState::Releasing, "never came up");
         in_doubt.then_some((offer, age_ms))
     }
@@ -174,20 +193,27 @@
         let m = self.machine(i);
         if m.origin == Origin::Rented {
             let (offer, since, nominal_ms) = (m.offer(), m.since, self.nominal_boot_ms(m.kind));
-            self.boot_times.came_up(offer, nominal_ms, since, self.now.saturating_sub(since));
+            self.boot_times
+                .came_up(offer, nominal_ms, since, self.now.saturating_sub(since));
         }
     }
 
     /// Whether a machine is on its way up, so that its room may be counted on.
     pub(super) fn on_its_way(&self, m: &Machine) -> bool {
         let certain = m.origin != Origin::Inherited || m.listed;
-        let late = self.boot_age_ms(m) > self.boot_times.expected_ms(m.offer(), self.nominal_boot_ms(m.kind));
+        let late = self.boot_age_ms(m)
+            > self
+                .boot_times
+                .expected_ms(m.offer(), self.nominal_boot_ms(m.kind));
         m.state == MachineState::Waiting && certain && m.tasks.is_empty() && !late
     }
 
     fn lease_over(&self, m: &Machine) -> bool {
         self.now
-            > m.last_answer.max(m.session_seen) + self.params.lease_ms + self.params.lease_ms / 500 + LEASE_MARGIN_MS
+            > m.last_answer.max(m.session_seen)
+                + self.params.lease_ms
+                + self.params.lease_ms / 500
+                + LEASE_MARGIN_MS
     }
 
     /// Machines that should be heard from and have not shown the current token for `silent_ms`, less those of zones that
@@ -206,14 +232,19 @@
         }
         let late = |m: &Machine| {
             let out_at = self.out_at.get(&m.zone).copied().unwrap_or(0);
-            self.now > m.last_heard + silent_ms && (self.now > out_at + silent_ms || self.now > m.last_heard + lost_ms)
+            self.now > m.last_heard + silent_ms
+                && (self.now > out_at + silent_ms || self.now > m.last_heard + lost_ms)
         };
-        self.expected().filter(|(_, m)| late(m)).map(|(i, _)| i).collect()
+        self.expected()
+            .filter(|(_, m)| late(m))
+            .map(|(i, _)| i)
+            .collect()
     }
 
     /// Machines that should be heard from. Those being released already are left out.
     fn expected(&self) -> impl Iterator<Item = (usize, &Machine)> {
-        self.machines().filter(|(_, m)| m.contacted && m.state != MachineState::Releasing)
+        self.machines()
+            .filter(|(_, m)| m.contacted && m.state != MachineState::Releasing)
     }
 
     /// The time in which a machine surely reports.
@@ -234,13 +265,19 @@
 
     /// Zones of which most machines are quiet.
     fn zones_out(&self) -> HashSet<usize> {
-        let out = self.quiet_by_zone().into_iter().filter(|(_, (quiet, all))| *all > 2 && quiet * 2 > *all);
+        let out = self
+            .quiet_by_zone()
+            .into_iter()
+            .filter(|(_, (quiet, all))| *all > 2 && quiet * 2 > *all);
         out.map(|(z, _)| z).collect()
     }
 
     /// Zones of which nothing is heard: whatever came up there would be out of reach.
     pub fn unreachable_zones(&self) -> HashSet<usize> {
-        let unreachable = self.quiet_by_zone().into_iter().filter(|(_, (quiet, all))| *all > 2 && quiet == all);
+        let unreachable = self
+            .quiet_by_zone()
+            .into_iter()
+            .filter(|(_, (quiet, all))| *all > 2 && quiet == all);
         unreachable.map(|(z, _)| z).collect()
     }
 
@@ -248,11 +285,20 @@
     /// node that is cut off. A new leader that nobody has answered yet knows sooner, since it asks everybody when it begins: an
     /// new leader cut off like its predecessor once held the leadership until the leases had run out.
     pub fn hears_no_worker(&self) -> bool {
-        let heard =
-            |m: &Machine| m.reported_at.is_some_and(|at| self.now <= at + self.quiet_ms() + ISOLATION_MARGIN_MS);
+        let heard = |m: &Machine| {
+            m.reported_at
+                .is_some_and(|at| self.now <= at + self.quiet_ms() + ISOLATION_MARGIN_MS)
+        };
         let fresh = self.expected().all(|(_, m)| m.last == (0, 0));
-        let after = if fresh { UNANSWERED_MS } else { 2 * self.quiet_ms() + ISOLATION_MARGIN_MS };
-        self.expected().filter(|(_, m)| self.now > m.since + after).count() > 2
+        let after = if fresh {
+            UNANSWERED_MS
+        } else {
+            2 * self.quiet_ms() + ISOLATION_MARGIN_MS
+        };
+        self.expected()
+            .filter(|(_, m)| self.now > m.since + after)
+            .count()
+            > 2
             && !self.expected().any(|(_, m)| heard(m))
     }
 
@@ -281,7 +327,8 @@
             }
             self.outbox.remove(&i);
             let mut orders = Vec::new();
-            let (machine, address, token, session) = (m.name.clone(), m.address.clone(), self.token(m), m.last.0);
+            let (machine, address, token, session) =
+                (m.name.clone(), m.address.clone(), self.token(m), m.last.0);
             self.collect_stops(i, &mut orders);
             // A release may take long where the cloud does not answer: what is cancelled there is stopped meanwhile.
             if self.machine(i).state != MachineState::Releasing {
@@ -291,7 +338,13 @@
                 let m = self.machine_mut(i);
                 m.direct = true;
                 m.direct_starts |= orders.iter().any(|o| matches!(o, Command::Start { .. }));
-                out.push(Direct { machine, address, token, session, orders });
+                out.push(Direct {
+                    machine,
+                    address,
+                    token,
+                    session,
+                    orders,
+                });
             }
         }
         out
@@ -314,15 +367,24 @@
 
     /// How much waits for a machine to be heard or proven gone, the most first: replicas, other tasks, nothing.
     fn worth(&self, m: &Machine) -> (std::cmp::Reverse<u64>, std::cmp::Reverse<usize>) {
-        (std::cmp::Reverse(m.service_cpus), std::cmp::Reverse(m.tasks.len()))
+        (
+            std::cmp::Reverse(m.service_cpus),
+            std::cmp::Reverse(m.tasks.len()),
+        )
     }
 
     /// Machines to be released, those first of which most waits for the proof that they are gone: when many fall together,
     /// the calls take them a hundred at a time.
     pub fn leaving(&self, most: usize) -> Vec<String> {
-        let mut all: Vec<_> = self.machines().filter(|(_, m)| m.state == MachineState::Releasing).collect();
+        let mut all: Vec<_> = self
+            .machines()
+            .filter(|(_, m)| m.state == MachineState::Releasing)
+            .collect();
         all.sort_by_key(|(i, m)| (self.worth(m), *i));
-        all.into_iter().take(most).map(|(_, m)| m.name.clone()).collect()
+        all.into_iter()
+            .take(most)
+            .map(|(_, m)| m.name.clone())
+            .collect()
     }
 
     /// Empty orders for machines that are overdue or have not shown the current token yet: the answer is a report under
@@ -332,19 +394,33 @@
         let due = |m: &Machine| {
             m.contacted
                 && (!m.current || self.now > m.last_heard + late)
-                && !(m.direct || m.address.is_empty() || self.now < m.probe_at || m.state == MachineState::Releasing)
+                && !(m.direct
+                    || m.address.is_empty()
+                    || self.now < m.probe_at
+                    || m.state == MachineState::Releasing)
         };
-        let mut all: Vec<_> = self.machines().filter(|(_, m)| due(m)).map(|(i, m)| (self.worth(m), i)).collect();
+        let mut all: Vec<_> = self
+            .machines()
+            .filter(|(_, m)| due(m))
+            .map(|(i, m)| (self.worth(m), i))
+            .collect();
         all.sort_unstable();
         let mut out = Vec::new();
         for (_, i) in all.into_iter().take(most) {
             let m = self.machine(i);
-            let (machine, address, token, session) = (m.name.clone(), m.address.clone(), self.token(m), m.last.0);
+            let (machine, address, token, session) =
+                (m.name.clone(), m.address.clone(), self.token(m), m.last.0);
             let again = self.now + 1000.max(self.params.report_ms / 2);
             let m = self.machine_mut(i);
             m.direct = true;
             m.probe_at = again;
-            out.push(Direct { machine, address, token, session, orders: Vec::new() });
+            out.push(Direct {
+                machine,
+                address,
+                token,
+                session,
+                orders: Vec::new(),
+            });
         }
         out
     }
@@ -352,7 +428,9 @@
     /// The answer to direct orders. Without one they may execute minutes later: the token is raised, so that they are
     /// void once the worker has seen it, and until then nothing is concluded from its reports.
     pub fn direct_answer(&mut self, sent: &Direct, answer: Option<&Report>) {
-        let Some(&i) = self.machine_index.get(&sent.machine) else { return };
+        let Some(&i) = self.machine_index.get(&sent.machine) else {
+            return;
+        };
         self.machine_mut(i).direct = false;
         match answer {
             Some(r) => {
@@ -382,7 +460,9 @@
         self.ticked = now;
         self.at(now);
         for i in 0..self.machines.len() {
-            let Some(m) = self.machines[i].as_ref() else { continue };
+            let Some(m) = self.machines[i].as_ref() else {
+                continue;
+            };
             if !m.tasks.is_empty() && self.lease_over(m) {
                 tracing::info!(machine = %m.name, tasks = m.tasks.len(), "lease has run out");
                 for (j, t) in m.tasks.clone() {
@@ -391,7 +471,9 @@
                 // A worker that comes back is in its next session; nothing meant for the last one may reach it.
                 self.raise(i, "lease has run out");
             }
-            let Some(m) = self.machines[i].as_ref() else { continue };
+            let Some(m) = self.machines[i].as_ref() else {
+                continue;
+            };
             let Some(at) = m.notice_at else { continue };
             self.enter(i, MachineState::Draining, "notice");
             for (j, t) in self.machine(i).tasks.clone() {
@@ -399,7 +481,13 @@
                 // Work that saves is stopped just in time to save; the rest may still finish.
                 let lead = millis(spec.save_s) + 2 * self.params.report_ms + 2000;
                 if spec.kind == Kind::Service || (spec.checkpoint_s > 0.0 && now + lead >= at) {
-                    self.apply_event(j, t, TaskEvent::Stop { save: spec.checkpoint_s > 0.0 });
+                    self.apply_event(
+                        j,
+                        t,
+                        TaskEvent::Stop {
+                            save: spec.checkpoint_s > 0.0,
+                        },
+                    );
                 }
             }
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -169,7 +169,9 @@
 
     /// All the room of a machine of a type.
     pub fn room_of_type(&self, kind: usize) -> Amounts {
-        self.types.get(kind).map_or([0; 3], |t| [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64))
+        self.types.get(kind).map_or([0; 3], |t| {
+            [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64)
+        })
     }
 
     /// A zone's index.
@@ -184,7 +186,10 @@
 
     /// Machines present, with their index.
     pub fn machines(&self) -> impl Iterator<Item = (usize, &Machine)> {
-        self.machines.iter().enumerate().filter_map(|(i, m)| Some((i, m.as_ref()?)))
+        self.machines
+            .iter()
+            .enumerate()
+            .filter_map(|(i, m)| Some((i, m.as_ref()?)))
     }
 
     /// A machine's index.
@@ -223,19 +228,27 @@
     }
 
     fn machine(&self, i: usize) -> &Machine {
-        self.machines[i].as_ref().expect("indices of machines are only kept while the machine is present")
+        self.machines[i]
+            .as_ref()
+            .expect("indices of machines are only kept while the machine is present")
     }
 
     fn machine_mut(&mut self, i: usize) -> &mut Machine {
-        self.machines[i].as_mut().expect("indices of machines are only kept while the machine is present")
+        self.machines[i]
+            .as_mut()
+            .expect("indices of machines are only kept while the machine is present")
     }
 
     fn job(&self, i: usize) -> &Job {
-        self.jobs[i].as_ref().expect("indices of jobs are only kept while the job is present")
+        self.jobs[i]
+            .as_ref()
+            .expect("indices of jobs are only kept while the job is present")
     }
 
     fn job_mut(&mut self, i: usize) -> &mut Job {
-        self.jobs[i].as_mut().expect("indices of jobs are only kept while the job is present")
+        self.jobs[i]
+            .as_mut()
+            .expect("indices of jobs are only kept while the job is present")
     }
 
     /// A job's done and running tasks, for display.
@@ -246,7 +259,9 @@
 
     /// Counts of every job, for the other nodes.
     pub fn all_counts(&self) -> Vec<(String, u32, u32)> {
-        self.jobs().map(|j| (j.record.spec.id.clone(), j.done_n, j.running)).collect()
+        self.jobs()
+            .map(|j| (j.record.spec.id.clone(), j.done_n, j.running))
+            .collect()
     }
 
     fn token(&self, m: &Machine) -> u64 {
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -53,7 +53,13 @@
     pub fn new(s: &crate::config::Settings) -> Self {
         let w = &s.platform.deployment.workers;
         let mut finish_ms: HashMap<String, u64> = HashMap::new();
-        for o in s.platform.deployment.objectives.iter().filter(|o| o.kind == "finished") {
+        for o in s
+            .platform
+            .deployment
+            .objectives
+            .iter()
+            .filter(|o| o.kind == "finished")
+        {
             if let (Some(class), Some(within_s)) = (&o.class, o.within_s) {
                 let ms = (within_s * 1000.0).max(0.0) as u64;
                 let known = finish_ms.entry(class.clone()).or_insert(ms);
@@ -68,7 +74,13 @@
             group_factor: s.operator.group_factor,
             fetch_gb_per_s: s.operator.fetch_gb_per_s,
             transfer_test: s.operator.transfer_test,
-            teams: s.platform.deployment.teams.iter().map(TeamQuota::new).collect(),
+            teams: s
+                .platform
+                .deployment
+                .teams
+                .iter()
+                .map(TeamQuota::new)
+                .collect(),
         }
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -55,7 +55,12 @@
         if queue.is_empty() {
             return;
         }
-        let mut room = Pool::new(self, self.machines().filter(|(_, m)| self.open(m)).map(|(i, m)| (i, self.coming(m))));
+        let mut room = Pool::new(
+            self,
+            self.machines()
+                .filter(|(_, m)| self.open(m))
+                .map(|(i, m)| (i, self.coming(m))),
+        );
         let mut asked = Vec::<FailedSearch>::new();
         // What is being stopped of a team, less what those before in the queue will use of it.
         let mut ending = self.team_ending.clone();
@@ -115,18 +120,23 @@
         for &lower in &self.by_age {
             let other = self.job(lower);
             let spec = &other.record.spec;
-            if other.team != Some(team) || other.ended || spec.priority <= job.record.spec.priority {
+            if other.team != Some(team) || other.ended || spec.priority <= job.record.spec.priority
+            {
                 continue;
             }
             for (&task, a) in other.active.iter().filter(|(_, a)| !a.stops()) {
-                let useful =
-                    self.may_host(job, self.machine(a.machine)) && holders.is_some_and(|h| h.contains(&a.machine));
+                let useful = self.may_host(job, self.machine(a.machine))
+                    && holders.is_some_and(|h| h.contains(&a.machine));
                 victims.push(QuotaVictim {
                     priority: Reverse(spec.priority),
                     displaced: other.displaced.get(&task).copied().unwrap_or(0),
                     fresh: self.now < a.since + SETTLED_RUN_MS,
                     elsewhere: !useful,
-                    lost_ms: if spec.checkpoint_s > 0.0 { 0 } else { self.now.saturating_sub(a.since) },
+                    lost_ms: if spec.checkpoint_s > 0.0 {
+                        0
+                    } else {
+                        self.now.saturating_sub(a.since)
+                    },
                     job: lower,
                     task,
                 });
@@ -183,7 +193,14 @@
     }
 
     /// Stops lower work on one machine for up to `n` tasks of a job; returns for how many.
-    fn preempt_on(&mut self, i: usize, j: usize, n: u32, room: &mut Pool, zones: &mut HashMap<usize, u32>) -> u32 {
+    fn preempt_on(
+        &mut self,
+        i: usize,
+        j: usize,
+        n: u32,
+        room: &mut Pool,
+        zones: &mut HashMap<usize, u32>,
+    ) -> u32 {
         let zone = self.machine(i).zone;
         let need = self.job(j).need;
         let mut victims = self.victims_on(i, j).into_iter();
@@ -216,15 +233,26 @@
         let mut victims = Vec::new();
         for &(other, task) in &self.machine(i).tasks {
             let victim = self.job(other);
-            let Some(a) = victim.active.get(&task).filter(|a| !a.stops()) else { continue };
+            let Some(a) = victim.active.get(&task).filter(|a| !a.stops()) else {
+                continue;
+            };
             let spec = &victim.record.spec;
-            let lower = spec.priority > priority && (!victim.within || priority == Priority::Production);
-            let borrowed =
-                job.within && !victim.within && victim.team != job.team && spec.priority != Priority::Production;
+            let lower =
+                spec.priority > priority && (!victim.within || priority == Priority::Production);
+            let borrowed = job.within
+                && !victim.within
+                && victim.team != job.team
+                && spec.priority != Priority::Production;
             if lower || borrowed {
                 let displaced = victim.displaced.get(&task).copied().unwrap_or(0);
                 let (priority, since) = (Reverse(spec.priority), Reverse(a.since));
-                victims.push(Victim { priority, displaced, since, job: other, task });
+                victims.push(Victim {
+                    priority,
+                    displaced,
+                    since,
+                    job: other,
+                    task,
+                });
             }
         }
         victims.sort_unstable();
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -39,7 +39,11 @@
 }
 
 fn halt(line: &TaskReport) -> Command {
-    Command::Stop { task: line.task.clone(), attempt: line.attempt, grace_s: 0.0 }
+    Command::Stop {
+        task: line.task.clone(),
+        attempt: line.attempt,
+        grace_s: 0.0,
+    }
 }
 
 impl Scheduler {
@@ -48,13 +52,18 @@
         if r.token >> TOKEN_BITS > self.epoch {
             return ReportOutcome::Superseded;
         }
-        let Some(&i) = self.machine_index.get(&r.machine) else { return ReportOutcome::UnregisteredMachine };
+        let Some(&i) = self.machine_index.get(&r.machine) else {
+            return ReportOutcome::UnregisteredMachine;
+        };
         let token = self.token(self.machine(i));
         if arrival.is_report() {
             self.renew_lease(i, r);
         }
         if (r.session, r.seq) <= self.machine(i).last || r.token > token {
-            return ReportOutcome::Reply(ReportReply { token, orders: Vec::new() });
+            return ReportOutcome::Reply(ReportReply {
+                token,
+                orders: Vec::new(),
+            });
         }
         let another_session = self.note_contact(i, r);
         let mut orders = Vec::new();
@@ -63,7 +72,13 @@
         } else {
             // Nothing is concluded from it, but what is there of a job that is over is stopped by the first answer: without
             // this, a machine that hung or was cut off once it had its lease renewed went on with it for another lease.
-            orders.extend(r.tasks.iter().filter(|l| l.state != TaskState::Exited).filter(|l| self.over(l)).map(halt));
+            orders.extend(
+                r.tasks
+                    .iter()
+                    .filter(|l| l.state != TaskState::Exited)
+                    .filter(|l| self.over(l))
+                    .map(halt),
+            );
         }
         ReportOutcome::Reply(self.reply(i, orders))
     }
@@ -135,7 +150,14 @@
         // may mean that the worker hears nothing of us: it has to show a new token before it gets work again. Without
         // this, such a machine took the same tasks again and again and lost them.
         if another_session || lost {
-            self.raise(i, if another_session { "another session" } else { "an answer was lost" });
+            self.raise(
+                i,
+                if another_session {
+                    "another session"
+                } else {
+                    "an answer was lost"
+                },
+            );
         } else if arrival == (Arrival::Report { may_start: true }) {
             self.collect_starts(i, false, orders);
             if orders.len() < COMMANDS_PER_MESSAGE && !self.machine(i).direct {
@@ -176,11 +198,18 @@
     /// report, which the worker may not have received yet. Only its next report tells of these, since it has one in flight at
     /// a time. (A direct stop that overtook such a start once made tasks run twice.)
     /// True if a start in an answer to a report was not executed.
-    fn reconcile(&mut self, i: usize, r: &Report, arrival: Arrival, orders: &mut Vec<Command>) -> bool {
+    fn reconcile(
+        &mut self,
+        i: usize,
+        r: &Report,
+        arrival: Arrival,
+        orders: &mut Vec<Command>,
+    ) -> bool {
         self.drop_replaced_attempts(i, r, arrival);
         let mut listed = HashSet::with_capacity(r.tasks.len());
         // What has ended first: a refused start of one attempt must not hide that another still runs here.
-        let (ended, live): (Vec<_>, Vec<_>) = r.tasks.iter().partition(|l| l.state == TaskState::Exited);
+        let (ended, live): (Vec<_>, Vec<_>) =
+            r.tasks.iter().partition(|l| l.state == TaskState::Exited);
         for line in ended {
             self.reconcile_ended(i, line, &mut listed, orders);
         }
@@ -198,7 +227,8 @@
 
     /// The same for a task that its job has.
     fn known_task(&self, line: &TaskReport) -> Option<(usize, u32)> {
-        self.find_task(line).filter(|(j, t)| *t < self.job(*j).tasks())
+        self.find_task(line)
+            .filter(|(j, t)| *t < self.job(*j).tasks())
     }
 
     /// The attempt that a line of a machine's report is about, if it is the one that is known to be there.
@@ -211,12 +241,19 @@
     /// here. Taken for a stray, it was once stopped and its task started elsewhere before it had ended.
     fn drop_replaced_attempts(&mut self, i: usize, r: &Report, arrival: Arrival) {
         for line in r.tasks.iter().filter(|l| l.state != TaskState::Exited) {
-            let Some((j, t)) = self.find_task(line) else { continue };
-            let Some(a) = self.job(j).active.get(&t).copied() else { continue };
+            let Some((j, t)) = self.find_task(line) else {
+                continue;
+            };
+            let Some(a) = self.job(j).active.get(&t).copied() else {
+                continue;
+            };
             if a.machine != i || a.attempt == line.attempt || self.under_way(i, &a, r, arrival) {
                 continue;
             }
-            let listed = r.tasks.iter().any(|l| l.task == line.task && l.attempt == a.attempt);
+            let listed = r
+                .tasks
+                .iter()
+                .any(|l| l.task == line.task && l.attempt == a.attempt);
             if a.phase != Phase::Assigned && !listed {
                 self.apply_event(j, t, TaskEvent::Gone);
             }
@@ -231,7 +268,10 @@
         listed: &mut HashSet<(usize, u32)>,
         orders: &mut Vec<Command>,
     ) {
-        let forget = Command::Forget { task: line.task.clone(), attempt: line.attempt };
+        let forget = Command::Forget {
+            task: line.task.clone(),
+            attempt: line.attempt,
+        };
         let Some((j, t)) = self.known_task(line) else {
             orders.push(forget);
             return;
@@ -256,16 +296,32 @@
         listed: &mut HashSet<(usize, u32)>,
         orders: &mut Vec<Command>,
     ) {
-        let stop = |grace_s: f64| Command::Stop { task: line.task.clone(), attempt: line.attempt, grace_s };
+        let stop = |grace_s: f64| Command::Stop {
+            task: line.task.clone(),
+            attempt: line.attempt,
+            grace_s,
+        };
         let Some((j, t)) = self.known_task(line) else {
             orders.push(stop(0.0));
             return;
         };
         let early = matches!(line.state, TaskState::Fetching | TaskState::Gathering);
-        let phase = if early { Phase::Fetching } else { Phase::Running };
+        let phase = if early {
+            Phase::Fetching
+        } else {
+            Phase::Running
+        };
         let job = self.job(j);
         if !job.active.contains_key(&t) && !bit(&job.done, t) {
-            self.apply_event(j, t, TaskEvent::Adopt { machine: i, attempt: line.attempt, phase });
+            self.apply_event(
+                j,
+                t,
+                TaskEvent::Adopt {
+                    machine: i,
+                    attempt: line.attempt,
+                    phase,
+                },
+            );
             // Its line may have left the log.
             self.log.wants(j, t, i, line.attempt);
             if self.job(j).ended {
@@ -282,7 +338,11 @@
         }
         if let Phase::Stopping { save } = a.phase {
             if !(save && line.state == TaskState::Saving) {
-                orders.push(stop(if save { self.job(j).record.spec.save_s } else { 0.0 }));
+                orders.push(stop(if save {
+                    self.job(j).record.spec.save_s
+                } else {
+                    0.0
+                }));
             }
             return;
         }
@@ -291,11 +351,25 @@
 
     /// What a machine does not list is not there, unless its start is still under way. True if a start in an answer to a
     /// report was not executed.
-    fn drop_unlisted(&mut self, i: usize, r: &Report, arrival: Arrival, listed: &HashSet<(usize, u32)>) -> bool {
-        let absent: Vec<_> = self.machine(i).tasks.iter().copied().filter(|k| !listed.contains(k)).collect();
+    fn drop_unlisted(
+        &mut self,
+        i: usize,
+        r: &Report,
+        arrival: Arrival,
+        listed: &HashSet<(usize, u32)>,
+    ) -> bool {
+        let absent: Vec<_> = self
+            .machine(i)
+            .tasks
+            .iter()
+            .copied()
+            .filter(|k| !listed.contains(k))
+            .collect();
         let mut lost = false;
         for (j, t) in absent {
-            let Some(a) = self.job(j).active.get(&t).copied() else { continue };
+            let Some(a) = self.job(j).active.get(&t).copied() else {
+                continue;
+            };
             if a.phase == Phase::Assigned || self.under_way(i, &a, r, arrival) {
                 continue;
             }
@@ -309,7 +383,13 @@
     /// Whether a start may still be on its way to a worker that has sent this report. One sent under an older token is
     /// void: the worker has seen this one.
     fn under_way(&self, i: usize, a: &TaskAttempt, r: &Report, arrival: Arrival) -> bool {
-        !a.shown && a.token == r.token && if a.direct { self.machine(i).direct } else { !arrival.is_report() }
+        !a.shown
+            && a.token == r.token
+            && if a.direct {
+                self.machine(i).direct
+            } else {
+                !arrival.is_report()
+            }
     }
 
     /// A live task's state as its worker tells it.
@@ -320,7 +400,10 @@
             let took = self.now.saturating_sub(a.since) as f64 / 1000.0;
             if a.phase == Phase::Fetching && took > 0.5 && size > 0.0 {
                 let kind = self.machine(i).kind;
-                let first = self.types.get(kind).map_or(self.params.fetch_gb_per_s, |_| self.params.fetch_gb_per_s);
+                let first = self
+                    .types
+                    .get(kind)
+                    .map_or(self.params.fetch_gb_per_s, |_| self.params.fetch_gb_per_s);
                 let rate = self.fetch_rate.entry(kind).or_insert(first);
                 *rate += 0.1 * (size / took - *rate);
             }
@@ -343,7 +426,11 @@
         }
         m.images.retain(|x| *x != image);
         m.images.push_back(image);
-        let oldest = if m.images.len() > IMAGES_PER_MACHINE { m.images.pop_front() } else { None };
+        let oldest = if m.images.len() > IMAGES_PER_MACHINE {
+            m.images.pop_front()
+        } else {
+            None
+        };
         self.holders.entry(image).or_default().insert(i);
         if let Some(old) = oldest {
             self.let_image_go(i, old);
@@ -360,7 +447,14 @@
     }
 
     /// A task has ended on a machine. True if its line may be forgotten.
-    fn exited(&mut self, i: usize, j: usize, t: u32, reason: Option<ExitReason>, active: Option<TaskAttempt>) -> bool {
+    fn exited(
+        &mut self,
+        i: usize,
+        j: usize,
+        t: u32,
+        reason: Option<ExitReason>,
+        active: Option<TaskAttempt>,
+    ) -> bool {
         let job = self.job(j);
         if reason == Some(ExitReason::Done) && job.record.spec.kind != Kind::Service && !job.ended {
             if !bit(&job.done, t) {
@@ -437,7 +531,13 @@
             m.faulty = m.state == MachineState::Up;
             self.enter(i, MachineState::Draining, "fails tasks of several jobs");
             for (j, t) in self.machine(i).tasks.clone() {
-                self.apply_event(j, t, TaskEvent::Stop { save: self.job(j).record.spec.checkpoint_s > 0.0 });
+                self.apply_event(
+                    j,
+                    t,
+                    TaskEvent::Stop {
+                        save: self.job(j).record.spec.checkpoint_s > 0.0,
+                    },
+                );
             }
         }
     }
@@ -445,7 +545,9 @@
     /// The failures of a job say nothing of machines: those given up for its sake are used again.
     fn clear_suspicion(&mut self, j: usize) {
         for i in 0..self.machines.len() {
-            let Some(m) = self.machines[i].as_mut().filter(|m| m.errors.contains(&j)) else { continue };
+            let Some(m) = self.machines[i].as_mut().filter(|m| m.errors.contains(&j)) else {
+                continue;
+            };
             m.errors.retain(|e| *e != j);
             if m.errors.len() < 2 && std::mem::take(&mut m.faulty) && m.notice_at.is_none() {
                 self.enter(i, MachineState::Up, "what failed there fails everywhere");
@@ -460,13 +562,18 @@
                 self.outbox.insert(i);
                 return;
             }
-            let Some(a) = self.job(j).active.get(&t).copied() else { continue };
+            let Some(a) = self.job(j).active.get(&t).copied() else {
+                continue;
+            };
             if a.phase == Phase::Assigned && a.logged {
                 let task = format!("{}/{t}", self.job(j).record.spec.id);
                 let (machine, epoch) = (&self.machine(i).name, self.epoch);
                 let token = self.token(self.machine(i));
                 tracing::info!(job = %self.job(j).record.spec.id, task = t, %machine, epoch, direct, "start");
-                orders.push(Command::Start { task, attempt: a.attempt });
+                orders.push(Command::Start {
+                    task,
+                    attempt: a.attempt,
+                });
                 self.apply_event(j, t, TaskEvent::Send { direct, token });
             }
         }
@@ -479,13 +586,21 @@
                 self.outbox.insert(i);
                 return;
             }
-            let job = self.jobs[j].as_mut().expect("accounted tasks belong to a present job");
-            let Some(a) = job.active.get_mut(&t) else { continue };
+            let job = self.jobs[j]
+                .as_mut()
+                .expect("accounted tasks belong to a present job");
+            let Some(a) = job.active.get_mut(&t) else {
+                continue;
+            };
             if let (Phase::Stopping { save }, false) = (a.phase, a.stop_sent) {
                 a.stop_sent = true;
                 let grace_s = if save { job.record.spec.save_s } else { 0.0 };
                 let task = format!("{}/{t}", job.record.spec.id);
-                orders.push(Command::Stop { task, attempt: a.attempt, grace_s });
+                orders.push(Command::Stop {
+                    task,
+                    attempt: a.attempt,
+                    grace_s,
+                });
             }
         }
     }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -43,7 +43,12 @@
 
     pub(super) fn add(&mut self, j: &Job) {
         if self.0.len() < 64 {
-            self.0.push(FailedSearch { need: j.need, spot: j.record.spec.spot, types: j.types.clone(), zone: j.zone });
+            self.0.push(FailedSearch {
+                need: j.need,
+                spot: j.record.spec.spot,
+                types: j.types.clone(),
+                zone: j.zone,
+            });
         }
     }
 }
@@ -85,7 +90,14 @@
             let j = self.job(*i);
             let spec = &j.record.spec;
             let (priority_class, work) = self.queue_priority(j);
-            (spec.priority != Priority::Production, !j.within, spec.priority, priority_class, work, *i)
+            (
+                spec.priority != Priority::Production,
+                !j.within,
+                spec.priority,
+                priority_class,
+                work,
+                *i,
+            )
         });
         out
     }
@@ -99,7 +111,10 @@
         if spec.kind == Kind::Service {
             return (1, j.submitted);
         }
-        let span = spec.deadline_s.map(millis).or(self.params.finish_ms.get(&spec.class).copied());
+        let span = spec
+            .deadline_s
+            .map(millis)
+            .or(self.params.finish_ms.get(&spec.class).copied());
         let age = self.now.saturating_sub(j.submitted);
         let begun = j.done_n > 0 || !j.active.is_empty();
         if !begun && age as f64 > FIRST_TASK_DEADLINE_MS as f64 * PATIENCE {
@@ -116,7 +131,10 @@
     pub(super) fn quota_room(&self, j: &Job) -> u32 {
         let Some(t) = j.team else { return 0 };
         let room = |r: usize| {
-            self.params.teams[t].limit[r].saturating_sub(self.team_use[t][r]).checked_div(j.need[r]).unwrap_or(u64::MAX)
+            self.params.teams[t].limit[r]
+                .saturating_sub(self.team_use[t][r])
+                .checked_div(j.need[r])
+                .unwrap_or(u64::MAX)
         };
         room(0).min(room(1)).min(u32::MAX as u64) as u32
     }
@@ -159,7 +177,10 @@
         if queue.is_empty() {
             return true;
         }
-        let least = queue.iter().map(|j| self.job(*j).need).reduce(|a, b| std::array::from_fn(|r| a[r].min(b[r])));
+        let least = queue
+            .iter()
+            .map(|j| self.job(*j).need)
+            .reduce(|a, b| std::array::from_fn(|r| a[r].min(b[r])));
         let least = least.unwrap_or([1; 3]);
         let mut pass = Pass {
             open: Vec::new(),
@@ -200,7 +221,11 @@
             }
             // What has filled up meanwhile is not looked at again.
             let machines = &self.machines;
-            pass.open.retain(|i| machines[*i].as_ref().is_some_and(|m| fits(&least, &m.room) > 0));
+            pass.open.retain(|i| {
+                machines[*i]
+                    .as_ref()
+                    .is_some_and(|m| fits(&least, &m.room) > 0)
+            });
         }
         true
     }
@@ -216,11 +241,27 @@
         let candidate = |i: usize, m: &Machine, room: u32, holder: bool| {
             // Spot machines first where allowed. Services go together, since only they keep a machine from being
             // returned; other tasks fill the fullest machine.
-            let spare = if service { self.without_services(m) } else { m.room[0] };
-            let order = ((!m.spot as u64) << 40) + ((job.failed_on.contains(&i) as u64) << 41) + spare;
-            let ends_s = if room == 0 { self.ends_s(i, m, job, pass) } else { Vec::new() };
+            let spare = if service {
+                self.without_services(m)
+            } else {
+                m.room[0]
+            };
+            let order =
+                ((!m.spot as u64) << 40) + ((job.failed_on.contains(&i) as u64) << 41) + spare;
+            let ends_s = if room == 0 {
+                self.ends_s(i, m, job, pass)
+            } else {
+                Vec::new()
+            };
             let c = m.c.get(job.class).unwrap_or(pass.mean[job.class]);
-            Candidate { machine: i, c, holder, room, ends_s, order }
+            Candidate {
+                machine: i,
+                c,
+                holder,
+                room,
+                ends_s,
+                order,
+            }
         };
         let holders = self.holders.get(&job.image);
         let mut out = Vec::new();
@@ -228,10 +269,19 @@
             let m = self.machine(i);
             let room = fits(&job.need, &m.room);
             if room > 0 && self.may_host(job, m) {
-                out.push(candidate(i, m, room, holders.is_some_and(|h| h.contains(&i))));
+                out.push(candidate(
+                    i,
+                    m,
+                    room,
+                    holders.is_some_and(|h| h.contains(&i)),
+                ));
             }
         }
-        if out.is_empty() || !self.params.transfer_test || self.impatient(job) || out.iter().all(|c| c.holder) {
+        if out.is_empty()
+            || !self.params.transfer_test
+            || self.impatient(job)
+            || out.iter().all(|c| c.holder)
+        {
             return out;
         }
         for &i in holders.into_iter().flatten() {
@@ -251,7 +301,10 @@
 
     /// CPUs of a machine that no service uses.
     pub(super) fn without_services(&self, m: &Machine) -> u64 {
-        self.types.get(m.kind).map_or(0, |t| (t.cpus * 1000.0) as u64).saturating_sub(m.service_cpus)
+        self.types
+            .get(m.kind)
+            .map_or(0, |t| (t.cpus * 1000.0) as u64)
+            .saturating_sub(m.service_cpus)
     }
 
     /// When a machine's tasks are expected to end, less what others wait for already.
@@ -260,22 +313,35 @@
         let rest = m.tasks.iter().filter_map(|(j, t)| {
             let other = self.jobs[*j].as_ref()?;
             let a = other.active.get(t)?;
-            let spent = if a.phase == Phase::Running { self.now.saturating_sub(a.since) } else { 0 } as f64 / 1000.0;
+            let spent = if a.phase == Phase::Running {
+                self.now.saturating_sub(a.since)
+            } else {
+                0
+            } as f64
+                / 1000.0;
             // Of what has run for longer than expected nothing says that it will end now: believed to end within a second,
             // such places kept others waiting for them again and again.
             let time = other.time_s() / c;
-            (other.record.spec.kind != Kind::Service).then(|| (time - spent).max(time.max(spent) / 4.0))
+            (other.record.spec.kind != Kind::Service)
+                .then(|| (time - spent).max(time.max(spent) / 4.0))
         });
         let mut ends: Vec<f64> = rest.collect();
         ends.sort_by(f64::total_cmp);
-        ends.split_off(ends.len().min(pass.waited.get(&i).copied().unwrap_or(0) as usize))
+        ends.split_off(
+            ends.len()
+                .min(pass.waited.get(&i).copied().unwrap_or(0) as usize),
+        )
     }
 
     fn place_job(&mut self, j: usize, pass: &mut Pass) {
         let job = self.job(j);
         let whole = job.record.spec.kind == Kind::Gang;
         let wanted = job.wanted(self.now).min(self.quota_room(job));
-        let mut left = if whole { wanted } else { wanted.min(PLACED_PER_PASS) };
+        let mut left = if whole {
+            wanted
+        } else {
+            wanted.min(PLACED_PER_PASS)
+        };
         let more = wanted > left;
         // A gang starts whole or not at all: what is left of an earlier try must be gone first.
         if left == 0 || (whole && (left < job.pending() || !job.active.is_empty())) {
@@ -292,11 +358,19 @@
             for c in &candidates {
                 *by_zone.entry(self.machine(c.machine).zone).or_default() += c.room as u64;
             }
-            let best = by_zone.iter().max_by_key(|(_, room)| **room).map(|(z, _)| *z);
+            let best = by_zone
+                .iter()
+                .max_by_key(|(_, room)| **room)
+                .map(|(z, _)| *z);
             candidates.retain(|c| Some(self.machine(c.machine).zone) == best);
         }
         let kind = self.machine(candidates[0].machine).kind;
-        let rate = self.fetch_rate.get(&kind).copied().unwrap_or(self.params.fetch_gb_per_s).max(0.001);
+        let rate = self
+            .fetch_rate
+            .get(&kind)
+            .copied()
+            .unwrap_or(self.params.fetch_gb_per_s)
+            .max(0.001);
         let ask = Ask {
             tasks: left,
             waiting: left,
@@ -307,7 +381,17 @@
         };
         // With a zone cap a machine may get less than planned; the plan then covers all machines.
         let capped = job.record.spec.scatter;
-        let plan = placement::plan(candidates, if capped { Ask { tasks: u32::MAX, ..ask } } else { ask });
+        let plan = placement::plan(
+            candidates,
+            if capped {
+                Ask {
+                    tasks: u32::MAX,
+                    ..ask
+                }
+            } else {
+                ask
+            },
+        );
         if whole && plan.now.iter().map(|(_, n)| *n as u64).sum::<u64>() < left as u64 {
             return;
         }
@@ -327,7 +411,9 @@
                 if self.zone_cap(self.job(j), zone) == 0 {
                     break;
                 }
-                let Some(t) = self.job_mut(j).next_pending() else { return };
+                let Some(t) = self.job_mut(j).next_pending() else {
+                    return;
+                };
                 self.attempts += !whole as u64;
                 let attempt = (self.epoch << TOKEN_BITS) + self.attempts;
                 self.apply_event(j, t, TaskEvent::Assign { machine, attempt });
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -38,7 +38,12 @@
 impl StartLog {
     /// An assigned start needs its line.
     pub(super) fn wants(&mut self, job: usize, task: u32, machine: usize, attempt: u64) {
-        self.wanted.push_back(Line { job, task, machine, attempt });
+        self.wanted.push_back(Line {
+            job,
+            task,
+            machine,
+            attempt,
+        });
     }
 
     /// Whether lines wait to be written.
@@ -70,7 +75,9 @@
     let mut out = Vec::new();
     for machine in text.split(';') {
         let mut words = machine.split(' ');
-        let (Some(name), Some(address)) = (words.next(), words.next()) else { continue };
+        let (Some(name), Some(address)) = (words.next(), words.next()) else {
+            continue;
+        };
         let mut job = None;
         for word in words {
             if let Some(id) = word.strip_prefix('/') {
@@ -87,13 +94,17 @@
 
 /// Whether a name can stand in the log.
 pub(super) fn plain(name: &str) -> bool {
-    !name.is_empty() && name.len() <= 100 && !name.contains([' ', ';', '/', '"', '\\']) && name.is_ascii()
+    !name.is_empty()
+        && name.len() <= 100
+        && !name.contains([' ', ';', '/', '"', '\\'])
+        && name.is_ascii()
 }
 
 impl Scheduler {
     fn at_work(&self, l: &Line) -> bool {
         let job = self.jobs[l.job].as_ref();
-        job.and_then(|j| j.active.get(&l.task)).is_some_and(|a| a.attempt == l.attempt && a.machine == l.machine)
+        job.and_then(|j| j.active.get(&l.task))
+            .is_some_and(|a| a.attempt == l.attempt && a.machine == l.machine)
     }
 
     /// The next write of the log, at most `limit` bytes long and of starts of at most `most` jobs; none if no start waits
@@ -108,11 +119,25 @@
         let numbers: Vec<u32> = self.log.slots.keys().copied().collect();
         let from = numbers.partition_point(|n| *n <= self.log.cursor);
         let mut some = (0..numbers.len().min(4)).map(|k| numbers[(from + k) % numbers.len()]);
-        let live = |p: &Self, n: u32| p.log.slots[&n].lines.iter().filter(|l| p.at_work(l)).count();
+        let live = |p: &Self, n: u32| {
+            p.log.slots[&n]
+                .lines
+                .iter()
+                .filter(|l| p.at_work(l))
+                .count()
+        };
         let best = some.clone().map(|n| (live(self, n), n)).min();
         self.log.cursor = some.next_back().unwrap_or(0);
         let (slot, mut lines) = match best.filter(|(n, _)| n * 48 <= limit / 2) {
-            Some((_, n)) => (n, self.log.slots[&n].lines.iter().copied().filter(|l| self.at_work(l)).collect()),
+            Some((_, n)) => (
+                n,
+                self.log.slots[&n]
+                    .lines
+                    .iter()
+                    .copied()
+                    .filter(|l| self.at_work(l))
+                    .collect(),
+            ),
             None => (numbers.last().map_or(0, |n| n + 1), Vec::new()),
         };
         let version = self.log.slots.get(&slot).map_or(0, |s| s.version);
@@ -123,7 +148,11 @@
             let mut n = 0;
             for l in wanted.iter().take(room) {
                 // What a report has shown is there, whatever has become of its job; only a start needs its job.
-                let starts = self.job(l.job).active.get(&l.task).is_some_and(|a| a.phase == Phase::Assigned);
+                let starts = self
+                    .job(l.job)
+                    .active
+                    .get(&l.task)
+                    .is_some_and(|a| a.phase == Phase::Assigned);
                 if starts && !jobs.contains(&l.job) {
                     if jobs.len() == most {
                         break;
@@ -140,8 +169,18 @@
             text = self.text(&lines);
         }
         self.log.wanted = wanted;
-        let jobs = jobs.into_iter().map(|j| (self.job(j).record.spec.id.clone(), self.job(j).version)).collect();
-        (!fresh.is_empty()).then_some(Append { slot, version, text, jobs, lines, fresh })
+        let jobs = jobs
+            .into_iter()
+            .map(|j| (self.job(j).record.spec.id.clone(), self.job(j).version))
+            .collect();
+        (!fresh.is_empty()).then_some(Append {
+            slot,
+            version,
+            text,
+            jobs,
+            lines,
+            fresh,
+        })
     }
 
     fn text(&self, lines: &[Line]) -> String {
@@ -152,8 +191,17 @@
         for l in sorted {
             if machine != Some(l.machine) {
                 let m = self.machine(l.machine);
-                let address = if plain(&m.address) { m.address.as_str() } else { "-" };
-                let _ = write!(out, "{}{} {address}", if machine.is_some() { ";" } else { "" }, m.name);
+                let address = if plain(&m.address) {
+                    m.address.as_str()
+                } else {
+                    "-"
+                };
+                let _ = write!(
+                    out,
+                    "{}{} {address}",
+                    if machine.is_some() { ";" } else { "" },
+                    m.name
+                );
                 (machine, job) = (Some(l.machine), None);
             }
             if job != Some(l.job) {
@@ -167,7 +215,13 @@
 
     /// A write is durable: its starts may be sent.
     pub fn appended(&mut self, done: Append, version: u64) {
-        self.log.slots.insert(done.slot, Slot { version, lines: done.lines });
+        self.log.slots.insert(
+            done.slot,
+            Slot {
+                version,
+                lines: done.lines,
+            },
+        );
         for l in done.fresh {
             if self.at_work(&l) {
                 self.apply_event(l.job, l.task, TaskEvent::Log);
@@ -181,7 +235,10 @@
             self.log.wanted.push_front(l);
         }
         if let Some((version, text)) = found {
-            let lines = parse(text).into_iter().filter_map(|r| self.line(r)).collect();
+            let lines = parse(text)
+                .into_iter()
+                .filter_map(|r| self.line(r))
+                .collect();
             self.log.slots.insert(failed.slot, Slot { version, lines });
         }
     }
@@ -189,7 +246,12 @@
     fn line(&self, (name, _, job, task, attempt): Read) -> Option<Line> {
         let machine = *self.machine_index.get(name)?;
         let job = *self.job_index.get(job)?;
-        (task < self.job(job).tasks()).then_some(Line { job, task, machine, attempt })
+        (task < self.job(job).tasks()).then_some(Line {
+            job,
+            task,
+            machine,
+            attempt,
+        })
     }
 
     /// The epoch before kept no log: places nothing until every lease of it has surely run out or been renewed by this one.
@@ -211,7 +273,12 @@
                 let Some(line) = self.line(read) else {
                     // Of its machine nothing is left, but the line may be the last word on its task.
                     if let (Some(&job), false) = (self.job_index.get(read.2), self.knows(read.0)) {
-                        let gone = Line { job, task: read.3, machine: usize::MAX, attempt: read.4 };
+                        let gone = Line {
+                            job,
+                            task: read.3,
+                            machine: usize::MAX,
+                            attempt: read.4,
+                        };
                         let known = last.entry((job, read.3)).or_insert(gone);
                         if known.attempt < gone.attempt {
                             *known = gone;
@@ -240,7 +307,15 @@
             if l.machine == usize::MAX || bit(&self.job(j).done, t) {
                 continue;
             }
-            self.apply_event(j, t, TaskEvent::Adopt { machine: l.machine, attempt: l.attempt, phase: Phase::Sent });
+            self.apply_event(
+                j,
+                t,
+                TaskEvent::Adopt {
+                    machine: l.machine,
+                    attempt: l.attempt,
+                    phase: Phase::Sent,
+                },
+            );
             if self.job(j).ended {
                 self.apply_event(j, t, TaskEvent::Stop { save: false });
             }
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -43,12 +43,24 @@
 
 /// Everything that can happen to a task.
 pub(super) enum TaskEvent {
-    Assign { machine: usize, attempt: u64 },
-    Adopt { machine: usize, attempt: u64, phase: Phase },
+    Assign {
+        machine: usize,
+        attempt: u64,
+    },
+    Adopt {
+        machine: usize,
+        attempt: u64,
+        phase: Phase,
+    },
     Log,
-    Send { direct: bool, token: u64 },
+    Send {
+        direct: bool,
+        token: u64,
+    },
     Show(Phase),
-    Stop { save: bool },
+    Stop {
+        save: bool,
+    },
     Gone,
     Finished,
 }
@@ -94,29 +106,57 @@
 fn next_attempt(old: Option<TaskAttempt>, event: TaskEvent, now: u64) -> Transition {
     let Some(a) = old else {
         return match event {
-            TaskEvent::Assign { machine, attempt } => Transition::To(TaskAttempt::assigned(machine, attempt, now)),
-            TaskEvent::Adopt { machine, attempt, phase } => {
+            TaskEvent::Assign { machine, attempt } => {
+                Transition::To(TaskAttempt::assigned(machine, attempt, now))
+            }
+            TaskEvent::Adopt {
+                machine,
+                attempt,
+                phase,
+            } => {
                 let shown = phase != Phase::Sent;
                 let assigned = TaskAttempt::assigned(machine, attempt, now);
-                Transition::To(TaskAttempt { phase, logged: true, shown, ..assigned })
+                Transition::To(TaskAttempt {
+                    phase,
+                    logged: true,
+                    shown,
+                    ..assigned
+                })
             }
             _ => Transition::Unchanged,
         };
     };
     match event {
-        TaskEvent::Log if a.phase == Phase::Assigned => Transition::To(TaskAttempt { logged: true, ..a }),
+        TaskEvent::Log if a.phase == Phase::Assigned => {
+            Transition::To(TaskAttempt { logged: true, ..a })
+        }
         TaskEvent::Send { direct, token } if a.phase == Phase::Assigned && a.logged => {
-            Transition::To(TaskAttempt { phase: Phase::Sent, since: now, direct, token, ..a })
+            Transition::To(TaskAttempt {
+                phase: Phase::Sent,
+                since: now,
+                direct,
+                token,
+                ..a
+            })
         }
         TaskEvent::Show(phase) if a.phase != phase && a.phase != Phase::Assigned && !a.stops() => {
-            Transition::To(TaskAttempt { phase, since: now, ..a })
+            Transition::To(TaskAttempt {
+                phase,
+                since: now,
+                ..a
+            })
         }
         // Never sent, so it cannot be anywhere.
         TaskEvent::Stop { .. } if a.phase == Phase::Assigned => Transition::Gone,
         TaskEvent::Stop { save } => match a.phase {
             Phase::Stopping { save: false } => Transition::Unchanged,
             Phase::Stopping { save: true } if save => Transition::Unchanged,
-            _ => Transition::To(TaskAttempt { phase: Phase::Stopping { save }, since: now, stop_sent: false, ..a }),
+            _ => Transition::To(TaskAttempt {
+                phase: Phase::Stopping { save },
+                since: now,
+                stop_sent: false,
+                ..a
+            }),
         },
         TaskEvent::Gone | TaskEvent::Finished => Transition::Gone,
         _ => Transition::Unchanged,
@@ -141,9 +181,17 @@
     }
 
     /// Puts a task's new state in the place of its old one.
-    fn replace_attempt(&mut self, j: usize, t: u32, old: Option<TaskAttempt>, next: Option<TaskAttempt>) {
+    fn replace_attempt(
+        &mut self,
+        j: usize,
+        t: u32,
+        old: Option<TaskAttempt>,
+        next: Option<TaskAttempt>,
+    ) {
         let now = self.now;
-        let job = self.jobs[j].as_mut().expect("a task that changes belongs to a present job");
+        let job = self.jobs[j]
+            .as_mut()
+            .expect("a task that changes belongs to a present job");
         match (old, next) {
             (None, Some(n)) => {
                 job.placed_at = now;
@@ -185,7 +233,13 @@
         let need = job.need;
         if let Some(team) = job.team.filter(|_| stops(next) != stops(old)) {
             let ending = &mut self.team_ending[team];
-            *ending = std::array::from_fn(|r| if stops(next) { ending[r] + need[r] } else { ending[r] - need[r] });
+            *ending = std::array::from_fn(|r| {
+                if stops(next) {
+                    ending[r] + need[r]
+                } else {
+                    ending[r] - need[r]
+                }
+            });
         }
         if let Some(at) = next.or(old).map(|a| a.machine) {
             let m = self.machine_mut(at);
@@ -194,10 +248,20 @@
     }
 
     /// Asks for what has to follow a change: a line in the start log, a command, a new look at what can be placed.
-    fn request_follow_up(&mut self, j: usize, t: u32, old: Option<TaskAttempt>, next: Option<TaskAttempt>) {
-        let Some(at) = next.or(old).map(|a| a.machine) else { return };
+    fn request_follow_up(
+        &mut self,
+        j: usize,
+        t: u32,
+        old: Option<TaskAttempt>,
+        next: Option<TaskAttempt>,
+    ) {
+        let Some(at) = next.or(old).map(|a| a.machine) else {
+            return;
+        };
         match next {
-            Some(a) if a.phase == Phase::Assigned && !a.logged => self.log.wants(j, t, at, a.attempt),
+            Some(a) if a.phase == Phase::Assigned && !a.logged => {
+                self.log.wants(j, t, at, a.attempt)
+            }
             Some(a) if a.phase == Phase::Assigned || (a.stops() && !a.stop_sent) => {
                 self.outbox.insert(at);
             }
@@ -208,13 +272,21 @@
     }
 
     pub(super) fn account(&mut self, j: usize, t: u32, machine: usize, enter: bool) {
-        let job = self.jobs[j].as_mut().expect("accounted tasks belong to a present job");
-        let m = self.machines[machine].as_mut().expect("accounted tasks are on a present machine");
+        let job = self.jobs[j]
+            .as_mut()
+            .expect("accounted tasks belong to a present job");
+        let m = self.machines[machine]
+            .as_mut()
+            .expect("accounted tasks are on a present machine");
         let zone = job.zone_use.entry(m.zone).or_default();
         let team = job.team.map(|t| &mut self.team_use[t]);
         if enter {
             m.tasks.insert((j, t));
-            m.service_cpus += if job.record.spec.kind == Kind::Service { job.need[0] } else { 0 };
+            m.service_cpus += if job.record.spec.kind == Kind::Service {
+                job.need[0]
+            } else {
+                0
+            };
             m.room = less(&m.room, &job.need, 1);
             *zone += 1;
             if let Some(u) = team {
@@ -223,14 +295,21 @@
             m.idle_since = None;
         } else {
             m.tasks.remove(&(j, t));
-            m.service_cpus -= if job.record.spec.kind == Kind::Service { job.need[0] } else { 0 };
+            m.service_cpus -= if job.record.spec.kind == Kind::Service {
+                job.need[0]
+            } else {
+                0
+            };
             *zone -= 1;
             if let Some(u) = team {
                 *u = [u[0] - job.need[0], u[1] - job.need[1]];
             }
             m.room = self.types.get(m.kind).map_or([0; 3], |t| {
                 let all = [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64);
-                m.tasks.iter().filter_map(|(j, _)| self.jobs[*j].as_ref()).fold(all, |r, j| less(&r, &j.need, 1))
+                m.tasks
+                    .iter()
+                    .filter_map(|(j, _)| self.jobs[*j].as_ref())
+                    .fold(all, |r, j| less(&r, &j.need, 1))
             });
             if m.tasks.is_empty() {
                 m.idle_since = Some(self.now);
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -8,9 +8,26 @@
     let mut w = World::new();
     ["n-1", "n-2", "n-3"].iter().for_each(|n| w.known(n));
     w.job(spec("wk-1", 4), 50);
-    w.job(JobSpec { kind: Kind::Service, priority: Priority::Production, spot: false, ..spec("wk-2", 1) }, 50);
-    w.inherit(&[("n-2", "wk-1/0", 7), ("n-2", "wk-1/1", 8), ("n-3", "wk-2/0", 9)]);
-    let asked: Vec<String> = w.scheduler.probes(9).into_iter().map(|d| d.machine).collect();
+    w.job(
+        JobSpec {
+            kind: Kind::Service,
+            priority: Priority::Production,
+            spot: false,
+            ..spec("wk-2", 1)
+        },
+        50,
+    );
+    w.inherit(&[
+        ("n-2", "wk-1/0", 7),
+        ("n-2", "wk-1/1", 8),
+        ("n-3", "wk-2/0", 9),
+    ]);
+    let asked: Vec<String> = w
+        .scheduler
+        .probes(9)
+        .into_iter()
+        .map(|d| d.machine)
+        .collect();
     assert_eq!(asked, vec!["n-3", "n-2"]);
     for i in 0..3 {
         w.scheduler.enter(i, MachineState::Releasing, "silent");
@@ -31,8 +48,17 @@
         if got.is_empty() {
             got = starts(&w.tell("n-1", &[]));
         }
-        let failed: Vec<_> =
-            got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Exited, Some(ExitReason::Error))).collect();
+        let failed: Vec<_> = got
+            .iter()
+            .map(|g| {
+                (
+                    g.0.as_str(),
+                    g.1,
+                    TaskState::Exited,
+                    Some(ExitReason::Error),
+                )
+            })
+            .collect();
         w.tell("n-1", &failed);
     }
     let state = w.scheduler.machines().next().map(|(_, m)| m.state);
@@ -42,35 +68,81 @@
     for name in ["n-1", "n-2", "n-3"] {
         w.machine(name, "a");
     }
-    w.job(JobSpec { cpus: 8.0, ..spec("wk-1", 3) }, 101);
+    w.job(
+        JobSpec {
+            cpus: 8.0,
+            ..spec("wk-1", 3)
+        },
+        101,
+    );
     w.tick(1100);
     for name in ["n-1", "n-2", "n-3"] {
         let got = starts(&w.tell(name, &[]));
-        w.tell(name, &[(got[0].0.as_str(), got[0].1, TaskState::Exited, Some(ExitReason::Error))]);
+        w.tell(
+            name,
+            &[(
+                got[0].0.as_str(),
+                got[0].1,
+                TaskState::Exited,
+                Some(ExitReason::Error),
+            )],
+        );
     }
-    assert!(w.scheduler.machines().all(|(_, m)| m.state == MachineState::Up));
+    assert!(w
+        .scheduler
+        .machines()
+        .all(|(_, m)| m.state == MachineState::Up));
     w.tick(1200);
-    assert!(starts(&w.tell("n-1", &[])).is_empty(), "a job with a mistake backs off");
+    assert!(
+        starts(&w.tell("n-1", &[])).is_empty(),
+        "a job with a mistake backs off"
+    );
 }
 
 #[test]
 fn a_notice_lets_work_save_and_takes_no_new() {
     let mut w = World::new();
     w.machine("n-1", "a");
-    w.job(JobSpec { checkpoint_s: 10.0, save_s: 4.0, ..spec("wk-1", 1) }, 101);
+    w.job(
+        JobSpec {
+            checkpoint_s: 10.0,
+            save_s: 4.0,
+            ..spec("wk-1", 1)
+        },
+        101,
+    );
     let got = starts(&w.tell("n-1", &[]));
-    let mut r = w.report("n-1", w.token(), &[(got[0].0.as_str(), got[0].1, TaskState::Running, None)]);
+    let mut r = w.report(
+        "n-1",
+        w.token(),
+        &[(got[0].0.as_str(), got[0].1, TaskState::Running, None)],
+    );
     r.notice_s = Some(20.0);
     w.answer(&r);
     w.job(spec("wk-2", 1), 102);
     w.tick(2000);
-    let mut r = w.report("n-1", w.token(), &[(got[0].0.as_str(), got[0].1, TaskState::Running, None)]);
+    let mut r = w.report(
+        "n-1",
+        w.token(),
+        &[(got[0].0.as_str(), got[0].1, TaskState::Running, None)],
+    );
     r.notice_s = Some(19.0);
     assert!(w.answer(&r).is_empty());
     w.tick(12_500);
-    let mut r = w.report("n-1", w.token(), &[(got[0].0.as_str(), got[0].1, TaskState::Running, None)]);
+    let mut r = w.report(
+        "n-1",
+        w.token(),
+        &[(got[0].0.as_str(), got[0].1, TaskState::Running, None)],
+    );
     r.notice_s = Some(8.5);
-    assert_eq!(w.answer(&r), vec![Command::Stop { task: "wk-1/0".into(), attempt: got[0].1, grace_s: 4.0 }]);
+    assert_eq!(
+        w.answer(&r),
+        vec![Command::Stop {
+            task: "wk-1/0".into(),
+            attempt: got[0].1,
+            grace_s: 4.0
+        }]
+    );
 }
 
 #[test]
@@ -83,7 +155,10 @@
     w.job(spec("wk-1", 1), 101);
     w.tick(2000);
     let probe = w.scheduler.probes(9);
-    assert_eq!(probe.iter().map(|d| d.machine.as_str()).collect::<Vec<_>>(), vec!["n-2"]);
+    assert_eq!(
+        probe.iter().map(|d| d.machine.as_str()).collect::<Vec<_>>(),
+        vec!["n-2"]
+    );
     let sent = w.scheduler.direct(9);
     w.scheduler.direct_answer(&sent[0], None);
     w.pass_to(9000);
@@ -91,7 +166,13 @@
     assert_eq!(w.scheduler.silent(5000, 9000).len(), 2);
     // An unanswered probe gave no orders: the token stays.
     w.scheduler.direct_answer(&probe[0], None);
-    assert_eq!(w.scheduler.machines().find(|(_, m)| m.name == "n-2").map(|(_, m)| m.counter), Some(0));
+    assert_eq!(
+        w.scheduler
+            .machines()
+            .find(|(_, m)| m.name == "n-2")
+            .map(|(_, m)| m.counter),
+        Some(0)
+    );
 }
 
 #[test]
@@ -126,7 +207,8 @@
         w.machine(&format!("b-{n}"), "b");
     }
     let up: Vec<String> = (0..8).map(|n| format!("b-{n}")).collect();
-    let tell_some = |w: &mut World, names: &[String]| names.iter().for_each(|n| drop(w.tell(n, &[])));
+    let tell_some =
+        |w: &mut World, names: &[String]| names.iter().for_each(|n| drop(w.tell(n, &[])));
     // Reports come one after the other, so that those of a cut zone reach the time of a silence one after the other too.
     for n in 0..8 {
         w.pass_to(1500 + n * 180);
@@ -136,7 +218,10 @@
     for s in 4..8 {
         w.pass_to(s * 1000);
         tell_some(&mut w, &up);
-        assert!(w.scheduler.silent(5000, 40_000).is_empty(), "at {s} s the first ones were given up once");
+        assert!(
+            w.scheduler.silent(5000, 40_000).is_empty(),
+            "at {s} s the first ones were given up once"
+        );
     }
     let a = w.scheduler.zone_index("a").unwrap();
     assert_eq!(w.scheduler.unreachable_zones(), HashSet::from([a]));
@@ -204,8 +289,20 @@
         w.machine(name, "a");
     }
     // Two of them meet on a machine, which looks faulty for a moment; elsewhere they fail too.
-    w.job(JobSpec { cpus: 4.0, ..spec("wk-1", 30) }, 101);
-    w.job(JobSpec { cpus: 4.0, ..spec("wk-2", 30) }, 102);
+    w.job(
+        JobSpec {
+            cpus: 4.0,
+            ..spec("wk-1", 30)
+        },
+        101,
+    );
+    w.job(
+        JobSpec {
+            cpus: 4.0,
+            ..spec("wk-2", 30)
+        },
+        102,
+    );
     let mut most = 0;
     for round in 0..200 {
         w.tick(2000 + round * 1000);
@@ -213,21 +310,49 @@
         for name in ["n-1", "n-2", "n-3"] {
             let got = starts(&w.tell(name, &[]));
             tried += got.len();
-            let failed: Vec<_> =
-                got.iter().map(|g| (g.0.as_str(), g.1, TaskState::Exited, Some(ExitReason::Error))).collect();
+            let failed: Vec<_> = got
+                .iter()
+                .map(|g| {
+                    (
+                        g.0.as_str(),
+                        g.1,
+                        TaskState::Exited,
+                        Some(ExitReason::Error),
+                    )
+                })
+                .collect();
             w.tell(name, &failed);
         }
         if round > 20 {
             most = most.max(tried);
         }
     }
-    assert!(w.scheduler.machines().all(|(_, m)| m.state == MachineState::Up && m.errors.is_empty()));
-    assert!(w.scheduler.jobs().all(|j| j.fails_everywhere(w.scheduler.now)) && most <= 2, "{most}");
+    assert!(w
+        .scheduler
+        .machines()
+        .all(|(_, m)| m.state == MachineState::Up && m.errors.is_empty()));
+    assert!(
+        w.scheduler
+            .jobs()
+            .all(|j| j.fails_everywhere(w.scheduler.now))
+            && most <= 2,
+        "{most}"
+    );
     // Nothing is rented for them, and others find room beside the one place each.
     w.tick(202_000);
     let demands = w.scheduler.unmet_demand(false);
     assert!(demands.iter().map(|n| n.tasks).sum::<u32>() <= 2);
-    w.job(JobSpec { cpus: 8.0, ..spec("wk-3", 3) }, 103);
+    w.job(
+        JobSpec {
+            cpus: 8.0,
+            ..spec("wk-3", 3)
+        },
+        103,
+    );
     w.tick(202_500);
-    assert!(!w.scheduler.job(w.scheduler.job_index["wk-3"]).active.is_empty());
+    assert!(!w
+        .scheduler
+        .job(w.scheduler.job_index["wk-3"])
+        .active
+        .is_empty());
 }
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -7,11 +7,18 @@
 
 /// A job of tasks so small that hundreds fit on a machine.
 fn small_tasks(id: &str, tasks: u32) -> JobSpec {
-    JobSpec { cpus: 0.01, memory_gb: 0.01, ..spec(id, tasks) }
+    JobSpec {
+        cpus: 0.01,
+        memory_gb: 0.01,
+        ..spec(id, tasks)
+    }
 }
 
 fn lines(starts: &[(String, u64)]) -> Vec<(&str, u64, TaskState, Option<ExitReason>)> {
-    starts.iter().map(|(task, attempt)| (task.as_str(), *attempt, TaskState::Running, None)).collect()
+    starts
+        .iter()
+        .map(|(task, attempt)| (task.as_str(), *attempt, TaskState::Running, None))
+        .collect()
 }
 
 #[test]
@@ -23,7 +30,11 @@
     while w.scheduler.has_changed() {
         w.scheduler.place();
     }
-    let placed = w.scheduler.jobs().map(|job| job.active.len()).sum::<usize>();
+    let placed = w
+        .scheduler
+        .jobs()
+        .map(|job| job.active.len())
+        .sum::<usize>();
     assert_eq!(placed, 4 * MACHINES);
 }
 
@@ -34,7 +45,10 @@
         (0..50).for_each(|n| w.machine(&format!("n-{round}-{n}"), "a"));
         (0..50).for_each(|n| w.scheduler.machine_gone(&format!("n-{round}-{n}")));
     }
-    assert_eq!((w.scheduler.machines().count(), w.scheduler.machines.len()), (0, 50));
+    assert_eq!(
+        (w.scheduler.machines().count(), w.scheduler.machines.len()),
+        (0, 50)
+    );
 }
 
 #[test]
@@ -102,11 +116,18 @@
     }
     assert!(!w.scheduler.needs_pass());
     let unchanged = w.report("n-1", w.token(), &lines(&start));
-    w.scheduler.report(&unchanged, Arrival::Report { may_start: true });
+    w.scheduler
+        .report(&unchanged, Arrival::Report { may_start: true });
     assert!(!w.scheduler.needs_pass());
     // A task that has ended leaves room.
-    let ended = [(start[0].0.as_str(), start[0].1, TaskState::Exited, Some(ExitReason::Done))];
+    let ended = [(
+        start[0].0.as_str(),
+        start[0].1,
+        TaskState::Exited,
+        Some(ExitReason::Done),
+    )];
     let report = w.report("n-1", w.token(), &ended);
-    w.scheduler.report(&report, Arrival::Report { may_start: true });
+    w.scheduler
+        .report(&report, Arrival::Report { may_start: true });
     assert!(w.scheduler.needs_pass());
 }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -8,7 +8,9 @@
 mod start_log;
 
 use super::*;
-use crate::protocol::{Command, ExitReason, JobSpec, Kind, Priority, Report, TaskReport, TaskState};
+use crate::protocol::{
+    Command, ExitReason, JobSpec, Kind, Priority, Report, TaskReport, TaskState,
+};
 use crate::store::LiveRecord;
 
 const LEASE: u64 = 12_000;
@@ -86,19 +88,36 @@
     }
 
     fn job(&mut self, spec: JobSpec, version: u64) {
-        self.scheduler.add_job(LiveRecord { spec, at_ms: 0 }, version, &[], 0, false);
+        self.scheduler
+            .add_job(LiveRecord { spec, at_ms: 0 }, version, &[], 0, false);
     }
 
     /// A machine of this epoch, up.
     fn machine(&mut self, name: &str, zone: &str) {
-        self.scheduler.add_machine(name, Hardware { machine_type: "m8", zone, spot: false }, Origin::Rented);
+        self.scheduler.add_machine(
+            name,
+            Hardware {
+                machine_type: "m8",
+                zone,
+                spot: false,
+            },
+            Origin::Rented,
+        );
         self.tell_token(name, 0, &[]);
         self.tell_token(name, self.token(), &[]);
     }
 
     /// A machine that was rented before this epoch.
     fn known(&mut self, name: &str) {
-        self.scheduler.add_machine(name, Hardware { machine_type: "m8", zone: "a", spot: false }, Origin::Inherited);
+        self.scheduler.add_machine(
+            name,
+            Hardware {
+                machine_type: "m8",
+                zone: "a",
+                spot: false,
+            },
+            Origin::Inherited,
+        );
     }
 
     /// The start log of earlier epochs: machine, task, attempt.
@@ -110,7 +129,12 @@
                 format!("{m} 1.2.3.4:9 /{job} {t}.{attempt:x}")
             })
             .collect();
-        self.scheduler.inherit(slots.iter().enumerate().map(|(i, s)| (i as u32, 50, s.as_str())));
+        self.scheduler.inherit(
+            slots
+                .iter()
+                .enumerate()
+                .map(|(i, s)| (i as u32, 50, s.as_str())),
+        );
     }
 
     /// Makes the lines of assigned starts durable.
@@ -124,20 +148,27 @@
         5 << TOKEN_BITS
     }
 
-    fn report(&mut self, machine: &str, token: u64, tasks: &[(&str, u64, TaskState, Option<ExitReason>)]) -> Report {
+    fn report(
+        &mut self,
+        machine: &str,
+        token: u64,
+        tasks: &[(&str, u64, TaskState, Option<ExitReason>)],
+    ) -> Report {
         self.seq += 1;
         let zone = self
             .scheduler
             .machine_index
             .get(machine)
             .map(|i| self.scheduler.zone_name(self.scheduler.machine(*i).zone));
-        let lines = tasks.iter().map(|(task, attempt, state, reason)| TaskReport {
-            task: (*task).into(),
-            attempt: *attempt,
-            state: *state,
-            reason: *reason,
-            saved: None,
-        });
+        let lines = tasks
+            .iter()
+            .map(|(task, attempt, state, reason)| TaskReport {
+                task: (*task).into(),
+                attempt: *attempt,
+                state: *state,
+                reason: *reason,
+                saved: None,
+            });
         Report {
             machine: machine.into(),
             address: "1.2.3.4:9".into(),
@@ -155,7 +186,10 @@
     fn answer(&mut self, r: &Report) -> Vec<Command> {
         self.scheduler.place();
         self.log();
-        match self.scheduler.report(r, Arrival::Report { may_start: true }) {
+        match self
+            .scheduler
+            .report(r, Arrival::Report { may_start: true })
+        {
             ReportOutcome::Reply(reply) => reply.orders,
             other => panic!("{other:?}"),
         }
@@ -172,7 +206,11 @@
     }
 
     /// A report under the current token.
-    fn tell(&mut self, machine: &str, tasks: &[(&str, u64, TaskState, Option<ExitReason>)]) -> Vec<Command> {
+    fn tell(
+        &mut self,
+        machine: &str,
+        tasks: &[(&str, u64, TaskState, Option<ExitReason>)],
+    ) -> Vec<Command> {
         self.tell_token(machine, self.token(), tasks)
     }
 
@@ -211,7 +249,10 @@
 }
 
 fn stops(orders: &[Command]) -> usize {
-    orders.iter().filter(|o| matches!(o, Command::Stop { .. })).count()
+    orders
+        .iter()
+        .filter(|o| matches!(o, Command::Stop { .. }))
+        .count()
 }
 
 impl Scheduler {
@@ -246,6 +287,9 @@
         };
         let machines: String = self.machines().map(machine).collect();
         let jobs: String = self.jobs().map(job).collect();
-        format!("now {} use {:?}\n{machines}{jobs}{:?}", self.now, self.team_use, self.log)
+        format!(
+            "now {} use {:?}\n{machines}{jobs}{:?}",
+            self.now, self.team_use, self.log
+        )
     }
 }
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -12,8 +12,14 @@
     // wk-1/1 may run on n-2; wk-1/2 was never started, and need not wait.
     w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)]);
     let got = starts(&w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)]));
-    assert_eq!(got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(), vec!["wk-1/2"]);
-    let all = [("wk-1/0", 7, TaskState::Running, None), ("wk-1/2", got[0].1, TaskState::Running, None)];
+    assert_eq!(
+        got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(),
+        vec!["wk-1/2"]
+    );
+    let all = [
+        ("wk-1/0", 7, TaskState::Running, None),
+        ("wk-1/2", got[0].1, TaskState::Running, None),
+    ];
     assert!(starts(&w.tell("n-1", &all)).is_empty());
     // A report under the old token says nothing: an old start may still be on its way to the worker.
     assert!(w.tell_token("n-2", 4 << TOKEN_BITS, &[]).is_empty());
@@ -63,17 +69,32 @@
     let mut w = World::new();
     w.machine("n-1", "a");
     let r = w.report("n-1", 6 << TOKEN_BITS, &[]);
-    assert_eq!(w.scheduler.report(&r, Arrival::Report { may_start: true }), ReportOutcome::Superseded);
+    assert_eq!(
+        w.scheduler.report(&r, Arrival::Report { may_start: true }),
+        ReportOutcome::Superseded
+    );
 }
 
 #[test]
 fn a_cancelled_job_of_an_earlier_epoch_is_kept_until_nothing_of_it_can_run() {
     let mut w = World::new();
     w.known("n-1");
-    w.scheduler.add_job(LiveRecord { spec: spec("wk-1", 1), at_ms: 0 }, 50, &[], 0, true);
+    w.scheduler.add_job(
+        LiveRecord {
+            spec: spec("wk-1", 1),
+            at_ms: 0,
+        },
+        50,
+        &[],
+        0,
+        true,
+    );
     w.inherit(&[("n-1", "wk-1/0", 7)]);
     assert!(w.scheduler.stopped_jobs().is_empty());
-    assert_eq!(stops(&w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)])), 1);
+    assert_eq!(
+        stops(&w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)])),
+        1
+    );
     assert!(w.scheduler.stopped_jobs().is_empty());
     w.tell("n-1", &[]);
     assert_eq!(w.scheduler.stopped_jobs().len(), 1);
@@ -83,9 +104,21 @@
 fn stored_results_survive_a_crash_of_every_node() {
     let mut w = World::new();
     w.machine("n-1", "a");
-    w.scheduler.add_job(LiveRecord { spec: spec("wk-1", 3), at_ms: 0 }, 50, &[(0, vec![0b101])], 0, false);
+    w.scheduler.add_job(
+        LiveRecord {
+            spec: spec("wk-1", 3),
+            at_ms: 0,
+        },
+        50,
+        &[(0, vec![0b101])],
+        0,
+        false,
+    );
     let got = starts(&w.tell("n-1", &[]));
-    assert_eq!(got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(), vec!["wk-1/1"]);
+    assert_eq!(
+        got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(),
+        vec!["wk-1/1"]
+    );
 }
 
 #[test]
@@ -96,7 +129,11 @@
         w.scheduler.params.report_ms = 5000;
         ["n-1", "n-2", "n-3"].iter().for_each(|n| w.known(n));
         w.job(spec("wk-1", 3), 50);
-        w.inherit(&[("n-1", "wk-1/0", 7), ("n-2", "wk-1/1", 8), ("n-3", "wk-1/2", 9)]);
+        w.inherit(&[
+            ("n-1", "wk-1/0", 7),
+            ("n-2", "wk-1/1", 8),
+            ("n-3", "wk-1/2", 9),
+        ]);
         let probes = w.scheduler.probes(9);
         assert_eq!(probes.len(), 3);
         w.pass_to(5500);
@@ -129,7 +166,12 @@
     w.pass_to(8000);
     let copy = w.report("n-1", 4 << TOKEN_BITS, &[]);
     w.answer(&copy);
-    let n1 = w.scheduler.machines().find(|(_, m)| m.name == "n-1").map(|(i, m)| (i, m.current)).unwrap();
+    let n1 = w
+        .scheduler
+        .machines()
+        .find(|(_, m)| m.name == "n-1")
+        .map(|(i, m)| (i, m.current))
+        .unwrap();
     assert!(!n1.1 && w.scheduler.silent(5000, 9000).contains(&n1.0));
 }
 
@@ -139,7 +181,14 @@
     w.known("n-1");
     w.job(spec("wk-1", 2), 101);
     w.tick(1100);
-    assert_eq!(w.scheduler.unmet_demand(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
+    assert_eq!(
+        w.scheduler
+            .unmet_demand(false)
+            .iter()
+            .map(|n| n.tasks)
+            .sum::<u32>(),
+        2
+    );
     let i = w.scheduler.machine_index["n-1"];
     w.scheduler.listed(i, false, "", 0);
     assert!(w.scheduler.unmet_demand(false).is_empty());
@@ -185,16 +234,32 @@
 fn a_new_leaders_first_answer_already_stops_what_is_cancelled() {
     let mut w = World::new();
     w.known("n-1");
-    w.scheduler.add_job(LiveRecord { spec: spec("wk-1", 2), at_ms: 0 }, 101, &[], 0, true);
+    w.scheduler.add_job(
+        LiveRecord {
+            spec: spec("wk-1", 2),
+            at_ms: 0,
+        },
+        101,
+        &[],
+        0,
+        true,
+    );
     w.job(spec("wk-2", 1), 102);
     w.inherit(&[("n-1", "wk-1/0", 71), ("n-1", "wk-2/0", 72)]);
     // The worker still shows the token of an earlier epoch: nothing is concluded, but the cancelled task is stopped, and
     // what belongs to no job of the store any more. A machine that hangs after its lease was renewed keeps neither.
     let (run, done) = (TaskState::Running, TaskState::Exited);
-    let lines =
-        [("wk-1/0", 71, run, None), ("wk-2/0", 72, run, None), ("wk-9/0", 7, run, None), ("wk-1/1", 70, done, None)];
+    let lines = [
+        ("wk-1/0", 71, run, None),
+        ("wk-2/0", 72, run, None),
+        ("wk-9/0", 7, run, None),
+        ("wk-1/1", 70, done, None),
+    ];
     let r = w.report("n-1", 4 << TOKEN_BITS, &lines);
-    let ReportOutcome::Reply(reply) = w.scheduler.report(&r, Arrival::Report { may_start: false }) else { panic!() };
+    let ReportOutcome::Reply(reply) = w.scheduler.report(&r, Arrival::Report { may_start: false })
+    else {
+        panic!()
+    };
     let stopped: Vec<&str> = reply
         .orders
         .iter()
@@ -214,7 +279,10 @@
     w.job(spec("wk-1", 2), 101);
     w.known("n-1");
     w.known("n-2");
-    let (late, up) = (w.scheduler.machine_index["n-1"], w.scheduler.machine_index["n-2"]);
+    let (late, up) = (
+        w.scheduler.machine_index["n-1"],
+        w.scheduler.machine_index["n-2"],
+    );
     w.tick(5000);
     // Both were rented 70 s before this epoch began; then the list shows one of them running.
     for i in [late, up] {
@@ -222,7 +290,14 @@
     }
     let never = |w: &World, i: usize| w.scheduler.never_came_up(w.scheduler.machine(i));
     // Past the time in which it was expected, it counts no more as room to come.
-    assert_eq!(w.scheduler.unmet_demand(false).iter().map(|n| n.tasks).sum::<u32>(), 2);
+    assert_eq!(
+        w.scheduler
+            .unmet_demand(false)
+            .iter()
+            .map(|n| n.tasks)
+            .sum::<u32>(),
+        2
+    );
     w.pass_to(18_000);
     w.scheduler.listed(up, true, "1.2.3.4:9", 87_000);
     // A list may be older than the one before it, and is no reason to wait longer.
@@ -232,7 +307,17 @@
     w.pass_to(22_000);
     assert!(never(&w, late) && !never(&w, up));
     let (offer, pause_ms) = w.scheduler.give_up_boot(late).unwrap();
-    assert_eq!((offer, pause_ms), (Offer { kind: 0, zone: 0, spot: false }, 91_000));
+    assert_eq!(
+        (offer, pause_ms),
+        (
+            Offer {
+                kind: 0,
+                zone: 0,
+                spot: false
+            },
+            91_000
+        )
+    );
     assert_eq!(w.scheduler.leaving(9), ["n-1"]);
     // A list that nobody can believe does no harm.
     w.scheduler.listed(up, false, "", u64::MAX);
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -47,7 +47,11 @@
     w.tick(2000);
     let sent = w.scheduler.direct(9);
     w.scheduler.direct_answer(&sent[0], None);
-    let other = if sent[0].machine == "n-1" { "n-2" } else { "n-1" };
+    let other = if sent[0].machine == "n-1" {
+        "n-2"
+    } else {
+        "n-1"
+    };
     w.scheduler.tick(12_500);
     assert!(starts(&w.tell(other, &[])).is_empty());
     w.scheduler.tick(14_000);
@@ -76,13 +80,17 @@
     let r = w.report("n-1", w.token(), &[]);
     assert_eq!(
         w.scheduler.report(&r, Arrival::Report { may_start: false }),
-        ReportOutcome::Reply(ReportReply { token: w.token(), orders: vec![] }),
+        ReportOutcome::Reply(ReportReply {
+            token: w.token(),
+            orders: vec![]
+        }),
         "renewing in an outage starts nothing"
     );
     assert_eq!(starts(&w.tell("n-1", &[])).len(), 1);
     let unregistered = w.report("n-77", w.token(), &[]);
     assert_eq!(
-        w.scheduler.report(&unregistered, Arrival::Report { may_start: true }),
+        w.scheduler
+            .report(&unregistered, Arrival::Report { may_start: true }),
         ReportOutcome::UnregisteredMachine
     );
 }
@@ -93,7 +101,14 @@
     w.machine("n-1", "a");
     w.job(spec("wk-1", 2), 101);
     let got = starts(&w.tell("n-1", &[]));
-    let done = |i: usize| (got[i].0.as_str(), got[i].1, TaskState::Exited, Some(ExitReason::Done));
+    let done = |i: usize| {
+        (
+            got[i].0.as_str(),
+            got[i].1,
+            TaskState::Exited,
+            Some(ExitReason::Done),
+        )
+    };
     let run = |i: usize| (got[i].0.as_str(), got[i].1, TaskState::Running, None);
     assert!(w.tell("n-1", &[done(0), run(1)]).is_empty());
     assert!(w.scheduler.complete_jobs().is_empty());
@@ -104,7 +119,10 @@
     assert!(matches!(orders[..], [Command::Forget { .. }]));
     assert!(w.scheduler.complete_jobs().is_empty());
     w.tell("n-1", &[done(0), done(1)]);
-    assert_eq!(w.scheduler.complete_jobs(), vec![("wk-1".to_string(), 101, 2)]);
+    assert_eq!(
+        w.scheduler.complete_jobs(),
+        vec![("wk-1".to_string(), 101, 2)]
+    );
 }
 
 #[test]
@@ -122,13 +140,20 @@
         address: String::new(),
         token: w.token(),
         session: 1,
-        orders: vec![Command::Stop { task: got[0].0.clone(), attempt: got[0].1, grace_s: 0.0 }],
+        orders: vec![Command::Stop {
+            task: got[0].0.clone(),
+            attempt: got[0].1,
+            grace_s: 0.0,
+        }],
     };
     let answer = w.report("n-1", w.token(), &[]);
     w.scheduler.direct_answer(&sent, Some(&answer));
     assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 0);
     // Its next report is the truth.
-    assert_eq!(starts(&w.tell("n-1", &[])).len() + starts(&w.tell("n-2", &[])).len(), 1);
+    assert_eq!(
+        starts(&w.tell("n-1", &[])).len() + starts(&w.tell("n-2", &[])).len(),
+        1
+    );
 }
 
 #[test]
@@ -137,7 +162,10 @@
     w.machine("n-1", "a");
     w.job(spec("wk-1", 1), 101);
     let got = starts(&w.tell("n-1", &[]));
-    w.tell("n-1", &[(got[0].0.as_str(), got[0].1, TaskState::Running, None)]);
+    w.tell(
+        "n-1",
+        &[(got[0].0.as_str(), got[0].1, TaskState::Running, None)],
+    );
     let mut r = w.report("n-1", w.token(), &[]);
     r.session = 2;
     // Its tasks are gone, but until it shows that it hears us it gets no others.
@@ -164,8 +192,16 @@
     let line = (got[0].0.as_str(), got[0].1, TaskState::Running, None);
     let running = w.report("n-1", w.token(), &[line]);
     w.answer(&running);
-    let exited =
-        w.report("n-1", w.token(), &[(got[0].0.as_str(), got[0].1, TaskState::Exited, Some(ExitReason::Done))]);
+    let exited = w.report(
+        "n-1",
+        w.token(),
+        &[(
+            got[0].0.as_str(),
+            got[0].1,
+            TaskState::Exited,
+            Some(ExitReason::Done),
+        )],
+    );
     w.scheduler.at(5000);
     w.answer(&exited);
     assert_eq!(w.scheduler.complete_jobs().len(), 1);
@@ -184,7 +220,13 @@
 fn what_makes_a_worker_forget_a_direct_start_also_voids_its_copies() {
     let mut w = World::new();
     w.machine("n-1", "a");
-    w.job(JobSpec { kind: Kind::Service, ..spec("wk-1", 1) }, 101);
+    w.job(
+        JobSpec {
+            kind: Kind::Service,
+            ..spec("wk-1", 1)
+        },
+        101,
+    );
     w.tick(2000);
     let sent = w.scheduler.direct(9);
     let got = starts(&sent[0].orders);
@@ -192,7 +234,11 @@
     let r = w.report("n-1", w.token(), &line(TaskState::Running, None));
     w.scheduler.direct_answer(&sent[0], Some(&r));
     w.scheduler.drop_job("wk-1");
-    let r = w.report("n-1", w.token(), &line(TaskState::Exited, Some(ExitReason::Stopped)));
+    let r = w.report(
+        "n-1",
+        w.token(),
+        &line(TaskState::Exited, Some(ExitReason::Stopped)),
+    );
     match w.scheduler.report(&r, Arrival::Report { may_start: true }) {
         // A copy of the direct order carries the old token.
         ReportOutcome::Reply(reply) => {
@@ -219,7 +265,12 @@
     let got = starts(&sent[0].orders);
     let lines = [
         ("wk-1/0", 3, TaskState::Running, None),
-        (got[0].0.as_str(), got[0].1, TaskState::Exited, Some(ExitReason::Busy)),
+        (
+            got[0].0.as_str(),
+            got[0].1,
+            TaskState::Exited,
+            Some(ExitReason::Busy),
+        ),
     ];
     let r = w.report(&host, w.token(), &lines);
     w.scheduler.direct_answer(&sent[0], Some(&r));
@@ -231,7 +282,13 @@
     let mut w = World::new();
     w.machine("n-1", "a");
     w.machine("n-2", "a");
-    w.job(JobSpec { cpus: 8.0, ..spec("wk-1", 2) }, 101);
+    w.job(
+        JobSpec {
+            cpus: 8.0,
+            ..spec("wk-1", 2)
+        },
+        101,
+    );
     w.tick(2000);
     let sent = w.scheduler.direct(9);
     let d = sent.iter().find(|d| d.machine == "n-1").unwrap().clone();
@@ -245,11 +302,23 @@
         let overtaken = w.report("n-1", w.token(), &line);
         let answer = w.report("n-1", w.token(), &line);
         w.scheduler.at(2000 + s * 1500);
-        w.scheduler.direct_answer(&Direct { orders: vec![], ..d.clone() }, Some(&answer));
+        w.scheduler.direct_answer(
+            &Direct {
+                orders: vec![],
+                ..d.clone()
+            },
+            Some(&answer),
+        );
         w.answer(&overtaken);
         w.scheduler.tick(2000 + s * 1500);
     }
-    assert_eq!(w.scheduler.machines().find(|(_, m)| m.name == "n-1").map(|(_, m)| m.tasks.len()), Some(1));
+    assert_eq!(
+        w.scheduler
+            .machines()
+            .find(|(_, m)| m.name == "n-1")
+            .map(|(_, m)| m.tasks.len()),
+        Some(1)
+    );
 }
 
 #[test]
@@ -286,7 +355,11 @@
     w.log();
     let sent = w.scheduler.direct(9);
     let started = starts(&sent[0].orders);
-    let mut r = w.report("n-1", token, &[(&started[0].0, started[0].1, TaskState::Running, None)]);
+    let mut r = w.report(
+        "n-1",
+        token,
+        &[(&started[0].0, started[0].1, TaskState::Running, None)],
+    );
     r.session = 2;
     w.scheduler.direct_answer(&sent[0], Some(&r));
     // The task is there until the lease of the second session has surely run out.
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -10,10 +10,18 @@
     w.job(spec("wk-1", 2), 50);
     // Task 0 was first on n-1 and then, once that was proven gone, on n-2. Task 1 was last on n-9, which no rental names
     // any more; its older line names a machine on which it is known to be no longer.
-    w.inherit(&[("n-1", "wk-1/0", 7), ("n-2", "wk-1/0", 9), ("n-1", "wk-1/1", 7), ("n-9", "wk-1/1", 8)]);
+    w.inherit(&[
+        ("n-1", "wk-1/0", 7),
+        ("n-2", "wk-1/0", 9),
+        ("n-1", "wk-1/1", 7),
+        ("n-9", "wk-1/1", 8),
+    ]);
     w.tell("n-1", &[]);
     let got = starts(&w.tell("n-1", &[]));
-    assert_eq!(got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(), vec!["wk-1/1"]);
+    assert_eq!(
+        got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(),
+        vec!["wk-1/1"]
+    );
     // Without a new leader's knowledge of n-2 the task would be started here a second time.
     let line = [("wk-1/1", got[0].1, TaskState::Running, None)];
     assert!(starts(&w.tell("n-1", &line)).is_empty());
@@ -28,15 +36,22 @@
     w.job(spec("wk-1", 2), 101);
     w.scheduler.place();
     let first = w.scheduler.append(8000, 60).expect("two starts wait");
-    assert!(w.scheduler.append(8000, 60).is_none(), "their lines are being written");
+    assert!(
+        w.scheduler.append(8000, 60).is_none(),
+        "their lines are being written"
+    );
     let r = w.report("n-1", w.token(), &[]);
     assert_eq!(
         w.scheduler.report(&r, Arrival::Report { may_start: true }),
-        ReportOutcome::Reply(ReportReply { token: w.token(), orders: vec![] })
+        ReportOutcome::Reply(ReportReply {
+            token: w.token(),
+            orders: vec![]
+        })
     );
     assert!(w.scheduler.direct(9).is_empty());
     // The write failed since the slot had changed: an earlier write without an answer had gone through after all.
-    w.scheduler.not_appended(first, Some((150, "n-1 - /wk-1 0.1")));
+    w.scheduler
+        .not_appended(first, Some((150, "n-1 - /wk-1 0.1")));
     let again = w.scheduler.append(8000, 60).expect("they wait again");
     assert_eq!((again.slot, again.version), (0, 150));
     let text = again.text.clone();
@@ -49,7 +64,11 @@
         assert!(text.contains(&format!("{t}.{attempt:x}")), "{text}");
     }
     // What has ended is not carried over when its slot is taken again.
-    let answer = w.report("n-1", w.token(), &[(&got[1].0, got[1].1, TaskState::Running, None)]);
+    let answer = w.report(
+        "n-1",
+        w.token(),
+        &[(&got[1].0, got[1].1, TaskState::Running, None)],
+    );
     w.scheduler.direct_answer(&sent[0], Some(&answer));
     let third = w.scheduler.append(8000, 60).or_else(|| {
         w.scheduler.place();
@@ -57,7 +76,10 @@
     });
     let third = third.expect("the lost task is started again");
     assert_eq!((third.slot, third.version), (0, 151));
-    assert!(!third.text.contains(&format!("{:x}", got[0].1)) && third.text.contains(&format!("{:x}", got[1].1)));
+    assert!(
+        !third.text.contains(&format!("{:x}", got[0].1))
+            && third.text.contains(&format!("{:x}", got[1].1))
+    );
 }
 
 #[test]
@@ -68,7 +90,10 @@
     w.job(spec("wk-2", 1), 102);
     w.scheduler.place();
     let append = w.scheduler.append(8000, 60).unwrap();
-    assert_eq!(append.jobs, vec![("wk-1".to_string(), 101), ("wk-2".to_string(), 102)]);
+    assert_eq!(
+        append.jobs,
+        vec![("wk-1".to_string(), 101), ("wk-2".to_string(), 102)]
+    );
     // Another node has confirmed the cancellation of one, which this one's mirror does not show yet: the write is refused,
     // and says why.
     w.scheduler.drop_job("wk-1");
--- a/src/server.rs
+++ b/src/server.rs
@@ -41,7 +41,11 @@
 impl Connections {
     /// None yet, and `most` at a time.
     pub fn new(most: usize) -> Self {
-        Connections { open: Rc::default(), most, closed: Rc::default() }
+        Connections {
+            open: Rc::default(),
+            most,
+            closed: Rc::default(),
+        }
     }
 
     /// Counts a connection.
@@ -72,14 +76,25 @@
 }
 
 /// Serves an application on an address until the process ends.
-pub async fn serve<T, B>(address: SocketAddr, app: App<T>, connections: Connections) -> io::Result<()>
+pub async fn serve<T, B>(
+    address: SocketAddr,
+    app: App<T>,
+    connections: Connections,
+) -> io::Result<()>
 where
-    T: ServiceFactory<ServiceRequest, Config = (), Response = ServiceResponse<B>, Error = Error, InitError = ()>
-        + 'static,
+    T: ServiceFactory<
+            ServiceRequest,
+            Config = (),
+            Response = ServiceResponse<B>,
+            Error = Error,
+            InitError = (),
+        > + 'static,
     B: MessageBody + 'static,
 {
     let listener = TcpListener::bind(address).await?;
-    let app = app.into_factory().map_err(|error: Error| error.error_response());
+    let app = app
+        .into_factory()
+        .map_err(|error: Error| error.error_response());
     let service = HttpService::build()
         .keep_alive(KEEP_ALIVE)
         .client_request_timeout(REQUEST_TIMEOUT)
@@ -93,7 +108,10 @@
         connections.room().await;
         let stream = accept(&listener).await;
         let connection = connections.enter();
-        if poll_fn(|context| service.poll_ready(context)).await.is_err() {
+        if poll_fn(|context| service.poll_ready(context))
+            .await
+            .is_err()
+        {
             return Err(io::Error::other("the application has ended"));
         }
         let served = service.call(stream);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -53,7 +53,10 @@
 impl StoreClient {
     /// A client of the service at `addr`.
     pub fn new(http: awc::Client, addr: SocketAddr) -> Self {
-        StoreClient { http, base: format!("http://{addr}") }
+        StoreClient {
+            http,
+            base: format!("http://{addr}"),
+        }
     }
 
     async fn call(
@@ -85,25 +88,47 @@
         }
     }
 
-    async fn read<T: DeserializeOwned>(&self, path: &str, within: Duration) -> Result<T, StoreError> {
-        let (status, body) = self.call(awc::http::Method::GET, path, None, within).await?;
+    async fn read<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        within: Duration,
+    ) -> Result<T, StoreError> {
+        let (status, body) = self
+            .call(awc::http::Method::GET, path, None, within)
+            .await?;
         if status != 200 {
             return Err(StoreError::Unknown);
         }
         wire::decode(&body).ok_or(StoreError::Unknown)
     }
 
-    async fn post(&self, path: &str, body: Vec<u8>, within: Duration) -> Result<(u16, Vec<u8>), StoreError> {
-        let answer = self.call(awc::http::Method::POST, path, Some(body), within).await;
+    async fn post(
+        &self,
+        path: &str,
+        body: Vec<u8>,
+        within: Duration,
+    ) -> Result<(u16, Vec<u8>), StoreError> {
+        let answer = self
+            .call(awc::http::Method::POST, path, Some(body), within)
+            .await;
         // Whatever it was that came back, what was asked for may have been done.
-        answer.map_err(|error| if error == StoreError::TooLarge { StoreError::Unknown } else { error })
+        answer.map_err(|error| {
+            if error == StoreError::TooLarge {
+                StoreError::Unknown
+            } else {
+                error
+            }
+        })
     }
 
     /// Reads a key; `Gone` if it does not exist.
     pub async fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Versioned<T>, StoreError> {
         let item: Item = self.read(&format!("/keys/{key}"), CALL).await?;
         let record = record(&item.value).ok_or(StoreError::Unknown)?;
-        Ok(Versioned { record, version: item.version })
+        Ok(Versioned {
+            record,
+            version: item.version,
+        })
     }
 
     /// Runs a transaction.
@@ -129,7 +154,9 @@
 
     /// Opens a lease.
     pub async fn open_lease(&self, ttl_ms: u64) -> Result<u64, StoreError> {
-        let (status, body) = self.post("/holds", wire::encode(&wire::LeaseRequest { ttl_ms }), CALL).await?;
+        let (status, body) = self
+            .post("/holds", wire::encode(&wire::LeaseRequest { ttl_ms }), CALL)
+            .await?;
         match (status, wire::decode::<wire::LeaseReply>(&body)) {
             (200, Some(r)) => Ok(r.lease),
             _ => Err(StoreError::Unknown),
@@ -138,7 +165,11 @@
 
     /// Renews a lease.
     pub async fn renew(&self, lease: u64, within: Duration) -> Result<(), StoreError> {
-        match self.post(&format!("/holds/{lease}/extend"), Vec::new(), within).await?.0 {
+        match self
+            .post(&format!("/holds/{lease}/extend"), Vec::new(), within)
+            .await?
+            .0
+        {
             200 => Ok(()),
             _ => Err(StoreError::Unknown),
         }
@@ -146,13 +177,21 @@
 
     /// Gives a lease up.
     pub async fn close_lease(&self, lease: u64) {
-        let _ = self.call(awc::http::Method::DELETE, &format!("/holds/{lease}"), None, CALL).await;
+        let _ = self
+            .call(
+                awc::http::Method::DELETE,
+                &format!("/holds/{lease}"),
+                None,
+                CALL,
+            )
+            .await;
     }
 
     /// Waits for changes after a revision.
     pub async fn watch(&self, after: u64, hold_ms: u64) -> Result<wire::Watched, StoreError> {
         let path = format!("/watch?starts={ROOT}&after={after}&holdMs={hold_ms}");
-        self.read(&path, Duration::from_millis(hold_ms) + CALL).await
+        self.read(&path, Duration::from_millis(hold_ms) + CALL)
+            .await
     }
 
     /// Reads everything that a mirror holds; final states are read only when asked for.
@@ -160,7 +199,16 @@
         let mut mirror = Mirror::default();
         let mut first = None;
         let mut seen = Vec::new();
-        for family in ["catalogue", "done/", "epoch", "hire/", "leader", "live/", "starts/", "stopping/"] {
+        for family in [
+            "catalogue",
+            "done/",
+            "epoch",
+            "hire/",
+            "leader",
+            "live/",
+            "starts/",
+            "stopping/",
+        ] {
             let mut after = String::new();
             loop {
                 let path = format!("/keys?starts={ROOT}{family}&after={after}&limit=200");
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -62,7 +62,10 @@
 
 impl<V> Default for RecentMap<V> {
     fn default() -> Self {
-        RecentMap { entries: HashMap::new(), order: VecDeque::new() }
+        RecentMap {
+            entries: HashMap::new(),
+            order: VecDeque::new(),
+        }
     }
 }
 
@@ -86,19 +89,23 @@
         fn newer<T>(old: Option<&Versioned<T>>, version: u64) -> bool {
             old.is_none_or(|o| o.version < version)
         }
-        let Some(rest) = key.strip_prefix(ROOT) else { return };
+        let Some(rest) = key.strip_prefix(ROOT) else {
+            return;
+        };
         let (family, name) = rest.split_once('/').unwrap_or((rest, ""));
         let known = match family {
             "live" => record::<LiveRecord>(value).map(|record| {
                 if newer(self.live.get(name), version) {
                     self.absent.entries.remove(name);
-                    self.live.insert(name.to_string(), Versioned { record, version });
+                    self.live
+                        .insert(name.to_string(), Versioned { record, version });
                     seen.push(MirrorChange::Job(name.to_string()));
                 }
             }),
             "stopping" => record::<LiveRecord>(value).map(|record| {
                 if newer(self.stopping.get(name), version) {
-                    self.stopping.insert(name.to_string(), Versioned { record, version });
+                    self.stopping
+                        .insert(name.to_string(), Versioned { record, version });
                 }
             }),
             "over" => record::<OverRecord>(value).map(|r| self.remember_over(name, r)),
@@ -107,18 +114,32 @@
                 let at = (job.to_string(), chunk);
                 let bits = text_to_bits(&record::<String>(value)?)?;
                 if newer(self.done.get(&at), version) {
-                    self.done.insert(at, Versioned { record: bits, version });
+                    self.done.insert(
+                        at,
+                        Versioned {
+                            record: bits,
+                            version,
+                        },
+                    );
                 }
                 Some(())
             }),
             "starts" => record::<String>(value).and_then(|text| {
                 let slot: u32 = name.parse().ok()?;
                 if newer(self.starts.get(&slot), version) {
-                    self.starts.insert(slot, Versioned { record: text, version });
+                    self.starts.insert(
+                        slot,
+                        Versioned {
+                            record: text,
+                            version,
+                        },
+                    );
                 }
                 Some(())
             }),
-            "hire" => record::<RentalRecord>(value).map(|record| self.put_rental(name, record, version)),
+            "hire" => {
+                record::<RentalRecord>(value).map(|record| self.put_rental(name, record, version))
+            }
             "leader" => record::<LeaderRecord>(value).map(|record| {
                 if newer(self.leader.as_ref(), version) {
                     self.leader = Some(Versioned { record, version });
@@ -144,13 +165,20 @@
 
     /// Takes in a rental request, read or just written by this node; a version older than the known one is ignored.
     pub fn put_rental(&mut self, name: &str, record: RentalRecord, version: u64) {
-        if self.rentals.get(name).is_none_or(|known| known.version < version) {
-            self.rentals.insert(name.to_string(), Versioned { record, version });
+        if self
+            .rentals
+            .get(name)
+            .is_none_or(|known| known.version < version)
+        {
+            self.rentals
+                .insert(name.to_string(), Versioned { record, version });
         }
     }
 
     fn delete(&mut self, key: &str, version: u64, seen: &mut Vec<MirrorChange>) {
-        let Some(rest) = key.strip_prefix(ROOT) else { return };
+        let Some(rest) = key.strip_prefix(ROOT) else {
+            return;
+        };
         let (family, name) = rest.split_once('/').unwrap_or((rest, ""));
         match family {
             "live" if self.live.get(name).is_some_and(|v| v.version < version) => {
@@ -191,7 +219,11 @@
         let mut seen = Vec::new();
         for event in events {
             match event {
-                Event::Put { put, value, version } => self.put(put, value, *version, &mut seen),
+                Event::Put {
+                    put,
+                    value,
+                    version,
+                } => self.put(put, value, *version, &mut seen),
                 Event::Delete { key, version } => self.delete(key, *version, &mut seen),
             }
         }
@@ -202,7 +234,9 @@
     /// Whether leadership may be claimed: nobody leads, or a node's own last process. That one's leader lease need not be waited
     /// for: what it may have started is in the log, and what it wrote last carries its epoch.
     pub fn free_to_claim(&self, me: &LeaderRecord) -> bool {
-        self.leader.as_ref().is_none_or(|l| l.record.ended_before(me))
+        self.leader
+            .as_ref()
+            .is_none_or(|l| l.record.ended_before(me))
     }
 
     /// Remembers a final state. Final states never change, so the memory may be forgetful but never wrong.
@@ -214,7 +248,8 @@
     /// The store had no final state of a job, asked when this mirror was of a generation. If it still is, the watch has brought
     /// and will bring whatever becomes of the job, so that the store need not be asked again.
     pub fn remember_absent(&mut self, job: &str, generation: u64) {
-        if self.generation == generation && !self.live.contains_key(job) && self.over(job).is_none() {
+        if self.generation == generation && !self.live.contains_key(job) && self.over(job).is_none()
+        {
             self.absent.insert(job, ());
         }
     }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -73,7 +73,11 @@
 impl RentalRecord {
     /// What its machines are.
     pub fn hardware(&self) -> Hardware<'_> {
-        Hardware { machine_type: &self.machine_type, zone: &self.zone, spot: self.spot }
+        Hardware {
+            machine_type: &self.machine_type,
+            zone: &self.zone,
+            spot: self.spot,
+        }
     }
 }
 
@@ -92,16 +96,20 @@
 
 /// Bits as text: the store takes nothing binary.
 pub fn bits_to_text(bits: &[u8]) -> String {
-    bits.iter().fold(String::with_capacity(bits.len() * 2), |mut s, b| {
-        for n in [b >> 4, b & 15] {
-            s.push(char::from_digit(n as u32, 16).unwrap_or('0'));
-        }
-        s
-    })
+    bits.iter()
+        .fold(String::with_capacity(bits.len() * 2), |mut s, b| {
+            for n in [b >> 4, b & 15] {
+                s.push(char::from_digit(n as u32, 16).unwrap_or('0'));
+            }
+            s
+        })
 }
 
 pub(super) fn text_to_bits(text: &str) -> Option<Vec<u8>> {
-    let digits: Option<Vec<u8>> = text.chars().map(|c| c.to_digit(16).map(|d| d as u8)).collect();
+    let digits: Option<Vec<u8>> = text
+        .chars()
+        .map(|c| c.to_digit(16).map(|d| d as u8))
+        .collect();
     let digits = digits?;
     (digits.len() % 2 == 0 && digits.len() <= CHUNK as usize / 4)
         .then(|| digits.chunks(2).map(|p| p[0] << 4 | p[1]).collect())
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -8,17 +8,41 @@
 use std::collections::HashMap;
 
 fn live(id: &str, version: u64) -> Event {
-    let record = LiveRecord { spec: crate::scheduler::tests::spec(id, 1), at_ms: 5 };
-    Event::Put { put: live_key(id), value: Value::serialized(&record).unwrap(), version }
+    let record = LiveRecord {
+        spec: crate::scheduler::tests::spec(id, 1),
+        at_ms: 5,
+    };
+    Event::Put {
+        put: live_key(id),
+        value: Value::serialized(&record).unwrap(),
+        version,
+    }
 }
 
 #[test]
 fn a_late_page_never_undoes_a_newer_change() {
     let mut m = Mirror::default();
-    assert_eq!(m.apply(4, &[live("wk-1", 4)]), vec![MirrorChange::Job("wk-1".into())]);
+    assert_eq!(
+        m.apply(4, &[live("wk-1", 4)]),
+        vec![MirrorChange::Job("wk-1".into())]
+    );
     // A delete older than the version at hand belongs to an earlier life of the key.
-    assert!(m.apply(4, &[Event::Delete { key: live_key("wk-1"), version: 3 }]).is_empty());
-    let gone = m.apply(6, &[Event::Delete { key: live_key("wk-1"), version: 6 }]);
+    assert!(m
+        .apply(
+            4,
+            &[Event::Delete {
+                key: live_key("wk-1"),
+                version: 3
+            }]
+        )
+        .is_empty());
+    let gone = m.apply(
+        6,
+        &[Event::Delete {
+            key: live_key("wk-1"),
+            version: 6,
+        }],
+    );
     assert_eq!(gone, vec![MirrorChange::JobGone("wk-1".into())]);
     assert_eq!(m.revision, 6);
 }
@@ -27,14 +51,24 @@
 fn a_reload_tells_what_was_missed_and_keeps_final_states() {
     let mut m = Mirror::default();
     m.apply(4, &[live("wk-1", 3), live("wk-2", 4)]);
-    m.remember_over("wk-9", OverRecord { cancelled: true, tasks: 1 });
+    m.remember_over(
+        "wk-9",
+        OverRecord {
+            cancelled: true,
+            tasks: 1,
+        },
+    );
     let mut fresh = Mirror::default();
     fresh.apply(9, &[live("wk-2", 4), live("wk-3", 8)]);
     let mut seen = m.replace(fresh);
     seen.sort_by_key(|s| format!("{s:?}"));
     assert_eq!(
         seen,
-        vec![MirrorChange::Catalogue, MirrorChange::Job("wk-3".into()), MirrorChange::JobGone("wk-1".into())]
+        vec![
+            MirrorChange::Catalogue,
+            MirrorChange::Job("wk-3".into()),
+            MirrorChange::JobGone("wk-1".into())
+        ]
     );
     assert!(m.over("wk-9").unwrap().cancelled);
 }
@@ -51,9 +85,21 @@
     // An answer that was overtaken by the watch.
     m.remember_absent("wk-1", 0);
     assert!(!m.absent("wk-1"));
-    m.apply(6, &[Event::Delete { key: live_key("wk-1"), version: 6 }]);
+    m.apply(
+        6,
+        &[Event::Delete {
+            key: live_key("wk-1"),
+            version: 6,
+        }],
+    );
     assert!(!m.absent("wk-1"));
-    m.remember_over("wk-2", OverRecord { cancelled: true, tasks: 1 });
+    m.remember_over(
+        "wk-2",
+        OverRecord {
+            cancelled: true,
+            tasks: 1,
+        },
+    );
     m.remember_absent("wk-2", 0);
     assert!(!m.absent("wk-2") && m.absent("wk-3"));
     m.replace(Mirror::default());
@@ -70,11 +116,24 @@
 
 #[test]
 fn a_request_whose_answer_this_node_has_written_is_no_longer_open() {
-    let open = RentalRecord { machine_type: "m".into(), zone: "a".into(), spot: false, count: 2, machines: None };
-    let answered = RentalRecord { machines: Some(vec!["n-1".into()]), ..open.clone() };
+    let open = RentalRecord {
+        machine_type: "m".into(),
+        zone: "a".into(),
+        spot: false,
+        count: 2,
+        machines: None,
+    };
+    let answered = RentalRecord {
+        machines: Some(vec!["n-1".into()]),
+        ..open.clone()
+    };
     let event = |record: &RentalRecord, version| {
         let value = Value::serialized(record).unwrap();
-        Event::Put { put: rental_key("r-1"), value, version }
+        Event::Put {
+            put: rental_key("r-1"),
+            value,
+            version,
+        }
     };
     let mut m = Mirror::default();
     m.apply(4, &[event(&open, 4)]);
@@ -84,14 +143,37 @@
     assert_eq!(m.rentals["r-1"].record, answered);
     m.apply(6, &[event(&answered, 6)]);
     assert_eq!(m.rentals["r-1"].version, 6);
-    m.apply(7, &[Event::Delete { key: rental_key("r-1"), version: 7 }]);
+    m.apply(
+        7,
+        &[Event::Delete {
+            key: rental_key("r-1"),
+            version: 7,
+        }],
+    );
     assert!(m.rentals.is_empty());
     // A request that brought nothing: the write of its answer deletes it, and so does the watch here.
-    m.put_rental("r-2", RentalRecord { machines: Some(Vec::new()), ..open.clone() }, 9);
-    let put = Event::Put { put: rental_key("r-2"), value: Value::serialized(&open).unwrap(), version: 8 };
+    m.put_rental(
+        "r-2",
+        RentalRecord {
+            machines: Some(Vec::new()),
+            ..open.clone()
+        },
+        9,
+    );
+    let put = Event::Put {
+        put: rental_key("r-2"),
+        value: Value::serialized(&open).unwrap(),
+        version: 8,
+    };
     m.apply(8, &[put]);
     assert!(m.rentals["r-2"].record.machines.is_some());
-    m.apply(9, &[Event::Delete { key: rental_key("r-2"), version: 9 }]);
+    m.apply(
+        9,
+        &[Event::Delete {
+            key: rental_key("r-2"),
+            version: 9,
+        }],
+    );
     assert!(m.rentals.is_empty());
 }
 
@@ -104,7 +186,11 @@
 
 impl Service {
     fn run(&mut self, txn: &Txn) -> bool {
-        if txn.guards.iter().any(|g| self.keys.get(&g.key).copied().unwrap_or(0) != g.version) {
+        if txn
+            .guards
+            .iter()
+            .any(|g| self.keys.get(&g.key).copied().unwrap_or(0) != g.version)
+        {
             return false;
         }
         self.revision += 1;
@@ -123,13 +209,22 @@
 
 #[test]
 fn late_and_repeated_transactions_do_nothing() {
-    let record = LiveRecord { spec: crate::scheduler::tests::spec("wk-1", 1), at_ms: 5 };
+    let record = LiveRecord {
+        spec: crate::scheduler::tests::spec("wk-1", 1),
+        at_ms: 5,
+    };
     let mut s = Service::default();
-    assert!(s.run(&Txn { guards: vec![], apply: vec![put(epoch_key(), &1, None)] }));
+    assert!(s.run(&Txn {
+        guards: vec![],
+        apply: vec![put(epoch_key(), &1, None)]
+    }));
     let epoch = guard(epoch_key(), 1);
     let submit = submit_txn("wk-1", &record);
     assert!(s.run(&submit) && !s.run(&submit));
-    let live = Versioned { record, version: s.revision };
+    let live = Versioned {
+        record,
+        version: s.revision,
+    };
     let complete = complete_txn(&epoch, "wk-1", live.version, 1);
     let abort = abort_txn("wk-1", &live);
     assert!(s.run(&abort));
@@ -140,11 +235,20 @@
 
 #[test]
 fn the_start_log_takes_no_start_of_a_job_whose_cancellation_is_durable() {
-    let record = LiveRecord { spec: crate::scheduler::tests::spec("wk-1", 1), at_ms: 5 };
+    let record = LiveRecord {
+        spec: crate::scheduler::tests::spec("wk-1", 1),
+        at_ms: 5,
+    };
     let mut s = Service::default();
-    s.run(&Txn { guards: vec![], apply: vec![put(epoch_key(), &1, None)] });
+    s.run(&Txn {
+        guards: vec![],
+        apply: vec![put(epoch_key(), &1, None)],
+    });
     s.run(&submit_txn("wk-1", &record));
-    let live = Versioned { record, version: s.revision };
+    let live = Versioned {
+        record,
+        version: s.revision,
+    };
     let (mut w, _) = crate::scheduler::tests::with_a_start_to_log(live.version);
     let txn = log_txn(&guard(epoch_key(), 1), &w.append(8000, 60).unwrap());
     assert!(s.run(&abort_txn("wk-1", &live)));
@@ -155,28 +259,52 @@
 
 #[test]
 fn a_leader_of_an_earlier_epoch_writes_nothing() {
-    let record = LiveRecord { spec: crate::scheduler::tests::spec("wk-2", 1), at_ms: 5 };
+    let record = LiveRecord {
+        spec: crate::scheduler::tests::spec("wk-2", 1),
+        at_ms: 5,
+    };
     let mut s = Service::default();
-    s.run(&Txn { guards: vec![], apply: vec![put(epoch_key(), &1, None)] });
+    s.run(&Txn {
+        guards: vec![],
+        apply: vec![put(epoch_key(), &1, None)],
+    });
     let old = guard(epoch_key(), s.revision);
     s.run(&submit_txn("wk-2", &record));
     let version = s.revision;
-    s.run(&Txn { guards: vec![old.clone()], apply: vec![put(epoch_key(), &2, None)] });
-    let rental = RentalRecord { machine_type: "x".into(), zone: "z".into(), spot: true, count: 2, machines: None };
+    s.run(&Txn {
+        guards: vec![old.clone()],
+        apply: vec![put(epoch_key(), &2, None)],
+    });
+    let rental = RentalRecord {
+        machine_type: "x".into(),
+        zone: "z".into(),
+        spot: true,
+        count: 2,
+        machines: None,
+    };
     assert!(!s.run(&complete_txn(&old, "wk-2", version, 1)));
     assert!(!s.run(&rental_txn(&old, "a-1-1", 0, &rental)));
     // The current leader's request is stored before the call, and once only: names are unique for ever.
     let now = guard(epoch_key(), s.revision);
-    assert!(s.run(&rental_txn(&now, "a-1-1", 0, &rental)) && !s.run(&rental_txn(&now, "a-1-1", 0, &rental)));
+    assert!(
+        s.run(&rental_txn(&now, "a-1-1", 0, &rental))
+            && !s.run(&rental_txn(&now, "a-1-1", 0, &rental))
+    );
     // Without an answer it stays open, to be repeated under the same name; an answer closes it.
     let version = s.revision;
-    let answered = RentalRecord { machines: Some(Vec::new()), ..rental };
+    let answered = RentalRecord {
+        machines: Some(Vec::new()),
+        ..rental
+    };
     assert!(s.run(&rental_txn(&now, "a-1-1", version, &answered)) && !s.has(rental_key("a-1-1")));
 }
 
 #[test]
 fn a_process_that_is_back_at_once_is_not_its_predecessor() {
-    let of = |node: &str, incarnation| LeaderRecord { node: node.into(), incarnation };
+    let of = |node: &str, incarnation| LeaderRecord {
+        node: node.into(),
+        incarnation,
+    };
     let me = of("a", 2);
     assert!(of("a", 1).ended_before(&me));
     assert!(!me.ended_before(&me) && !of("b", 1).ended_before(&me));
@@ -189,8 +317,16 @@
         let leader = Value::serialized(&record.leader).unwrap();
         let epoch = Value::serialized(record).unwrap();
         vec![
-            Event::Put { put: leader_key(), value: leader, version },
-            Event::Put { put: epoch_key(), value: epoch, version },
+            Event::Put {
+                put: leader_key(),
+                value: leader,
+                version,
+            },
+            Event::Put {
+                put: epoch_key(),
+                value: epoch,
+                version,
+            },
         ]
     };
     mirror.apply(s.revision, &watched(&record, s.revision));
@@ -219,10 +355,15 @@
         actix::spawn(async move {
             let (mut stream, _) = listener.accept().await.unwrap();
             let _ = stream.read(&mut [0; 1024]).await;
-            let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n").await;
+            let _ = stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n")
+                .await;
             std::future::pending::<()>().await;
         });
-        StoreClient::new(crate::worker::http_client(1), address).watch(1, 0).await.unwrap_err()
+        StoreClient::new(crate::worker::http_client(1), address)
+            .watch(1, 0)
+            .await
+            .unwrap_err()
     });
     assert_eq!(error, StoreError::TooLarge);
 }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -10,7 +10,10 @@
         .limit(connections)
         .conn_keep_alive(Duration::from_secs(20))
         .timeout(Duration::from_millis(1500));
-    awc::Client::builder().connector(connector).disable_timeout().finish()
+    awc::Client::builder()
+        .connector(connector)
+        .disable_timeout()
+        .finish()
 }
 
 /// Why an exchange has brought no answer.
@@ -37,7 +40,9 @@
     close: bool,
 ) -> Result<(u16, Vec<u8>), ExchangeError> {
     let call = async {
-        let mut request = http.request(method, url).insert_header(("content-type", "application/cbor"));
+        let mut request = http
+            .request(method, url)
+            .insert_header(("content-type", "application/cbor"));
         if close {
             request = request.force_close();
         }
@@ -46,21 +51,45 @@
             None => request.send(),
         };
         let mut answer = sent.await.map_err(|_| ExchangeError::NoAnswer)?;
-        let body = answer.body().limit(limit).await.map_err(|error| match error {
-            awc::error::PayloadError::Overflow => ExchangeError::TooLarge,
-            _ => ExchangeError::NoAnswer,
-        })?;
+        let body = answer
+            .body()
+            .limit(limit)
+            .await
+            .map_err(|error| match error {
+                awc::error::PayloadError::Overflow => ExchangeError::TooLarge,
+                _ => ExchangeError::NoAnswer,
+            })?;
         Ok((answer.status().as_u16(), body.to_vec()))
     };
-    tokio::time::timeout(within, call).await.unwrap_or(Err(ExchangeError::NoAnswer))
+    tokio::time::timeout(within, call)
+        .await
+        .unwrap_or(Err(ExchangeError::NoAnswer))
 }
 
 /// Sends direct orders. The report after them, or none if it is unknown whether they were or will be executed.
 pub async fn send_direct(http: &awc::Client, d: &Direct) -> Option<Report> {
-    let body = encode(&DirectOrders { token: d.token, session: d.session, orders: d.orders.clone() });
+    let body = encode(&DirectOrders {
+        token: d.token,
+        session: d.session,
+        orders: d.orders.clone(),
+    });
     let url = format!("http://{}/orders", d.address);
     let within = Duration::from_secs(2);
-    let (status, body) = exchange(http, awc::http::Method::POST, &url, Some(body), within, 8 << 20, true).await.ok()?;
-    let report: Report = if matches!(status, 200 | 409) { decode(&body)? } else { return None };
+    let (status, body) = exchange(
+        http,
+        awc::http::Method::POST,
+        &url,
+        Some(body),
+        within,
+        8 << 20,
+        true,
+    )
+    .await
+    .ok()?;
+    let report: Report = if matches!(status, 200 | 409) {
+        decode(&body)?
+    } else {
+        return None;
+    };
     (report.machine == d.machine).then_some(report)
 }
