--- a/benches/load/cloud.rs
+++ b/benches/load/cloud.rs
@@ -12,12 +12,12 @@
 /// Name of the only machine type.
 const MACHINE_TYPE: &str = "standard";
 /// Name of the only zone.
-pub const ZONE: &str = "a";
+pub(crate) const ZONE: &str = "a";
 /// Boot time of a machine in seconds.
 const BOOT_S: f64 = 1.0;
 
 /// The stand-in.
-pub struct Cloud {
+pub(crate) struct Cloud {
     /// Most machines it rents.
     pub capacity: usize,
     /// What the workers of its machines need.
@@ -27,7 +27,7 @@
 
 impl Cloud {
     /// A cloud of which nothing is rented yet.
-    pub fn new(capacity: usize, worker: worker::Settings) -> Self {
+    pub(crate) fn new(capacity: usize, worker: worker::Settings) -> Self {
         Cloud {
             capacity,
             worker,
@@ -114,7 +114,7 @@
 }
 
 /// The routes of the cloud. Nothing is released in these runs.
-pub fn routes(config: &mut web::ServiceConfig) {
+pub(crate) fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/flavors", web::get().to(flavors))
         .route("/machines", web::post().to(rent))
--- a/benches/load/http.rs
+++ b/benches/load/http.rs
@@ -8,7 +8,7 @@
 const MESSAGE_LIMIT: usize = 1 << 20;
 
 /// Sends a request.
-pub async fn request(
+pub(crate) async fn request(
     stream: &mut TcpStream,
     method: &str,
     path: &str,
@@ -24,7 +24,7 @@
 }
 
 /// Sends a response after which the connection is closed.
-pub async fn respond(stream: &mut TcpStream, status: u16, body: &[u8]) -> Option<()> {
+pub(crate) async fn respond(stream: &mut TcpStream, status: u16, body: &[u8]) -> Option<()> {
     let head = format!(
         "HTTP/1.1 {status} OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -36,7 +36,7 @@
 }
 
 /// Reads a message: its head in lower case, and its body.
-pub async fn read(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
+pub(crate) async fn read(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let mut bytes = Vec::new();
     loop {
         if let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
@@ -64,11 +64,11 @@
 }
 
 /// The status of a response.
-pub fn status(head: &str) -> Option<u16> {
+pub(crate) fn status(head: &str) -> Option<u16> {
     head.split_whitespace().nth(1)?.parse().ok()
 }
 
 /// Whether the connection ends after this message.
-pub fn closes(head: &str) -> bool {
+pub(crate) fn closes(head: &str) -> bool {
     head.lines().any(|line| line.trim() == "connection: close")
 }
--- a/benches/load/main.rs
+++ b/benches/load/main.rs
@@ -2,6 +2,12 @@
 //!
 //! `cargo bench --bench load -- --machines 1000 --report-s 4` prints, for each controller, its processor time, memory and
 //! waits in the measured time. `perf record -p PID` can be attached to the process ids that it prints.
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::needless_for_each,
+    clippy::too_many_lines,
+    reason = "this program has yet to be cleaned"
+)]
 
 mod cloud;
 mod http;
--- a/benches/load/process.rs
+++ b/benches/load/process.rs
@@ -8,7 +8,7 @@
 const TICK_MS: f64 = 10.0;
 
 /// A running controller, ended with this value.
-pub struct Controller {
+pub(crate) struct Controller {
     /// Its name.
     pub name: String,
     child: Child,
@@ -16,7 +16,7 @@
 
 /// What a process has used up to a moment.
 #[derive(Clone, Copy, Default)]
-pub struct Usage {
+pub(crate) struct Usage {
     /// Processor time in milliseconds.
     pub cpu_ms: f64,
     /// Memory held, in KiB.
@@ -29,7 +29,7 @@
 
 impl Controller {
     /// Starts a controller.
-    pub fn start(name: &str, program: &str, settings: &Path) -> io::Result<Controller> {
+    pub(crate) fn start(name: &str, program: &str, settings: &Path) -> io::Result<Controller> {
         let child = Command::new(program)
             .arg("--config")
             .arg(settings)
@@ -41,12 +41,12 @@
     }
 
     /// Its process id.
-    pub fn pid(&self) -> u32 {
+    pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
 
     /// What it has used.
-    pub fn usage(&self) -> Usage {
+    pub(crate) fn usage(&self) -> Usage {
         let base = format!("/proc/{}", self.pid());
         let mut usage = Usage {
             cpu_ms: processor_ms(&base).unwrap_or(0.0),
--- a/benches/load/store.rs
+++ b/benches/load/store.rs
@@ -25,7 +25,7 @@
 }
 
 /// The stand-in.
-pub struct Store {
+pub(crate) struct Store {
     content: Mutex<Content>,
     changed: watch::Sender<u64>,
 }
@@ -108,7 +108,7 @@
                 },
             );
         }
-        self.revision += !txn.apply.is_empty() as u64;
+        self.revision += u64::from(!txn.apply.is_empty());
         for change in txn.apply {
             self.change(change);
         }
@@ -222,7 +222,7 @@
 }
 
 /// The routes of the state service. Its leases do not end: no controller ends in these runs.
-pub fn routes(config: &mut web::ServiceConfig) {
+pub(crate) fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/multi", web::post().to(multi))
         .route("/keys", web::get().to(list))
--- a/benches/load/users.rs
+++ b/benches/load/users.rs
@@ -17,7 +17,7 @@
 
 /// What the users submit.
 #[derive(Clone)]
-pub struct Load {
+pub(crate) struct Load {
     /// The controllers' addresses.
     pub controllers: Vec<SocketAddr>,
     /// Services at the start.
@@ -32,7 +32,7 @@
 
 /// What became of the requests.
 #[derive(Default)]
-pub struct Counts {
+pub(crate) struct Counts {
     /// Jobs accepted.
     pub accepted: u64,
     /// Jobs that a poll told to be done.
@@ -109,7 +109,7 @@
 }
 
 /// Runs the users for ever.
-pub async fn run(load: Load, counts: Rc<RefCell<Counts>>) {
+pub(crate) async fn run(load: Load, counts: Rc<RefCell<Counts>>) {
     let services = load.services as u64;
     for number in 0..services {
         let spec = job(number, &load, true);
--- a/benches/load/worker.rs
+++ b/benches/load/worker.rs
@@ -20,7 +20,7 @@
 
 /// What all workers share.
 #[derive(Clone)]
-pub struct Settings {
+pub(crate) struct Settings {
     /// The controllers' names and addresses.
     pub controllers: Vec<(String, SocketAddr)>,
     /// Port of direct commands.
@@ -160,7 +160,7 @@
 }
 
 /// Runs a worker for ever.
-pub async fn run(machine: ListedMachine, address: Ipv4Addr, settings: Settings) {
+pub(crate) async fn run(machine: ListedMachine, address: Ipv4Addr, settings: Settings) {
     let report = Report {
         machine: machine.id,
         address: machine.address,
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -38,6 +38,7 @@
 
 impl CloudClient {
     /// A client of the cloud at `addr`.
+    #[must_use]
     pub fn new(http: awc::Client, addr: SocketAddr) -> Self {
         CloudClient {
             http,
--- a/src/config.rs
+++ b/src/config.rs
@@ -177,6 +177,7 @@
 impl MachineLimits {
     /// How many connections the server keeps at a time. The other sockets are for calls to the store, the cloud, peers and
     /// workers, and for what is being closed; a process that runs out of memory is killed.
+    #[must_use]
     pub fn server_connections(&self) -> usize {
         let by_sockets = self.max_connections * 17 / 20;
         let by_memory = self
@@ -337,6 +338,7 @@
     /// Short enough that a task of a job cancelled elsewhere meanwhile is gone in time. The authority to start ends within a
     /// leader lease of the sending of the last read that the mirror has reached, so that a cancellation the leader does not know
     /// of was confirmed after that; from then on a leader lease, this period and a worker's lease pass at most.
+    #[must_use]
     pub fn grace_ms(&self) -> u64 {
         let w = &self.platform.deployment.workers;
         // The leader lease itself, and for stops that come late after all what two reports and their answers take.
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-pub const PLATFORM: &str = r#"
+pub(crate) const PLATFORM: &str = r#"
 node = "drover-0"
 zone = "z"
 api_addr = "127.0.0.1:1"
@@ -33,7 +33,7 @@
 max_connections = 100
 "#;
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         platform: toml::from_str(PLATFORM).unwrap(),
         operator: Operator::default(),
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -80,9 +80,9 @@
             continue;
         }
         let useful = if left >= n {
-            n as f64
+            f64::from(n)
         } else {
-            left as f64 + (n - left) as f64 / 2.0
+            f64::from(left) + f64::from(n - left) / 2.0
         };
         for zone in machine_type
             .zones
@@ -177,6 +177,7 @@
     }
 
     /// What to rent for this demand, the most urgent first.
+    #[must_use]
     pub fn rental_requests(
         &self,
         scheduler: &Scheduler,
@@ -235,11 +236,12 @@
         let sum = shares.values().sum::<u64>().max(1);
         shares
             .values_mut()
-            .for_each(|n| *n = (rise as u128 * *n as u128 / sum as u128) as u64);
+            .for_each(|n| *n = (u128::from(rise) * u128::from(*n) / u128::from(sum)) as u64);
         shares
     }
 
     /// Rents ahead of the replicas to come, where too little is free for them.
+    #[must_use]
     pub fn ahead(&self, scheduler: &Scheduler, rise_ms: u64, now: u64) -> Vec<RentalRequest> {
         let utilization = scheduler.utilization();
         let coming = scheduler.coming_up();
@@ -274,7 +276,7 @@
             if let Some((t, kind)) = best.filter(|_| short > 0) {
                 let count = (short as f64 / (kind.cpus * 1000.0))
                     .ceil()
-                    .min(RENT_MOST as f64) as u32;
+                    .min(f64::from(RENT_MOST)) as u32;
                 out.push(RentalRequest {
                     offer: Offer {
                         kind: t,
@@ -321,7 +323,7 @@
         let utilization = scheduler.utilization();
         let wanted = demands
             .iter()
-            .map(|n| n.need[0] * n.tasks as u64)
+            .map(|n| n.need[0] * u64::from(n.tasks))
             .sum::<u64>();
         let (services, placed) = scheduler.service_demand();
         let all = wanted + utilization.iter().map(|l| l.used).sum::<u64>();
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -93,6 +93,7 @@
 
 impl Leadership {
     /// A follower whose leader leases live `ttl_ms` and who may renew leases `grace_ms` beyond its authority to start.
+    #[must_use]
     pub fn new(ttl_ms: u64, grace_ms: u64) -> Self {
         Leadership {
             role: Role::Follower,
@@ -106,11 +107,13 @@
     }
 
     /// The role.
+    #[must_use]
     pub fn role(&self) -> &Role {
         &self.role
     }
 
     /// The term, while leading.
+    #[must_use]
     pub fn term(&self) -> Option<Term> {
         match self.role {
             Role::Leading(term) => Some(term),
@@ -174,6 +177,7 @@
     /// A renewal alone once gave the full authority back: after a refusal or an outage, in which open watches wait silently and
     /// leader leases have their full time again, a leader started tasks of jobs that others had confirmed as cancelled meanwhile,
     /// and short refusals in a row stretched the time for which such tasks were kept alive.
+    #[must_use]
     pub fn authority(&self, now: u64) -> Authority {
         if !matches!(self.role, Role::Leading(_)) {
             return Authority::None;
@@ -189,6 +193,7 @@
     }
 
     /// When the present authority ends, unless a renewal or a read that is under way extends it.
+    #[must_use]
     pub fn authority_ends(&self, now: u64) -> u64 {
         let until = self.full_until();
         match self.authority(now) {
@@ -199,6 +204,7 @@
     }
 
     /// Whether the mirror is behind a read that was sent before `before`: its watch may wait silently.
+    #[must_use]
     pub fn behind(&self, before: u64) -> bool {
         self.reads.iter().any(|(sent, _)| *sent < before)
     }
--- a/src/limiter.rs
+++ b/src/limiter.rs
@@ -39,6 +39,7 @@
 impl Limiter {
     /// One that may reach `most` requests in progress. It begins at a quarter: a node that was left alone with the users of
     /// all, or whose state service had become slow, refused hundreds that it could take while its limit grew from little.
+    #[must_use]
     pub fn new(most: usize) -> Limiter {
         let most = most.max(8) as f64;
         Limiter {
@@ -90,6 +91,7 @@
     }
 
     /// The limit at present.
+    #[must_use]
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
--- a/src/node/controller.rs
+++ b/src/node/controller.rs
@@ -381,7 +381,7 @@
             .scheduler
             .as_ref()
             .filter(|_| self.authority() != Authority::None)
-            .map(|p| p.all_counts());
+            .map(Scheduler::all_counts);
         let (node, revision) = (self.me.node.clone(), self.mirror.revision);
         let leader_changes_per_s = self.term().map(|_| self.own_changes.per_s(self.now()));
         View {
@@ -632,7 +632,7 @@
         let at_once = if s.kind == Kind::Array {
             1.0
         } else {
-            s.tasks as f64
+            f64::from(s.tasks)
         };
         let over = |each: f64, most: f64| most > 0.0 && each * at_once > most + 1e-9;
         (over(s.cpus, team.cpus_max) || over(s.gpus, team.gpus_max))
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -48,7 +48,7 @@
                     }
                     Err(StoreError::Gone) => controller.lead_event(Event::Ended),
                     Err(_) if controller.authority() == Authority::None => {
-                        controller.lead_event(Event::Ended)
+                        controller.lead_event(Event::Ended);
                     }
                     Err(_) => {}
                 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -99,7 +99,7 @@
     revision: Rc<watch::Sender<u64>>,
     campaign: Rc<Notify>,
     reading: Rc<Notify>,
-    /// PeerHealth have to be told of a cancellation.
+    /// `PeerHealth` have to be told of a cancellation.
     cancelled: Rc<Notify>,
     /// Something may have to be placed or sent at once.
     urgent: Rc<Notify>,
@@ -166,18 +166,15 @@
         let (mut loaded, mut patience) = (false, SILENT_WATCH_MS);
         loop {
             if !loaded {
-                match self.noted(self.store.load().await) {
-                    Ok(fresh) => {
-                        let revision = fresh.revision;
-                        self.controller.borrow_mut().loaded(fresh);
-                        self.revision.send_replace(revision);
-                        loaded = true;
-                        self.campaign.notify_one();
-                    }
-                    Err(_) => {
-                        pause(300).await;
-                        continue;
-                    }
+                if let Ok(fresh) = self.noted(self.store.load().await) {
+                    let revision = fresh.revision;
+                    self.controller.borrow_mut().loaded(fresh);
+                    self.revision.send_replace(revision);
+                    loaded = true;
+                    self.campaign.notify_one();
+                } else {
+                    pause(300).await;
+                    continue;
                 }
             }
             let after = self.controller.borrow().mirror.revision;
@@ -328,7 +325,7 @@
                     match answer {
                         Some(v) => controller.take_view(v),
                         None if from.elapsed().as_millis() < REFUSED_MS => {
-                            controller.peer_health.refused(now)
+                            controller.peer_health.refused(now);
                         }
                         None => {}
                     }
@@ -461,7 +458,7 @@
         api: platform.api_addr,
         internal: platform.internal_addr,
     };
-    actix::System::with_tokio_rt(|| runtime).block_on(async move {
+    System::with_tokio_rt(|| runtime).block_on(async move {
         let node = Node::new(settings).start();
         crate::api::serve(node, addresses, connections).await
     })
--- a/src/node/persistence.rs
+++ b/src/node/persistence.rs
@@ -179,7 +179,7 @@
         let complete = self
             .scheduler
             .as_ref()
-            .map(|p| p.complete_jobs())
+            .map(super::super::scheduler::Scheduler::complete_jobs)
             .unwrap_or_default();
         let txn = |id: &str, version, tasks| store::complete_txn(epoch, id, version, tasks);
         complete
--- a/src/node/provisioning.rs
+++ b/src/node/provisioning.rs
@@ -192,7 +192,7 @@
         }
         let demands = scheduler.unmet_demand(true);
         let wanted: u32 = demands.iter().map(|n| n.tasks).sum();
-        let pending: u32 = scheduler.jobs().map(|j| j.pending()).sum();
+        let pending: u32 = scheduler.jobs().map(crate::scheduler::Job::pending).sum();
         if tracing::enabled!(tracing::Level::DEBUG) {
             let mut by_offer: BTreeMap<Offer, [u64; 4]> = BTreeMap::new();
             for l in scheduler.utilization() {
@@ -405,7 +405,7 @@
         for m in machines {
             match scheduler.index(&m.id) {
                 Some(i) if m.state == "failed" => {
-                    scheduler.enter(i, MachineState::Releasing, "failed")
+                    scheduler.enter(i, MachineState::Releasing, "failed");
                 }
                 Some(i) => scheduler.listed(i, m.state == "running", &m.address, millis(m.age_s)),
                 None if !settled
--- a/src/node/tests/world/controllers.rs
+++ b/src/node/tests/world/controllers.rs
@@ -105,7 +105,7 @@
                 }
                 (Ok(()), None) => controller.lead_event(LeadEvent::Ended),
                 _ if controller.authority() == Authority::None => {
-                    controller.lead_event(LeadEvent::Ended)
+                    controller.lead_event(LeadEvent::Ended);
                 }
                 _ => {}
             }
@@ -130,23 +130,20 @@
             _ => None,
         });
         let controller = self.nodes[n].controller.as_mut().unwrap();
-        match won {
-            Some((epoch, version)) => {
-                controller.lead_event(LeadEvent::Won {
-                    term: Term {
-                        epoch,
-                        version,
-                        lease,
-                    },
-                    sent: now,
-                });
-                self.nodes[n].awaits = Some((epoch, version, now, now + ttl * 3 / 4));
-            }
-            None => {
-                controller.lead_event(LeadEvent::Lost);
-                controller.no_campaign_until = now + 200;
-                self.service.end_lease(lease);
-            }
+        if let Some((epoch, version)) = won {
+            controller.lead_event(LeadEvent::Won {
+                term: Term {
+                    epoch,
+                    version,
+                    lease,
+                },
+                sent: now,
+            });
+            self.nodes[n].awaits = Some((epoch, version, now, now + ttl * 3 / 4));
+        } else {
+            controller.lead_event(LeadEvent::Lost);
+            controller.no_campaign_until = now + 200;
+            self.service.end_lease(lease);
         }
     }
 
@@ -357,7 +354,7 @@
             let in_a = self.workers.values().filter(|w| w.zone == ZONES[0]).count();
             let (name, zone) = (
                 format!("n-{:04}", self.made),
-                ZONES[(in_a * 2 > self.workers.len()) as usize],
+                ZONES[usize::from(in_a * 2 > self.workers.len())],
             );
             let of = RentalRecord {
                 machine_type: "m8".into(),
--- a/src/node/tests/world/mod.rs
+++ b/src/node/tests/world/mod.rs
@@ -46,7 +46,7 @@
 }
 
 /// A controller's process and its calls.
-pub struct Controller {
+pub(super) struct Controller {
     pub controller: Option<ControllerState>,
     back_at: u64,
     pub frozen_until: u64,
@@ -69,7 +69,7 @@
 }
 
 /// A machine and its worker.
-pub struct Worker {
+pub(super) struct Worker {
     zone: String,
     token: u64,
     session: u64,
@@ -125,7 +125,7 @@
 }
 
 /// What is true of a job.
-pub struct Truth {
+pub(super) struct Truth {
     pub spec: JobSpec,
     pub run_ms: u64,
     /// By how much later each task ends than the one before it.
@@ -139,7 +139,7 @@
     placed_at: u64,
 }
 
-pub struct World {
+pub(super) struct World {
     pub clock: Rc<Cell<u64>>,
     pub rng: StdRng,
     pub service: Service,
@@ -209,11 +209,11 @@
 
 impl World {
     /// Three controllers and a number of machines in two zones, up and led.
-    pub fn new(seed: u64, machines: usize) -> World {
+    pub(super) fn new(seed: u64, machines: usize) -> World {
         World::limited(seed, machines, None)
     }
 
-    pub fn limited(seed: u64, machines: usize, limit: Option<f64>) -> World {
+    pub(super) fn limited(seed: u64, machines: usize, limit: Option<f64>) -> World {
         let mut w = World {
             clock: Rc::new(Cell::new(1000)),
             rng: StdRng::seed_from_u64(seed),
@@ -261,11 +261,11 @@
         w
     }
 
-    pub fn now(&self) -> u64 {
+    pub(super) fn now(&self) -> u64 {
         self.clock.get()
     }
 
-    pub fn run(&mut self, ms: u64) {
+    pub(super) fn run(&mut self, ms: u64) {
         let until = self.now() + ms;
         while self.now() < until {
             self.step();
@@ -273,7 +273,7 @@
     }
 
     /// The controller with the authority to start.
-    pub fn leader(&self) -> Option<usize> {
+    pub(super) fn leader(&self) -> Option<usize> {
         let full = |c: &Controller| {
             c.controller
                 .as_ref()
@@ -282,7 +282,7 @@
         self.nodes.iter().position(full)
     }
 
-    pub fn refuse(&mut self, node: usize, on: bool) {
+    pub(super) fn refuse(&mut self, node: usize, on: bool) {
         if on {
             self.service.refused.insert(node);
         } else {
@@ -290,7 +290,7 @@
         }
     }
 
-    pub fn outage(&mut self, on: bool) {
+    pub(super) fn outage(&mut self, on: bool) {
         if on {
             self.service.down = true;
         } else if self.service.down {
@@ -298,14 +298,14 @@
         }
     }
 
-    pub fn crash(&mut self, node: usize, back_after: u64) {
+    pub(super) fn crash(&mut self, node: usize, back_after: u64) {
         let back_at = self.now() + back_after;
         let n = &mut self.nodes[node];
         (n.controller, n.watch, n.awaits, n.writing, n.back_at) = (None, None, None, None, back_at);
         n.life += 1;
     }
 
-    pub fn submit(&mut self, spec: JobSpec, run_ms: u64) {
+    pub(super) fn submit(&mut self, spec: JobSpec, run_ms: u64) {
         let record = LiveRecord {
             spec: spec.clone(),
             at_ms: self.now(),
@@ -329,7 +329,7 @@
     }
 
     /// A user calls a job off through a node; false if that cannot take it.
-    pub fn cancel(&mut self, node: usize, id: &str) -> bool {
+    pub(super) fn cancel(&mut self, node: usize, id: &str) -> bool {
         self.jobs.get_mut(id).unwrap().asked = true;
         let now = self.now();
         if self.service.reach(node).is_err() || now < self.nodes[node].frozen_until {
@@ -355,18 +355,18 @@
     }
 
     /// Whether a user may still call this job off.
-    pub fn cancellable(&self, id: &str) -> bool {
+    pub(super) fn cancellable(&self, id: &str) -> bool {
         let j = &self.jobs[id];
         !j.asked && self.service.keys.contains_key(&store::live_key(id))
     }
 
-    pub fn over(&self, id: &str) -> Option<OverRecord> {
+    pub(super) fn over(&self, id: &str) -> Option<OverRecord> {
         self.service
             .get::<OverRecord>(&store::over_key(id))
             .map(|v| v.record)
     }
 
-    pub fn step(&mut self) {
+    pub(super) fn step(&mut self) {
         self.clock.set(self.now() + STEP);
         if self.now().is_multiple_of(500) {
             tracing::info!(at = self.now());
@@ -387,19 +387,19 @@
     }
 
     /// The epoch's number.
-    pub fn epoch(&self) -> u64 {
+    pub(super) fn epoch(&self) -> u64 {
         self.service
             .get::<store::EpochRecord>(&store::epoch_key())
             .map_or(0, |e| e.record.number)
     }
 
     /// A late write as a test wants it.
-    pub fn later(&mut self, delay: u64, txn: Txn) {
+    pub(super) fn later(&mut self, delay: u64, txn: Txn) {
         self.send(delay, Message::Late(txn));
     }
 
     /// The guard of the current epoch.
-    pub fn epoch_guard(&self) -> Guard {
+    pub(super) fn epoch_guard(&self) -> Guard {
         guard(store::epoch_key(), self.service.keys[&store::epoch_key()].1)
     }
 }
--- a/src/node/tests/world/rules.rs
+++ b/src/node/tests/world/rules.rs
@@ -73,14 +73,14 @@
     }
 
     /// Tasks of a job that run.
-    pub fn running(&self, id: &str) -> usize {
+    pub(crate) fn running(&self, id: &str) -> usize {
         self.on_machines()
             .filter(|(_, task, _)| split_task(task).is_some_and(|(j, _)| j == id))
             .count()
     }
 
     /// Machines on which a job runs.
-    pub fn machines_of(&self, id: &str) -> Vec<String> {
+    pub(crate) fn machines_of(&self, id: &str) -> Vec<String> {
         let of = |t: &str| split_task(t).is_some_and(|(j, _)| j == id);
         let mut out: Vec<String> = self
             .on_machines()
@@ -93,15 +93,15 @@
 
     /// How long the rest of all work may take once all troubles are over: what is left of it, on the places that the team's
     /// limit or the machines give beside services, and as long as silence, leases, displaced work and waits may cost.
-    pub fn time_for_the_rest(&self) -> u64 {
+    pub(crate) fn time_for_the_rest(&self) -> u64 {
         let (mut rest_ms, mut longest_ms, mut services) = (0, 0, 0);
         for job in self.jobs.values().filter(|j| !j.asked) {
             if job.spec.kind == Kind::Service {
-                services += job.spec.tasks as u64;
+                services += u64::from(job.spec.tasks);
                 continue;
             }
             for task in (0..job.spec.tasks).filter(|t| !job.done.contains(t)) {
-                let run_ms = job.run_ms + job.apart_ms * task as u64 + self.fetch_ms;
+                let run_ms = job.run_ms + job.apart_ms * u64::from(task) + self.fetch_ms;
                 rest_ms += run_ms;
                 longest_ms = longest_ms.max(run_ms);
             }
@@ -114,7 +114,7 @@
     }
 
     /// Once all troubles are over: everything is done, runs, or was called off, and is known.
-    pub fn settles(&mut self, within: u64) {
+    pub(crate) fn settles(&mut self, within: u64) {
         let until = self.now() + within;
         loop {
             let open: Vec<String> = self.unsettled();
--- a/src/node/tests/world/service.rs
+++ b/src/node/tests/world/service.rs
@@ -4,7 +4,7 @@
 
 /// The state service.
 #[derive(Default)]
-pub struct Service {
+pub(crate) struct Service {
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     pub(super) events: Vec<Event>,
     pub revision: u64,
@@ -24,7 +24,7 @@
         Ok(())
     }
 
-    pub fn decide(&mut self, txn: &Txn) -> Decided {
+    pub(crate) fn decide(&mut self, txn: &Txn) -> Decided {
         let version = |g: &&Guard| self.keys.get(&g.key).map_or(0, |k| k.1) != g.version;
         let failed: Vec<String> = txn
             .guards
--- a/src/node/tests/world/workers.rs
+++ b/src/node/tests/world/workers.rs
@@ -52,7 +52,7 @@
             return;
         }
         let mut began = Vec::new();
-        for ((task, _), t) in w.tasks.iter_mut() {
+        for ((task, _), t) in &mut w.tasks {
             if t.state == TaskState::Fetching && now >= t.ready_at {
                 t.state = TaskState::Running;
                 began.push(task.clone());
@@ -133,12 +133,12 @@
                         .count() as f64
                         * 2.0;
                     let (state, reason) = match () {
-                        _ if busy => (TaskState::Exited, Some(ExitReason::Busy)),
-                        _ if cpus + 2.0 > 8.0 => (TaskState::Exited, Some(ExitReason::NoRoom)),
-                        _ => (TaskState::Fetching, None),
+                        () if busy => (TaskState::Exited, Some(ExitReason::Busy)),
+                        () if cpus + 2.0 > 8.0 => (TaskState::Exited, Some(ExitReason::NoRoom)),
+                        () => (TaskState::Fetching, None),
                     };
                     let ready_at = now + fetch_ms;
-                    let run = job.run_ms + job.apart_ms * number as u64;
+                    let run = job.run_ms + job.apart_ms * u64::from(number);
                     let run = if job.done.contains(&number) { 0 } else { run };
                     let ends_at = if job.spec.kind == Kind::Service {
                         u64::MAX / 2
--- a/src/node/user_requests.rs
+++ b/src/node/user_requests.rs
@@ -138,9 +138,10 @@
             }
             Ok(Decided::Failed(_)) => {
                 let controller = self.controller.borrow();
-                match controller.mirror.live.contains_key(&id) {
-                    true => Answer::Job(200, controller.view(&id).unwrap_or(queued)),
-                    false => Answer::Job(200, queued),
+                if controller.mirror.live.contains_key(&id) {
+                    Answer::Job(200, controller.view(&id).unwrap_or(queued))
+                } else {
+                    Answer::Job(200, queued)
                 }
             }
             // Read back what an unanswered transaction did.
--- a/src/pacer.rs
+++ b/src/pacer.rs
@@ -17,6 +17,7 @@
 /// How many changes a second the users of one node may cause where `nodes` share `write_rps`: two thirds of them, and what the
 /// leader leaves of the rest. In the first seconds of a deployment, with everything to be accepted and nothing to be started,
 /// the leader needs next to none.
+#[must_use]
 pub fn users_share(write_rps: f64, nodes: usize, leader_changes_per_s: Option<f64>) -> f64 {
     let least = write_rps * USERS_GUARANTEED_SHARE;
     let left = leader_changes_per_s.map_or(0.0, |leader| {
@@ -37,6 +38,7 @@
 
 impl Pacer {
     /// One that may reach `most` changes a second.
+    #[must_use]
     pub fn new(most: f64) -> Pacer {
         Pacer {
             per_s: most / 2.0,
@@ -60,10 +62,10 @@
             .min(self.per_s.max(1.0));
         self.at = self.at.max(now);
         if self.tokens >= 1.0 {
-            self.tokens -= changes as f64;
+            self.tokens -= f64::from(changes);
             return Ok(());
         }
-        self.promised = self.promised.max(now as f64) + changes as f64 * 1000.0 / self.per_s;
+        self.promised = self.promised.max(now as f64) + f64::from(changes) * 1000.0 / self.per_s;
         Err(((self.promised - now as f64) / 1000.0)
             .ceil()
             .clamp(1.0, 30.0) as u32)
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -83,6 +83,7 @@
 
     /// Whether a node that the state service does not answer is alone with that: the service answers another one, or
     /// nothing of the others is reached either. In an outage, where the others are in the same case, it is not.
+    #[must_use]
     pub fn alone(&self, now: u64) -> bool {
         self.told
             .values()
@@ -92,6 +93,7 @@
 }
 
 /// Decodes a message.
+#[must_use]
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     (body.len() <= LIMIT).then(|| bincode::deserialize(body).ok())?
 }
--- a/src/peer/notices.rs
+++ b/src/peer/notices.rs
@@ -22,6 +22,7 @@
 
 impl Notice {
     /// Revision at which the cancellation became durable.
+    #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -93,6 +94,7 @@
     }
 
     /// What a peer has yet to be told, the oldest first, and the last notice among it.
+    #[must_use]
     pub fn unknown_to(&self, peer: &str) -> Option<(Vec<CancelledJob>, Notice)> {
         let knowledge = self.knowledge(peer);
         let from = self
@@ -126,11 +128,13 @@
     }
 
     /// Whether a peer was told of a cancellation.
+    #[must_use]
     pub fn was_told(&self, peer: &str, notice: Notice) -> bool {
         notice.sequence > self.dropped && notice.sequence <= self.knowledge(peer).told
     }
 
     /// Up to which revision a peer's mirror is known to hold every change.
+    #[must_use]
     pub fn mirrored_by(&self, peer: &str) -> u64 {
         self.knowledge(peer).mirrored
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -11,6 +11,7 @@
 const MEASUREMENT_WEIGHT: f64 = 0.2;
 
 /// A job's class: which of CPU, accelerators and memory it takes the largest share of.
+#[must_use]
 pub fn class_of(need: [u64; 3], typical: [u64; 3]) -> usize {
     let share = |i: usize| need[i] as f64 / typical[i].max(1) as f64;
     (0..CLASSES).fold(0, |best, i| if share(i) > share(best) { i } else { best })
@@ -29,6 +30,7 @@
     }
 
     /// c, if measured.
+    #[must_use]
     pub fn get(&self, class: usize) -> Option<f64> {
         self.0[class].map(|mean| 1.0 / mean)
     }
@@ -81,6 +83,7 @@
 /// Spreads tasks over machines: groups from the fastest on, in each the holders first, then others whose time with the
 /// transfer beats waiting for a holder. A task that should wait for a holder takes the place that it waits for, so that
 /// the next one has to look further: without that, a whole queue would wait for one place while machines stand idle.
+#[must_use]
 pub fn plan(mut candidates: Vec<Candidate>, ask: Ask) -> Plan {
     candidates.sort_by(|a, b| b.c.total_cmp(&a.c));
     // Places on holders: expected completion there, the machine, and whether it is free now; the soonest last. A holder in
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -36,6 +36,7 @@
 }
 
 /// Decodes a CBOR body; trailing bytes are refused.
+#[must_use]
 pub fn decode<T: DeserializeOwned>(mut body: &[u8]) -> Option<T> {
     let value = ciborium::de::from_reader_with_recursion_limit(&mut body, 32).ok()?;
     body.is_empty().then_some(value)
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -145,6 +145,7 @@
 }
 
 /// Whether a job id has the form that all have.
+#[must_use]
 pub fn job_id(id: &str) -> bool {
     id.strip_prefix("wk-")
         .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -112,6 +112,7 @@
 }
 
 /// Splits `job/number`.
+#[must_use]
 pub fn split_task(task: &str) -> Option<(&str, u32)> {
     let (job, number) = task.split_once('/')?;
     Some((job, number.parse().ok()?))
--- a/src/rate.rs
+++ b/src/rate.rs
@@ -14,6 +14,7 @@
 
 impl TokenBucket {
     /// A full bucket that refills at `per_s` tokens a second and holds `burst` tokens, one at least.
+    #[must_use]
     pub fn new(per_s: f64, burst: f64) -> TokenBucket {
         let burst = burst.max(1.0);
         TokenBucket {
@@ -48,6 +49,7 @@
 
 impl RateMeter {
     /// One that forgets within a few times `window_ms`.
+    #[must_use]
     pub fn new(window_ms: u64) -> RateMeter {
         RateMeter {
             window_ms: window_ms.max(1) as f64,
@@ -63,6 +65,7 @@
     }
 
     /// The rate.
+    #[must_use]
     pub fn per_s(&self, now: u64) -> f64 {
         self.per_s * (-(now.saturating_sub(self.updated_at) as f64) / self.window_ms).exp()
     }
--- a/src/scheduler/boot_times.rs
+++ b/src/scheduler/boot_times.rs
@@ -77,7 +77,7 @@
         let expected = self
             .expected_ms(offer, nominal_ms)
             .max(BootTime::new(nominal_ms).expected_ms() as u64);
-        (expected as f64 * GIVE_UP_FACTOR) as u64 * patience as u64
+        (expected as f64 * GIVE_UP_FACTOR) as u64 * u64::from(patience)
     }
 
     /// A machine that was rented at a time has come up.
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -46,6 +46,7 @@
 
 impl UnmetDemand {
     /// Whether machines of an offer may run these tasks.
+    #[must_use]
     pub fn allows(&self, offer: &Offer) -> bool {
         (self.spot || !offer.spot)
             && self
@@ -59,13 +60,15 @@
     }
 
     /// How many of the tasks fit into a machine's room.
+    #[must_use]
     pub fn fitting(&self, room: &Amounts) -> u32 {
         fits(&self.need, room)
     }
 
     /// What is left of a machine's room beside a number of the tasks.
+    #[must_use]
     pub fn rest(&self, room: &Amounts, tasks: u32) -> Amounts {
-        less(room, &self.need, tasks as u64)
+        less(room, &self.need, u64::from(tasks))
     }
 }
 
@@ -124,7 +127,7 @@
                 );
                 *zones.entry(m.zone).or_default() += n;
             }
-            self.room[i] = less(&self.room[i], &job.need, n as u64);
+            self.room[i] = less(&self.room[i], &job.need, u64::from(n));
             left -= n;
         }
         left
@@ -193,11 +196,11 @@
                 .min();
             let mut left = job
                 .wanted(self.now)
-                .min(quota.unwrap_or(0).min(u32::MAX as u64) as u32);
+                .min(quota.unwrap_or(0).min(u64::from(u32::MAX)) as u32);
             if left == 0 || (job.record.spec.kind == Kind::Gang && left < job.pending()) {
                 continue;
             }
-            let taken = left as u64;
+            let taken = u64::from(left);
             team_left[team] =
                 std::array::from_fn(|r| team_left[team][r].saturating_sub(job.need[r] * taken));
             let mut zones: HashMap<usize, u32> = HashMap::new();
@@ -255,6 +258,7 @@
     }
 
     /// CPUs that the services of all unfinished jobs ask for, and those that they hold in each zone.
+    #[must_use]
     pub fn service_demand(&self) -> (u64, HashMap<usize, u64>) {
         let mut all = 0;
         let mut placed: HashMap<usize, u64> = HashMap::new();
@@ -262,15 +266,16 @@
             .jobs()
             .filter(|j| j.record.spec.kind == Kind::Service && !j.ended)
         {
-            all += job.need[0] * job.tasks() as u64;
+            all += job.need[0] * u64::from(job.tasks());
             for (zone, n) in &job.zone_use {
-                *placed.entry(*zone).or_default() += job.need[0] * *n as u64;
+                *placed.entry(*zone).or_default() += job.need[0] * u64::from(*n);
             }
         }
         (all, placed)
     }
 
     /// CPUs of ordinary machines that are coming up, by zone.
+    #[must_use]
     pub fn coming_up(&self) -> HashMap<usize, u64> {
         let mut out = HashMap::new();
         for (_, m) in self.machines() {
@@ -282,6 +287,7 @@
     }
 
     /// The machines that take tasks.
+    #[must_use]
     pub fn utilization(&self) -> Vec<Utilization> {
         let open = self
             .machines()
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -77,6 +77,7 @@
     }
 
     /// Tasks that are neither done nor on a machine.
+    #[must_use]
     pub fn pending(&self) -> u32 {
         if self.ended {
             return 0;
@@ -283,6 +284,7 @@
     }
 
     /// Jobs whose every task is done, the oldest first, with the version of their record.
+    #[must_use]
     pub fn complete_jobs(&self) -> Vec<(String, u64, u32)> {
         let jobs = self.by_age.iter().map(|i| self.job(*i));
         jobs.filter(|j| !j.ended && j.done_n == j.tasks())
@@ -291,6 +293,7 @@
     }
 
     /// Finished ranges that are not stored yet, up to `most`, the oldest first.
+    #[must_use]
     pub fn unsaved(&self, most: usize) -> Vec<DoneChunk> {
         let mut oldest: Vec<_> = self.dirty.iter().map(|(k, since)| (*since, *k)).collect();
         oldest.sort_unstable();
@@ -330,9 +333,10 @@
         let all = job.done[a..b] == job.saved[a..b];
         // What has finished meanwhile takes its turn behind the others.
         let now = self.now;
-        match all {
-            true => self.dirty.remove(&(i, row.chunk)),
-            false => self.dirty.insert((i, row.chunk), now),
+        if all {
+            self.dirty.remove(&(i, row.chunk))
+        } else {
+            self.dirty.insert((i, row.chunk), now)
         };
     }
 }
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -128,6 +128,7 @@
 
 impl Machine {
     /// The offer that it was rented from.
+    #[must_use]
     pub fn offer(&self) -> Offer {
         Offer {
             kind: self.kind,
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -124,6 +124,7 @@
     }
 
     /// Machines that may hold tasks of earlier epochs and were neither heard nor outwaited nor released.
+    #[must_use]
     pub fn unsettled(&self) -> usize {
         self.machines()
             .filter(|(_, m)| !m.current && !m.tasks.is_empty())
@@ -165,6 +166,7 @@
 
     /// Whether a machine has been on its way for too long to be worth its price any more. One that was heard, or is listed as
     /// running, is judged by its silence instead.
+    #[must_use]
     pub fn never_came_up(&self, m: &Machine) -> bool {
         m.state == MachineState::Waiting
             && !m.contacted
@@ -257,7 +259,7 @@
         let mut zones: HashMap<usize, (usize, usize)> = HashMap::new();
         for (_, m) in self.expected() {
             let (quiet, all) = zones.entry(m.zone).or_default();
-            *quiet += (self.now > m.last_heard + self.quiet_ms()) as usize;
+            *quiet += usize::from(self.now > m.last_heard + self.quiet_ms());
             *all += 1;
         }
         zones
@@ -273,6 +275,7 @@
     }
 
     /// Zones of which nothing is heard: whatever came up there would be out of reach.
+    #[must_use]
     pub fn unreachable_zones(&self) -> HashSet<usize> {
         let unreachable = self
             .quiet_by_zone()
@@ -284,6 +287,7 @@
     /// Whether none of the machines that should be heard from has reported of late, under whichever token: then it is this
     /// node that is cut off. A new leader that nobody has answered yet knows sooner, since it asks everybody when it begins: an
     /// new leader cut off like its predecessor once held the leadership until the leases had run out.
+    #[must_use]
     pub fn hears_no_worker(&self) -> bool {
         let heard = |m: &Machine| {
             m.reported_at
@@ -352,6 +356,7 @@
 
     /// Whether direct commands may still be sent: every start in them is of an attempt that is to run. A connection may take
     /// seconds, in which the job is called off and that is confirmed to its user.
+    #[must_use]
     pub fn still_wanted(&self, direct: &Direct) -> bool {
         direct.orders.iter().all(|command| match command {
             Command::Start { task, attempt } => self.is_to_run(task, *attempt),
@@ -375,6 +380,7 @@
 
     /// Machines to be released, those first of which most waits for the proof that they are gone: when many fall together,
     /// the calls take them a hundred at a time.
+    #[must_use]
     pub fn leaving(&self, most: usize) -> Vec<String> {
         let mut all: Vec<_> = self
             .machines()
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -48,6 +48,7 @@
 pub(super) const ATTEMPTS_OF_AN_EPOCH: u64 = (1 << TOKEN_BITS) - (1 << 22);
 
 /// The lowest token of an epoch.
+#[must_use]
 pub fn first_token(epoch: u64) -> u64 {
     epoch << TOKEN_BITS
 }
@@ -107,6 +108,7 @@
 
 impl Scheduler {
     /// An empty scheduler of an epoch that began now.
+    #[must_use]
     pub fn new(params: Params, epoch: u64, now: u64) -> Self {
         let teams = params.teams.len();
         Scheduler {
@@ -163,11 +165,13 @@
     }
 
     /// The machine types by index.
+    #[must_use]
     pub fn types(&self) -> &[MachineType] {
         &self.types
     }
 
     /// All the room of a machine of a type.
+    #[must_use]
     pub fn room_of_type(&self, kind: usize) -> Amounts {
         self.types.get(kind).map_or([0; 3], |t| {
             [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64)
@@ -175,11 +179,13 @@
     }
 
     /// A zone's index.
+    #[must_use]
     pub fn zone_index(&self, name: &str) -> Option<usize> {
         self.zones.get(name)
     }
 
     /// A zone's name.
+    #[must_use]
     pub fn zone_name(&self, zone: usize) -> &str {
         self.zones.name(zone)
     }
@@ -193,31 +199,37 @@
     }
 
     /// A machine's index.
+    #[must_use]
     pub fn index(&self, machine: &str) -> Option<usize> {
         self.machine_index.get(machine).copied()
     }
 
     /// Whether a machine is known.
+    #[must_use]
     pub fn knows(&self, machine: &str) -> bool {
         self.machine_index.contains_key(machine)
     }
 
     /// Whether a job is at work or being stopped here.
+    #[must_use]
     pub fn has_job(&self, job: &str) -> bool {
         self.job_index.contains_key(job)
     }
 
     /// Whether something may be placed that could not be before.
+    #[must_use]
     pub fn has_changed(&self) -> bool {
         self.changed
     }
 
     /// Whether something may be placed or is to be sent or logged.
+    #[must_use]
     pub fn needs_pass(&self) -> bool {
         self.changed || !self.outbox.is_empty() || self.log.has_wanted()
     }
 
     /// Whether this epoch has to end, since its numbers for attempts are used up.
+    #[must_use]
     pub fn is_exhausted(&self) -> bool {
         self.attempts >= ATTEMPTS_OF_AN_EPOCH
     }
@@ -252,12 +264,14 @@
     }
 
     /// A job's done and running tasks, for display.
+    #[must_use]
     pub fn counts(&self, job: &str) -> Option<(u32, u32)> {
         let j = self.job(*self.job_index.get(job)?);
         Some((j.done_n, j.running))
     }
 
     /// Counts of every job, for the other nodes.
+    #[must_use]
     pub fn all_counts(&self) -> Vec<(String, u32, u32)> {
         self.jobs()
             .map(|j| (j.record.spec.id.clone(), j.done_n, j.running))
--- a/src/scheduler/names.rs
+++ b/src/scheduler/names.rs
@@ -20,14 +20,17 @@
         self.names.len() - 1
     }
     /// The index of a known name.
+    #[must_use]
     pub fn get(&self, name: &str) -> Option<usize> {
         self.index.get(name).copied()
     }
     /// How many names there are; their indices are below it.
+    #[must_use]
     pub fn count(&self) -> usize {
         self.names.len()
     }
     /// The name.
+    #[must_use]
     pub fn name(&self, i: usize) -> &str {
         &self.names[i]
     }
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -16,6 +16,7 @@
 
 impl TeamQuota {
     /// From the settings, where 0 means none.
+    #[must_use]
     pub fn new(t: &crate::config::Team) -> Self {
         let floor = |x: f64| (x * 1000.0 + 1e-6).floor() as u64;
         let limit = |x: f64| if x > 0.0 { floor(x) } else { u64::MAX };
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -107,7 +107,8 @@
         let need = self.job(j).need;
         let limit = self.params.teams[team].limit;
         std::array::from_fn(|r| {
-            let with_them = self.team_use[team][r].saturating_add(need[r].saturating_mul(n as u64));
+            let with_them =
+                self.team_use[team][r].saturating_add(need[r].saturating_mul(u64::from(n)));
             with_them.saturating_sub(limit[r])
         })
     }
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -494,7 +494,7 @@
                 let took = now.saturating_sub(a.since) as f64;
                 let job = self.job_mut(j);
                 job.finished_n += 1;
-                job.mean_ms += (took - job.mean_ms) / job.finished_n as f64;
+                job.mean_ms += (took - job.mean_ms) / f64::from(job.finished_n);
                 let (class, mean, n) = (job.class, job.mean_ms, job.finished_n);
                 if n > 1 && mean > 0.0 {
                     self.machine_mut(i).c.measure(class, took / mean);
--- a/src/scheduler/resources.rs
+++ b/src/scheduler/resources.rs
@@ -10,7 +10,11 @@
 
 pub(super) fn fits(need: &Amounts, room: &Amounts) -> u32 {
     let times = |i: usize| room[i].checked_div(need[i]).unwrap_or(u64::MAX);
-    (0..3).map(times).min().unwrap_or(0).min(u32::MAX as u64) as u32
+    (0..3)
+        .map(times)
+        .min()
+        .unwrap_or(0)
+        .min(u64::from(u32::MAX)) as u32
 }
 
 pub(super) fn less(a: &Amounts, b: &Amounts, n: u64) -> Amounts {
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -73,7 +73,7 @@
         for n in 0..self.by_age.len() {
             let i = self.by_age[n];
             let job = self.job(i);
-            let left = (job.tasks() - job.done_n) as u64;
+            let left = u64::from(job.tasks() - job.done_n);
             let within = job.team.is_some_and(|t| {
                 let g = self.params.teams[t].guarantee;
                 let a = &mut asked[t];
@@ -123,7 +123,7 @@
         match span {
             Some(span) if age > span.saturating_mul(3) => (0, j.submitted),
             Some(span) if age > span => (2, j.submitted),
-            _ => (1, millis((j.tasks() - j.done_n) as f64 * j.time_s())),
+            _ => (1, millis(f64::from(j.tasks() - j.done_n) * j.time_s())),
         }
     }
 
@@ -136,7 +136,7 @@
                 .checked_div(j.need[r])
                 .unwrap_or(u64::MAX)
         };
-        room(0).min(room(1)).min(u32::MAX as u64) as u32
+        room(0).min(room(1)).min(u64::from(u32::MAX)) as u32
     }
 
     pub(super) fn may_host(&self, j: &Job, m: &Machine) -> bool {
@@ -203,7 +203,7 @@
             }
         }
         for (mean, (sum, n)) in pass.mean.iter_mut().zip(sums) {
-            *mean = if n > 0 { sum / n as f64 } else { 1.0 };
+            *mean = if n > 0 { sum / f64::from(n) } else { 1.0 };
         }
         for j in queue {
             let production = self.job(j).record.spec.priority == Priority::Production;
@@ -247,7 +247,7 @@
                 m.room[0]
             };
             let order =
-                ((!m.spot as u64) << 40) + ((job.failed_on.contains(&i) as u64) << 41) + spare;
+                (u64::from(!m.spot) << 40) + (u64::from(job.failed_on.contains(&i)) << 41) + spare;
             let ends_s = if room == 0 {
                 self.ends_s(i, m, job, pass)
             } else {
@@ -356,7 +356,7 @@
             // The zone with the most room is chosen with the first task.
             let mut by_zone: BTreeMap<usize, u64> = BTreeMap::new();
             for c in &candidates {
-                *by_zone.entry(self.machine(c.machine).zone).or_default() += c.room as u64;
+                *by_zone.entry(self.machine(c.machine).zone).or_default() += u64::from(c.room);
             }
             let best = by_zone
                 .iter()
@@ -392,13 +392,13 @@
                 ask
             },
         );
-        if whole && plan.now.iter().map(|(_, n)| *n as u64).sum::<u64>() < left as u64 {
+        if whole && plan.now.iter().map(|(_, n)| u64::from(*n)).sum::<u64>() < u64::from(left) {
             return;
         }
         // Where so many have found a place, others may as well.
         self.changed |= more && !plan.now.is_empty();
         // A gang's tasks share an attempt.
-        self.attempts += whole as u64;
+        self.attempts += u64::from(whole);
         for (machine, n) in plan.later {
             *pass.waited.entry(machine).or_default() += n;
         }
@@ -414,7 +414,7 @@
                 let Some(t) = self.job_mut(j).next_pending() else {
                     return;
                 };
-                self.attempts += !whole as u64;
+                self.attempts += u64::from(!whole);
                 let attempt = (self.epoch << TOKEN_BITS) + self.attempts;
                 self.apply_event(j, t, TaskEvent::Assign { machine, attempt });
                 left -= 1;
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -229,7 +229,7 @@
         let runs = |a: Option<TaskAttempt>| a.is_some_and(|a| a.runs());
         let stops = |a: Option<TaskAttempt>| a.is_some_and(|a| a.stops());
         let job = self.job_mut(j);
-        job.running = job.running + runs(next) as u32 - runs(old) as u32;
+        job.running = job.running + u32::from(runs(next)) - u32::from(runs(old));
         let need = job.need;
         if let Some(team) = job.team.filter(|_| stops(next) != stops(old)) {
             let ending = &mut self.team_ending[team];
@@ -243,7 +243,7 @@
         }
         if let Some(at) = next.or(old).map(|a| a.machine) {
             let m = self.machine_mut(at);
-            m.stopping = m.stopping + stops(next) as u32 - stops(old) as u32;
+            m.stopping = m.stopping + u32::from(stops(next)) - u32::from(stops(old));
         }
     }
 
@@ -260,7 +260,7 @@
         };
         match next {
             Some(a) if a.phase == Phase::Assigned && !a.logged => {
-                self.log.wants(j, t, at, a.attempt)
+                self.log.wants(j, t, at, a.attempt);
             }
             Some(a) if a.phase == Phase::Assigned || (a.stops() && !a.stop_sent) => {
                 self.outbox.insert(at);
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -18,7 +18,7 @@
 const GRACE: u64 = 10_000;
 
 /// A job like many.
-pub fn spec(id: &str, tasks: u32) -> JobSpec {
+pub(crate) fn spec(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
         class: "c".into(),
@@ -231,7 +231,7 @@
 }
 
 /// A scheduler with one start of `wk-1` that waits for its line, and the machine it is for.
-pub fn with_a_start_to_log(version: u64) -> (Scheduler, &'static str) {
+pub(crate) fn with_a_start_to_log(version: u64) -> (Scheduler, &'static str) {
     let mut w = World::new();
     w.machine("n-1", "a");
     w.job(spec("wk-1", 1), version);
@@ -257,6 +257,7 @@
 
 impl Scheduler {
     /// What a test wants to see of a scheduler that does not do what it should.
+    #[must_use]
     pub fn describe(&self) -> String {
         let machine = |(i, m): (usize, &Machine)| {
             format!(
--- a/src/server.rs
+++ b/src/server.rs
@@ -40,6 +40,7 @@
 
 impl Connections {
     /// None yet, and `most` at a time.
+    #[must_use]
     pub fn new(most: usize) -> Self {
         Connections {
             open: Rc::default(),
@@ -49,6 +50,7 @@
     }
 
     /// Counts a connection.
+    #[must_use]
     pub fn enter(&self) -> Connection {
         self.open.set(self.open.get() + 1);
         Connection(self.clone())
@@ -56,6 +58,7 @@
 
     /// Whether a worker's connection may be kept after its answer. Workers keep theirs between reports; where there are
     /// more of them than sockets, those kept would leave none for the others, nor for users, checks and peers.
+    #[must_use]
     pub fn keep(&self) -> bool {
         self.open.get() * 4 <= self.most * 3
     }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -52,6 +52,7 @@
 
 impl StoreClient {
     /// A client of the service at `addr`.
+    #[must_use]
     pub fn new(http: awc::Client, addr: SocketAddr) -> Self {
         StoreClient {
             http,
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -233,6 +233,7 @@
 
     /// Whether leadership may be claimed: nobody leads, or a node's own last process. That one's leader lease need not be waited
     /// for: what it may have started is in the log, and what it wrote last carries its epoch.
+    #[must_use]
     pub fn free_to_claim(&self, me: &LeaderRecord) -> bool {
         self.leader
             .as_ref()
@@ -255,11 +256,13 @@
     }
 
     /// Whether a job is known not to exist at the mirror's revision.
+    #[must_use]
     pub fn absent(&self, job: &str) -> bool {
         self.absent.entries.contains_key(job)
     }
 
     /// A final state, if it is remembered.
+    #[must_use]
     pub fn over(&self, job: &str) -> Option<OverRecord> {
         self.over.entries.get(job).copied()
     }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -36,6 +36,7 @@
 impl LeaderRecord {
     /// Whether this was an earlier process of the same node: one that has ended, since this one runs. It is told apart by
     /// its incarnation, so that its key and leader lease are never taken for one's own.
+    #[must_use]
     pub fn ended_before(&self, me: &LeaderRecord) -> bool {
         self.node == me.node && self.incarnation != me.incarnation
     }
@@ -72,6 +73,7 @@
 
 impl RentalRecord {
     /// What its machines are.
+    #[must_use]
     pub fn hardware(&self) -> Hardware<'_> {
         Hardware {
             machine_type: &self.machine_type,
@@ -95,11 +97,12 @@
 }
 
 /// Bits as text: the store takes nothing binary.
+#[must_use]
 pub fn bits_to_text(bits: &[u8]) -> String {
     bits.iter()
         .fold(String::with_capacity(bits.len() * 2), |mut s, b| {
             for n in [b >> 4, b & 15] {
-                s.push(char::from_digit(n as u32, 16).unwrap_or('0'));
+                s.push(char::from_digit(u32::from(n), 16).unwrap_or('0'));
             }
             s
         })
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -10,6 +10,7 @@
 use serde::Serialize;
 
 /// A guard.
+#[must_use]
 pub fn guard(key: String, version: u64) -> Guard {
     Guard { key, version }
 }
@@ -26,6 +27,7 @@
 
 /// Claims the next epoch under a leader lease; nothing if somebody leads. That is asked of the same mirror as the guards are: a
 /// node whose mirror had meanwhile shown it another's claim once took the leadership from it, with its leader lease still running.
+#[must_use]
 pub fn claim_txn(mirror: &Mirror, me: &LeaderRecord, lease: u64) -> Option<(Txn, EpochRecord)> {
     if !mirror.free_to_claim(me) {
         return None;
@@ -53,6 +55,7 @@
 }
 
 /// Accepts a job that is neither unfinished nor finished.
+#[must_use]
 pub fn submit_txn(id: &str, record: &LiveRecord) -> Txn {
     Txn {
         guards: vec![guard(live_key(id), 0), guard(over_key(id), 0)],
@@ -61,6 +64,7 @@
 }
 
 /// Cancels an unfinished job. Its record is kept among those being stopped until none of its tasks can be anywhere.
+#[must_use]
 pub fn abort_txn(id: &str, live: &Versioned<LiveRecord>) -> Txn {
     let over = OverRecord {
         cancelled: true,
@@ -77,6 +81,7 @@
 }
 
 /// Makes a job with every task done final, in the leader's epoch.
+#[must_use]
 pub fn complete_txn(epoch: &Guard, id: &str, version: u64, tasks: u32) -> Txn {
     let over = OverRecord {
         cancelled: false,
@@ -96,9 +101,10 @@
 }
 
 /// Writes a rental in the leader's epoch: a new one (`version` 0) or an answered one; without machines it is dropped.
+#[must_use]
 pub fn rental_txn(epoch: &Guard, name: &str, version: u64, record: &RentalRecord) -> Txn {
     let key = rental_key(name);
-    let empty = record.machines.as_ref().is_some_and(|m| m.is_empty());
+    let empty = record.machines.as_ref().is_some_and(Vec::is_empty);
     let change = if empty {
         Change::Delete { key: key.clone() }
     } else {
@@ -112,6 +118,7 @@
 
 /// Makes starts durable in a slot of the start log, in the leader's epoch, and only while each of their jobs is unfinished:
 /// of a job whose cancellation is durable nothing is logged any more, and so nothing sent.
+#[must_use]
 pub fn log_txn(epoch: &Guard, append: &Append) -> Txn {
     let key = starts_key(append.slot);
     let mut guards = vec![epoch.clone(), guard(key.clone(), append.version)];
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -5,6 +5,7 @@
 use std::time::Duration;
 
 /// The client all calls go through; every call sets its own time limit.
+#[must_use]
 pub fn http_client(connections: usize) -> awc::Client {
     let connector = awc::Connector::new()
         .limit(connections)
