--- /dev/null
+++ b/tests/compat/state_service.rs
@@ -0,0 +1,200 @@
+//! The state service: transactions, pages, watches and leases.
+
+use super::literal::{assert_required, hex, message, read, try_read, with, without, written};
+use ciborium::Value;
+use hollowswitch::protocol::{
+    encode, Change, Event, Guard, Item, LeaseReply, LeaseRequest, Page, Txn, TxnReply, Watched,
+};
+
+/// A transaction with every kind of change.
+fn transaction() -> Txn {
+    Txn {
+        guards: vec![Guard {
+            key: "a/b".into(),
+            version: 412,
+        }],
+        apply: vec![
+            Change::Put {
+                put: "a/b".into(),
+                value: message!({"x" => 1}),
+                lease: Some(7),
+            },
+            Change::Put {
+                put: "a/c".into(),
+                value: message!(null),
+                lease: None,
+            },
+            Change::Delete { key: "c/d".into() },
+        ],
+    }
+}
+
+#[test]
+fn a_transaction_is_written_and_read_field_by_field() {
+    let literal = message!({
+        "guards" => [{"path" => "a/b", "stamp" => 412}],
+        "apply" => [{"put" => "a/b", "v" => {"x" => 1}, "tenure" => 7},
+                    {"put" => "a/c", "v" => null},
+                    {"drop" => "c/d"}]
+    });
+    assert_eq!(written(&transaction()), literal);
+    assert_eq!(read::<Txn>(&literal), transaction());
+    assert!(try_read::<Txn>(&without(&literal, "guards")).is_none());
+    let with_null = message!({"guards" => [], "apply" => [
+        {"put" => "a/c", "v" => 1, "tenure" => null}]});
+    let expected = Change::Put {
+        put: "a/c".into(),
+        value: message!(1),
+        lease: None,
+    };
+    assert_eq!(read::<Txn>(&with_null).apply, vec![expected]);
+}
+
+#[test]
+fn a_transaction_is_these_bytes() {
+    // {"guards": [{"path": "a/b", "stamp": 412}],
+    //  "apply": [{"put": "a/b", "v": {"x": 1}, "tenure": 7}, {"put": "a/c", "v": null}, {"drop": "c/d"}]}
+    let expected = hex(
+        "a2 66 677561726473 81 a2 64 70617468 63 612f62 65 7374616d70 19 019c \
+         65 6170706c79 83 \
+         a3 63 707574 63 612f62 61 76 a1 61 78 01 66 74656e757265 07 \
+         a2 63 707574 63 612f63 61 76 f6 \
+         a1 64 64726f70 63 632f64",
+    );
+    assert_eq!(encode(&transaction()), expected);
+}
+
+#[test]
+fn a_comparison_has_no_changes() {
+    let compare = Txn {
+        guards: vec![Guard {
+            key: "a/b".into(),
+            version: 0,
+        }],
+        apply: Vec::new(),
+    };
+    let literal = message!({"guards" => [{"path" => "a/b", "stamp" => 0}]});
+    assert_eq!(written(&compare), literal);
+    assert_eq!(read::<Txn>(&literal), compare);
+    // {"guards": []}
+    assert_eq!(encode(&Txn::default()), hex("a1 66 677561726473 80"));
+}
+
+#[test]
+fn conditions_and_changes_need_their_fields() {
+    assert_required::<Guard>(
+        &message!({"path" => "a/b", "stamp" => 412}),
+        &["path", "stamp"],
+    );
+    assert!(try_read::<Change>(&message!({"put" => "a"})).is_none());
+    assert!(try_read::<Change>(&message!({"v" => 1})).is_none());
+    assert!(try_read::<Change>(&message!({})).is_none());
+}
+
+#[test]
+fn the_outcome_of_a_transaction_is_read_and_written() {
+    let applied = read::<TxnReply>(&message!({"ledger" => 432}));
+    assert_eq!((applied.failed.len(), applied.revision), (0, 432));
+    let literal = message!({"failed" => ["a/b", "c"], "ledger" => 431});
+    let failed = read::<TxnReply>(&literal);
+    assert_eq!(
+        (failed.failed.clone(), failed.revision),
+        (vec!["a/b".to_string(), "c".to_string()], 431)
+    );
+    assert_eq!(written(&failed), literal);
+    assert_required::<TxnReply>(&message!({"ledger" => 1}), &["ledger"]);
+}
+
+fn item_message() -> Value {
+    message!({"path" => "a/b", "v" => {"x" => [1, "y"]}, "stamp" => 412, "tenure" => 7})
+}
+
+#[test]
+fn a_key_is_read_and_written_field_by_field() {
+    let item = read::<Item>(&item_message());
+    assert_eq!((item.key.as_str(), item.version), ("a/b", 412));
+    assert_eq!(item.value, message!({"x" => [1, "y"]}));
+    assert_eq!(written(&item), without(&item_message(), "tenure"));
+    assert!(try_read::<Item>(&without(&item_message(), "path")).is_none());
+    assert!(try_read::<Item>(&without(&item_message(), "v")).is_none());
+    assert!(try_read::<Item>(&without(&item_message(), "stamp")).is_none());
+    let null = read::<Item>(&with(&item_message(), "v", Value::Null));
+    assert_eq!(null.value, Value::Null);
+}
+
+#[test]
+fn a_page_of_keys_is_read_and_written_field_by_field() {
+    let literal = message!({"rows" => [{"path" => "c/8", "v" => 5, "stamp" => 430}],
+                            "hasNext" => true, "ledger" => 431});
+    let page = read::<Page>(&literal);
+    assert_eq!((page.items.len(), page.more, page.revision), (1, true, 431));
+    assert_eq!(
+        (page.items[0].key.as_str(), page.items[0].version),
+        ("c/8", 430)
+    );
+    assert_eq!(page.items[0].value, message!(5));
+    assert_eq!(written(&page), literal);
+    assert_required::<Page>(&literal, &["rows", "hasNext", "ledger"]);
+    assert!(!read::<Page>(&message!({"rows" => [], "hasNext" => false, "ledger" => 1})).more);
+}
+
+#[test]
+fn a_watch_is_read_and_written_field_by_field() {
+    let literal = message!({"ledger" => 433, "events" => [
+        {"put" => "c/9", "v" => {"x" => 1}, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}]});
+    let watched = read::<Watched>(&literal);
+    assert_eq!(watched.revision, 433);
+    let [Event::Put {
+        put,
+        value,
+        version,
+    }, Event::Delete {
+        key,
+        version: removed,
+    }] = watched.events.as_slice()
+    else {
+        panic!("a put and a removal: {:?}", watched.events);
+    };
+    assert_eq!(
+        (put.as_str(), value, *version),
+        ("c/9", &message!({"x" => 1}), 433)
+    );
+    assert_eq!((key.as_str(), *removed), ("c/d", 432));
+    assert_eq!(written(&watched), literal);
+    assert_required::<Watched>(&literal, &["ledger", "events"]);
+    assert!(read::<Watched>(&message!({"ledger" => 1, "events" => []}))
+        .events
+        .is_empty());
+}
+
+#[test]
+fn an_event_is_a_write_or_a_removal() {
+    let absent = message!({"put" => "c/9", "stamp" => 1});
+    let null = message!({"put" => "c/9", "v" => null, "drop" => null, "stamp" => 1});
+    for literal in [absent, null] {
+        let Event::Put { value, .. } = read::<Event>(&literal) else {
+            panic!("a write");
+        };
+        assert_eq!(value, Value::Null);
+    }
+    assert!(try_read::<Event>(&message!({"put" => "a", "drop" => "a", "stamp" => 1})).is_none());
+    assert!(try_read::<Event>(&message!({"v" => 1, "stamp" => 1})).is_none());
+    assert!(try_read::<Event>(&message!({"put" => "a", "v" => 1})).is_none());
+    assert!(try_read::<Event>(&message!({"drop" => "a"})).is_none());
+}
+
+#[test]
+fn a_lease_is_asked_for_and_given() {
+    let request = LeaseRequest { ttl_ms: 5000 };
+    let literal = message!({"lifeMs" => 5000});
+    assert_eq!(written(&request), literal);
+    // {"lifeMs": 5000}
+    assert_eq!(encode(&request), hex("a1 66 6c6966654d73 19 1388"));
+    assert_eq!(read::<LeaseRequest>(&literal).ttl_ms, 5000);
+    assert_required::<LeaseRequest>(&literal, &["lifeMs"]);
+    let given = message!({"tenure" => 7});
+    let reply = read::<LeaseReply>(&given);
+    assert_eq!(reply.lease, 7);
+    assert_eq!(written(&reply), given);
+    assert_required::<LeaseReply>(&given, &["tenure"]);
+}
