--- /dev/null
+++ b/tests/compat/peers.rs
@@ -0,0 +1,105 @@
+//! Messages between controllers, as literal bincode. An old and a new process run side by side during an upgrade, so that the
+//! order and the types of all fields have to stay.
+
+use hollowswitch::peer::{decode, encode, Cancelled, CancelledJob, View};
+
+/// A follower's view: node, epoch, revision, whether the store answers, then two absent fields.
+const FOLLOWER_VIEW: &[u8] = b"\x08\0\0\0\0\0\0\0drover-1\
+    \x07\0\0\0\0\0\0\0\
+    \x02\x01\0\0\0\0\0\0\
+    \x01\
+    \x00\
+    \x00";
+
+/// A leader's view, with its changes a second (2.5) and done and running tasks of two jobs.
+const LEADER_VIEW: &[u8] = b"\x08\0\0\0\0\0\0\0drover-0\
+    \x08\0\0\0\0\0\0\0\
+    \x03\x01\0\0\0\0\0\0\
+    \x00\
+    \x01\0\0\0\0\0\0\x04\x40\
+    \x01\x02\0\0\0\0\0\0\0\
+    \x04\0\0\0\0\0\0\0wk-1\x05\0\0\0\x06\0\0\0\
+    \x05\0\0\0\0\0\0\0wk-22\x00\x01\0\0\x0a\0\0\0";
+
+/// Two cancelled jobs: id, number of tasks, revision.
+const CANCELLATIONS: &[u8] = b"\x02\0\0\0\0\0\0\0\
+    \x04\0\0\0\0\0\0\0wk-1\x03\0\0\0\x28\0\0\0\0\0\0\0\
+    \x05\0\0\0\0\0\0\0wk-22\xa0\x86\x01\0\x00\0\0\0\x01\0\0\0";
+
+/// The answer to cancellations: the revision that the peer's replica of the store has reached.
+const REVISION: &[u8] = b"\x03\x01\0\0\0\0\0\0";
+
+#[test]
+fn a_followers_view_is_written_and_read() {
+    let view = View {
+        node: "drover-1".into(),
+        epoch: 7,
+        revision: 258,
+        state_ok: true,
+        leader_changes_per_s: None,
+        counts: None,
+    };
+    assert_eq!(encode(&view), FOLLOWER_VIEW);
+    let read: View = decode(FOLLOWER_VIEW).unwrap();
+    assert_eq!(read.node, "drover-1");
+    assert_eq!(read.epoch, 7);
+    assert_eq!(read.revision, 258);
+    assert!(read.state_ok);
+    assert_eq!(read.leader_changes_per_s, None);
+    assert_eq!(read.counts, None);
+}
+
+#[test]
+fn a_leaders_view_is_written_and_read() {
+    let view = View {
+        node: "drover-0".into(),
+        epoch: 8,
+        revision: 259,
+        state_ok: false,
+        leader_changes_per_s: Some(2.5),
+        counts: Some(vec![("wk-1".into(), 5, 6), ("wk-22".into(), 256, 10)]),
+    };
+    assert_eq!(encode(&view), LEADER_VIEW);
+    let read: View = decode(LEADER_VIEW).unwrap();
+    assert_eq!(read.node, "drover-0");
+    assert_eq!(read.epoch, 8);
+    assert_eq!(read.revision, 259);
+    assert!(!read.state_ok);
+    assert_eq!(read.leader_changes_per_s, Some(2.5));
+    assert_eq!(
+        read.counts,
+        Some(vec![("wk-1".into(), 5, 6), ("wk-22".into(), 256, 10)])
+    );
+}
+
+#[test]
+fn cancellations_are_written_and_read() {
+    let jobs = vec![
+        CancelledJob {
+            job: "wk-1".into(),
+            tasks: 3,
+            revision: 40,
+        },
+        CancelledJob {
+            job: "wk-22".into(),
+            tasks: 100_000,
+            revision: 1 << 32,
+        },
+    ];
+    assert_eq!(encode(&Cancelled { jobs: jobs.clone() }), CANCELLATIONS);
+    let read: Cancelled = decode(CANCELLATIONS).unwrap();
+    assert_eq!(read.jobs, jobs);
+}
+
+#[test]
+fn the_answer_to_cancellations_is_written_and_read() {
+    assert_eq!(encode(&259_u64), REVISION);
+    assert_eq!(decode::<u64>(REVISION), Some(259));
+}
+
+#[test]
+fn a_message_that_breaks_off_is_refused() {
+    assert!(decode::<View>(&FOLLOWER_VIEW[..FOLLOWER_VIEW.len() - 1]).is_none());
+    assert!(decode::<Cancelled>(&CANCELLATIONS[..CANCELLATIONS.len() - 1]).is_none());
+    assert!(decode::<u64>(&REVISION[..7]).is_none());
+}
--- /dev/null
+++ b/tests/compat/stored_records/read.rs
@@ -0,0 +1,141 @@
+//! Records as they are read, and keys that are removed.
+
+use super::{
+    bytes, entries, job_spec, leader_record, machine_type, put_event, rental_record, replica_after,
+    CATALOGUE, EPOCH, EPOCH_BEFORE_THE_START_LOG, LEADER, LIVE_BEGIN, LIVE_END, OVER_CANCELLED,
+    OVER_DONE, RENTAL_ANSWERED, RENTAL_OPEN, SPEC,
+};
+use hollowswitch::protocol::decode;
+use hollowswitch::store::{EpochRecord, OverRecord};
+
+#[test]
+fn an_unfinished_job_is_read() {
+    let record = bytes(&[LIVE_BEGIN, SPEC, LIVE_END]);
+    let replica = replica_after(&put_event(b"\x76hollowswitch/live/wk-1", &record));
+    let read = &replica.live["wk-1"];
+    assert_eq!((&read.record.spec, read.version), (&job_spec(), 9));
+    assert_eq!(read.record.at_ms, 1_700_000_000_000);
+    assert!(replica.stopping.is_empty());
+}
+
+#[test]
+fn a_job_being_stopped_is_read() {
+    let record = bytes(&[LIVE_BEGIN, SPEC, LIVE_END]);
+    let replica = replica_after(&put_event(b"\x78\x1ahollowswitch/stopping/wk-1", &record));
+    let read = &replica.stopping["wk-1"];
+    assert_eq!((&read.record.spec, read.version), (&job_spec(), 9));
+    assert_eq!(read.record.at_ms, 1_700_000_000_000);
+    assert!(replica.live.is_empty());
+}
+
+#[test]
+fn final_states_are_read() {
+    let replica = replica_after(&put_event(b"\x76hollowswitch/over/wk-1", OVER_CANCELLED));
+    let cancelled = OverRecord {
+        cancelled: true,
+        tasks: 9000,
+    };
+    assert_eq!(replica.over("wk-1"), Some(cancelled));
+    let replica = replica_after(&put_event(b"\x76hollowswitch/over/wk-1", OVER_DONE));
+    let done = OverRecord {
+        cancelled: false,
+        tasks: 9000,
+    };
+    assert_eq!(replica.over("wk-1"), Some(done));
+}
+
+#[test]
+fn results_are_read() {
+    let replica = replica_after(&put_event(
+        b"\x78\x18hollowswitch/done/wk-1/2",
+        b"\x660500ff",
+    ));
+    let read = &replica.done[&("wk-1".to_string(), 2)];
+    assert_eq!(
+        (read.record.as_slice(), read.version),
+        (&[0x05, 0x00, 0xff][..], 9)
+    );
+}
+
+#[test]
+fn a_slot_of_the_start_log_is_read() {
+    let replica = replica_after(&put_event(
+        b"\x75hollowswitch/starts/3",
+        b"\x74n-1 - /wk-1 0.400001",
+    ));
+    let read = &replica.starts[&3];
+    assert_eq!(
+        (read.record.as_str(), read.version),
+        ("n-1 - /wk-1 0.400001", 9)
+    );
+}
+
+#[test]
+fn rentals_are_read() {
+    let replica = replica_after(&put_event(b"\x75hollowswitch/hire/r-1", RENTAL_OPEN));
+    assert_eq!(replica.rentals["r-1"].record, rental_record(None));
+    assert_eq!(replica.rentals["r-1"].version, 9);
+    let replica = replica_after(&put_event(b"\x75hollowswitch/hire/r-1", RENTAL_ANSWERED));
+    let machines = Some(vec!["n-1".into(), "n-2".into()]);
+    assert_eq!(replica.rentals["r-1"].record, rental_record(machines));
+}
+
+#[test]
+fn leader_epoch_and_machine_types_are_read() {
+    let replica = replica_after(&put_event(b"\x73hollowswitch/leader", LEADER));
+    let leader = replica.leader.unwrap();
+    assert_eq!(
+        (leader.record, leader.version),
+        (leader_record("drover-0", 77), 9)
+    );
+    let replica = replica_after(&put_event(b"\x72hollowswitch/epoch", EPOCH));
+    let epoch = replica.epoch.unwrap();
+    let expected = EpochRecord {
+        number: 6,
+        leader: leader_record("drover-0", 77),
+        members: vec![leader_record("drover-0", 77)],
+        logs_starts: true,
+    };
+    assert_eq!((epoch.record, epoch.version), (expected, 9));
+    let replica = replica_after(&put_event(b"\x76hollowswitch/catalogue", CATALOGUE));
+    let catalogue = replica.catalogue.unwrap();
+    assert_eq!(
+        (catalogue.record, catalogue.version),
+        (vec![machine_type()], 9)
+    );
+}
+
+#[test]
+fn an_epoch_of_a_version_before_the_start_log_is_read_as_one_without_it() {
+    let replica = replica_after(&put_event(
+        b"\x72hollowswitch/epoch",
+        EPOCH_BEFORE_THE_START_LOG,
+    ));
+    let expected = EpochRecord {
+        number: 5,
+        leader: leader_record("drover-1", 78),
+        members: vec![leader_record("drover-1", 78), leader_record("drover-2", 79)],
+        logs_starts: false,
+    };
+    assert_eq!(replica.epoch.unwrap().record, expected);
+}
+
+#[test]
+fn a_removed_key_is_removed_from_the_replica_in_every_family() {
+    let live = bytes(&[LIVE_BEGIN, SPEC, LIVE_END]);
+    let stored: [(&[u8], &[u8]); 6] = [
+        (b"\x76hollowswitch/live/wk-1", &live),
+        (b"\x78\x1ahollowswitch/stopping/wk-1", &live),
+        (b"\x78\x18hollowswitch/done/wk-1/2", b"\x620f"),
+        (b"\x75hollowswitch/starts/3", b"\x60"),
+        (b"\x75hollowswitch/hire/r-1", RENTAL_OPEN),
+        (b"\x73hollowswitch/leader", LEADER),
+    ];
+    for (key, record) in stored {
+        let mut replica = replica_after(&put_event(key, record));
+        assert_eq!(entries(&replica), 1);
+        let removal = bytes(&[b"\xa2\x64drop", key, b"\x65stamp\x0a"]);
+        replica.apply(101, &[decode(&removal).unwrap()]);
+        assert_eq!(entries(&replica), 0, "{}", String::from_utf8_lossy(key));
+    }
+}
--- /dev/null
+++ b/tests/compat/stored_records/start_log.rs
@@ -0,0 +1,176 @@
+//! The text of the start log.
+
+use super::{bytes, job_spec, machine_type};
+use hollowswitch::protocol::{encode, Command, JobSpec, Report, TaskReport, TaskState};
+use hollowswitch::scheduler::{
+    Arrival, Hardware, Origin, Params, ReportOutcome, Scheduler, TeamQuota,
+};
+use hollowswitch::store::{guard, log_txn, LiveRecord};
+use std::collections::HashMap;
+
+/// A scheduler of epoch 5 with a machine in each of two zones, and jobs that fit there.
+fn scheduler() -> Scheduler {
+    let params = Params {
+        lease_ms: 12_000,
+        report_ms: 1500,
+        grace_ms: 10_000,
+        group_factor: 1.25,
+        fetch_gb_per_s: 0.1,
+        transfer_test: true,
+        teams: vec![TeamQuota {
+            name: "red".into(),
+            guarantee: [0, 0],
+            limit: [u64::MAX, u64::MAX],
+        }],
+        finish_ms: HashMap::new(),
+    };
+    let mut scheduler = Scheduler::new(params, 5, 1000);
+    scheduler.set_types(&[machine_type()]);
+    for (machine, zone) in [("n-1", "a"), ("n-2", "b")] {
+        scheduler.add_machine(
+            machine,
+            Hardware {
+                machine_type: "m8",
+                zone,
+                spot: false,
+            },
+            Origin::Inherited,
+        );
+    }
+    for (id, tasks, zone, version) in [
+        ("wk-1", 3, "a", 12),
+        ("wk-2", 1, "a", 13),
+        ("wk-3", 2, "b", 14),
+    ] {
+        let spec = JobSpec {
+            id: id.into(),
+            tasks,
+            cpus: 1.0,
+            gpus: 0.0,
+            memory_gb: 1.0,
+            zone: Some(zone.into()),
+            ..job_spec()
+        };
+        scheduler.add_job(LiveRecord { spec, at_ms: 0 }, version, &[], 0, false);
+    }
+    scheduler
+}
+
+fn report(machine: &str, zone: &str, address: &str, token: u64, tasks: &[(&str, u64)]) -> Report {
+    Report {
+        machine: machine.into(),
+        address: address.into(),
+        machine_type: "m8".into(),
+        zone: zone.into(),
+        spot: false,
+        session: 1,
+        seq: 1 + token % 7,
+        token,
+        notice_s: None,
+        tasks: tasks
+            .iter()
+            .map(|(task, attempt)| TaskReport {
+                task: (*task).into(),
+                attempt: *attempt,
+                state: TaskState::Running,
+                reason: None,
+                saved: None,
+            })
+            .collect(),
+    }
+}
+
+fn orders(scheduler: &mut Scheduler, report: &Report) -> Vec<Command> {
+    match scheduler.report(report, Arrival::Report { may_start: true }) {
+        ReportOutcome::Reply(reply) => reply.orders,
+        other => panic!("{other:?}"),
+    }
+}
+
+const TOKEN: u64 = 0x500_0000;
+
+#[test]
+fn the_start_log_is_written_as_text() {
+    let mut scheduler = scheduler();
+    for token in [0, TOKEN] {
+        orders(&mut scheduler, &report("n-1", "a", "1.2.3.4:9", token, &[]));
+        // An address that cannot stand in the text.
+        orders(&mut scheduler, &report("n-2", "b", "a b", token, &[]));
+    }
+    scheduler.place();
+    let append = scheduler.append(8000, 60).unwrap();
+    // The job of one task comes first, the largest one last.
+    let expected = bytes(&[
+        b"\xa2\x66guards\x85",
+        b"\xa2\x64path\x72hollowswitch/epoch\x65stamp\x0b",
+        b"\xa2\x64path\x75hollowswitch/starts/0\x65stamp\x00",
+        b"\xa2\x64path\x76hollowswitch/live/wk-2\x65stamp\x0d",
+        b"\xa2\x64path\x76hollowswitch/live/wk-3\x65stamp\x0e",
+        b"\xa2\x64path\x76hollowswitch/live/wk-1\x65stamp\x0c",
+        b"\x65apply\x81",
+        b"\xa2\x63put\x75hollowswitch/starts/0\x61v\x78\x61",
+        b"n-1 1.2.3.4:9 /wk-1 0.5000004 1.5000005 2.5000006 /wk-2 0.5000001;",
+        b"n-2 - /wk-3 0.5000002 1.5000003",
+    ]);
+    let epoch = guard("hollowswitch/epoch".into(), 11);
+    assert_eq!(
+        String::from_utf8_lossy(&encode(&log_txn(&epoch, &append))),
+        String::from_utf8_lossy(&expected)
+    );
+    assert_eq!(encode(&log_txn(&epoch, &append)), expected);
+}
+
+#[test]
+fn the_start_log_is_read_from_its_text() {
+    let mut scheduler = scheduler();
+    let slots = [
+        (
+            3,
+            9,
+            "n-1 1.2.3.4:9 /wk-1 0.4000001 2.400000a /wk-2 0.4000003;n-2 - /wk-3 1.4000004",
+        ),
+        // What is not understood is left out; a larger attempt of a task is its later one.
+        (
+            8,
+            10,
+            "n-1 1.2.3.4:9 /wk-1 0.3ffffff x.1 1.xyz 99.1 /wk-77 0.1;n-2;;n-2 - 0.4000005",
+        ),
+        (9, 11, ""),
+    ];
+    scheduler.inherit(slots.into_iter());
+    let pending: Vec<(&str, u32)> = scheduler
+        .jobs()
+        .map(|job| (job.record.spec.id.as_str(), job.pending()))
+        .collect();
+    assert_eq!(pending, [("wk-1", 1), ("wk-2", 0), ("wk-3", 1)]);
+    assert_eq!(scheduler.unsettled(), 2);
+    // The address comes from the log: a machine can be asked before it is heard.
+    let asked: Vec<(String, String)> = scheduler
+        .probes(9)
+        .into_iter()
+        .map(|probe| (probe.machine, probe.address))
+        .collect();
+    assert_eq!(asked, [("n-1".to_string(), "1.2.3.4:9".to_string())]);
+    // These attempts are known: nothing of them is stopped. A task that the log shows on another machine is.
+    let known = [
+        ("wk-1/0", 0x400_0001),
+        ("wk-1/2", 0x400_000a),
+        ("wk-2/0", 0x400_0003),
+    ];
+    assert_eq!(
+        orders(
+            &mut scheduler,
+            &report("n-1", "a", "1.2.3.4:9", TOKEN, &known)
+        ),
+        []
+    );
+    let other = [("wk-3/1", 0x400_0004), ("wk-1/0", 0x3ff_ffff)];
+    let orders = orders(
+        &mut scheduler,
+        &report("n-2", "b", "1.2.3.5:9", TOKEN, &other),
+    );
+    assert!(
+        matches!(&orders[..], [Command::Stop { task, .. }] if task == "wk-1/0"),
+        "{orders:?}"
+    );
+}
--- /dev/null
+++ b/tests/compat/stored_records/unreadable.rs
@@ -0,0 +1,72 @@
+//! Records and keys that are not understood.
+
+use super::{bytes, entries, put_event, replica_after, LIVE_BEGIN, LIVE_END, SPEC};
+use std::io::Write;
+use std::sync::{Arc, Mutex};
+
+/// Collects what is logged.
+#[derive(Clone, Default)]
+struct Log(Arc<Mutex<Vec<u8>>>);
+
+impl Write for Log {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        self.0.lock().expect("one thread writes").extend(bytes);
+        Ok(bytes.len())
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
+#[test]
+fn unreadable_records_are_left_alone_and_logged() {
+    let keys: [(&[u8], &str); 11] = [
+        (b"\x73hollowswitch/leader", "hollowswitch/leader"),
+        (b"\x72hollowswitch/epoch", "hollowswitch/epoch"),
+        (b"\x76hollowswitch/catalogue", "hollowswitch/catalogue"),
+        (b"\x76hollowswitch/live/wk-1", "hollowswitch/live/wk-1"),
+        (
+            b"\x78\x1ahollowswitch/stopping/wk-1",
+            "hollowswitch/stopping/wk-1",
+        ),
+        (b"\x76hollowswitch/over/wk-1", "hollowswitch/over/wk-1"),
+        (
+            b"\x78\x18hollowswitch/done/wk-1/2",
+            "hollowswitch/done/wk-1/2",
+        ),
+        (b"\x75hollowswitch/starts/3", "hollowswitch/starts/3"),
+        (b"\x75hollowswitch/hire/r-1", "hollowswitch/hire/r-1"),
+        (b"\x76hollowswitch/surprises", "hollowswitch/surprises"),
+        (b"\x75hollowswitch/starts/x", "hollowswitch/starts/x"),
+    ];
+    for (key, text) in keys {
+        let log = Log::default();
+        let writer = log.clone();
+        let subscriber = tracing_subscriber::fmt()
+            .with_writer(move || writer.clone())
+            .with_ansi(false)
+            .finish();
+        // The record is the list [7], which no family holds.
+        let replica = tracing::subscriber::with_default(subscriber, || {
+            replica_after(&put_event(key, b"\x81\x07"))
+        });
+        assert_eq!(entries(&replica), 0, "{text}");
+        assert!(replica.epoch.is_none() && replica.catalogue.is_none());
+        assert!(replica.over("wk-1").is_none());
+        assert_eq!(replica.revision, 100);
+        let logged = String::from_utf8(log.0.lock().unwrap().clone()).unwrap();
+        assert!(
+            logged.contains(&format!("record not understood, left alone key=\"{text}\"")),
+            "{logged}"
+        );
+        assert!(logged.contains("ERROR"), "{logged}");
+    }
+}
+
+#[test]
+fn keys_of_other_programs_are_ignored() {
+    let record = bytes(&[LIVE_BEGIN, SPEC, LIVE_END]);
+    let replica = replica_after(&put_event(b"\x6fother/live/wk-1", &record));
+    assert_eq!(entries(&replica), 0);
+}
--- /dev/null
+++ b/tests/compat/stored_records/written.rs
@@ -0,0 +1,173 @@
+//! Keys, and records as they are written.
+
+use super::{
+    bytes, leader_record, live_record, machine_type, put_event, rental_record, replica_after,
+    CATALOGUE, EPOCH, EPOCH_BEFORE_THE_START_LOG, LEADER, LIVE_BEGIN, LIVE_END, OVER_CANCELLED,
+    OVER_DONE, RENTAL_ANSWERED, RENTAL_OPEN, SPEC,
+};
+use hollowswitch::protocol::{encode, Txn};
+use hollowswitch::store::{
+    abort_txn, bits_to_text, catalogue_key, claim_txn, complete_txn, done_key, epoch_key, guard,
+    leader_key, live_job, live_key, over_key, put, rental_key, rental_txn, starts_key,
+    stopping_key, submit_txn, Versioned,
+};
+
+#[test]
+fn every_key_has_its_text() {
+    assert_eq!(leader_key(), "hollowswitch/leader");
+    assert_eq!(epoch_key(), "hollowswitch/epoch");
+    assert_eq!(catalogue_key(), "hollowswitch/catalogue");
+    assert_eq!(live_key("wk-1"), "hollowswitch/live/wk-1");
+    assert_eq!(stopping_key("wk-1"), "hollowswitch/stopping/wk-1");
+    assert_eq!(over_key("wk-1"), "hollowswitch/over/wk-1");
+    assert_eq!(done_key("wk-1", 17), "hollowswitch/done/wk-1/17");
+    assert_eq!(starts_key(3), "hollowswitch/starts/3");
+    assert_eq!(
+        rental_key("drover-0-77-1"),
+        "hollowswitch/hire/drover-0-77-1"
+    );
+    assert_eq!(live_job("hollowswitch/live/wk-1"), Some("wk-1"));
+    assert_eq!(live_job("hollowswitch/over/wk-1"), None);
+    assert_eq!(live_job("live/wk-1"), None);
+}
+
+#[test]
+fn a_submission_writes_an_unfinished_job() {
+    let expected = bytes(&[
+        b"\xa2\x66guards\x82",
+        b"\xa2\x64path\x76hollowswitch/live/wk-1\x65stamp\x00",
+        b"\xa2\x64path\x76hollowswitch/over/wk-1\x65stamp\x00",
+        b"\x65apply\x81",
+        b"\xa2\x63put\x76hollowswitch/live/wk-1\x61v",
+        LIVE_BEGIN,
+        SPEC,
+        LIVE_END,
+    ]);
+    assert_eq!(encode(&submit_txn("wk-1", &live_record())), expected);
+}
+
+#[test]
+fn a_cancellation_moves_the_job_to_those_being_stopped_and_writes_its_final_state() {
+    let expected = bytes(&[
+        b"\xa2\x66guards\x82",
+        b"\xa2\x64path\x76hollowswitch/live/wk-1\x65stamp\x0c",
+        b"\xa2\x64path\x76hollowswitch/over/wk-1\x65stamp\x00",
+        b"\x65apply\x83",
+        b"\xa1\x64drop\x76hollowswitch/live/wk-1",
+        b"\xa2\x63put\x78\x1ahollowswitch/stopping/wk-1\x61v",
+        LIVE_BEGIN,
+        SPEC,
+        LIVE_END,
+        b"\xa2\x63put\x76hollowswitch/over/wk-1\x61v",
+        OVER_CANCELLED,
+    ]);
+    let live = Versioned {
+        record: live_record(),
+        version: 12,
+    };
+    assert_eq!(encode(&abort_txn("wk-1", &live)), expected);
+}
+
+#[test]
+fn a_completion_writes_the_final_state() {
+    let expected = bytes(&[
+        b"\xa2\x66guards\x83",
+        b"\xa2\x64path\x72hollowswitch/epoch\x65stamp\x0b",
+        b"\xa2\x64path\x76hollowswitch/live/wk-1\x65stamp\x0c",
+        b"\xa2\x64path\x76hollowswitch/over/wk-1\x65stamp\x00",
+        b"\x65apply\x82",
+        b"\xa1\x64drop\x76hollowswitch/live/wk-1",
+        b"\xa2\x63put\x76hollowswitch/over/wk-1\x61v",
+        OVER_DONE,
+    ]);
+    let epoch = guard("hollowswitch/epoch".into(), 11);
+    assert_eq!(encode(&complete_txn(&epoch, "wk-1", 12, 9000)), expected);
+}
+
+#[test]
+fn a_claim_writes_leader_and_epoch() {
+    let mut replica = replica_after(&put_event(
+        b"\x72hollowswitch/epoch",
+        EPOCH_BEFORE_THE_START_LOG,
+    ));
+    let expected = |leader_version: u8| {
+        bytes(&[
+            b"\xa2\x66guards\x82",
+            b"\xa2\x64path\x73hollowswitch/leader\x65stamp",
+            &[leader_version],
+            b"\xa2\x64path\x72hollowswitch/epoch\x65stamp\x09",
+            b"\x65apply\x82",
+            b"\xa3\x63put\x73hollowswitch/leader\x61v",
+            LEADER,
+            b"\x66tenure\x18\x58",
+            b"\xa2\x63put\x72hollowswitch/epoch\x61v",
+            EPOCH,
+        ])
+    };
+    let claimant = leader_record("drover-0", 77);
+    let (txn, _) = claim_txn(&replica, &claimant, 88).unwrap();
+    assert_eq!(encode(&txn), expected(0));
+    // An earlier process of the same node still holds the key.
+    replica.leader = Some(Versioned {
+        record: leader_record("drover-0", 76),
+        version: 8,
+    });
+    let (txn, record) = claim_txn(&replica, &claimant, 88).unwrap();
+    assert_eq!(encode(&txn), expected(8));
+    assert_eq!(encode(&record), EPOCH);
+}
+
+#[test]
+fn a_rental_request_is_written_answered_and_dropped() {
+    let epoch = guard("hollowswitch/epoch".into(), 11);
+    let begin = |version: u8| {
+        bytes(&[
+            b"\xa2\x66guards\x82",
+            b"\xa2\x64path\x72hollowswitch/epoch\x65stamp\x0b",
+            b"\xa2\x64path\x75hollowswitch/hire/r-1\x65stamp",
+            &[version],
+            b"\x65apply\x81",
+        ])
+    };
+    let put = b"\xa2\x63put\x75hollowswitch/hire/r-1\x61v";
+    assert_eq!(
+        encode(&rental_txn(&epoch, "r-1", 0, &rental_record(None))),
+        bytes(&[&begin(0), put, RENTAL_OPEN])
+    );
+    let machines = Some(vec!["n-1".into(), "n-2".into()]);
+    assert_eq!(
+        encode(&rental_txn(&epoch, "r-1", 13, &rental_record(machines))),
+        bytes(&[&begin(13), put, RENTAL_ANSWERED])
+    );
+    assert_eq!(
+        encode(&rental_txn(
+            &epoch,
+            "r-1",
+            13,
+            &rental_record(Some(Vec::new()))
+        )),
+        bytes(&[&begin(13), b"\xa1\x64drop\x75hollowswitch/hire/r-1"])
+    );
+}
+
+#[test]
+fn results_and_machine_types_are_written() {
+    let txn = Txn {
+        guards: Vec::new(),
+        apply: vec![
+            put(
+                done_key("wk-1", 2),
+                &bits_to_text(&[0x05, 0x00, 0xff]),
+                None,
+            ),
+            put(catalogue_key(), &vec![machine_type()], None),
+        ],
+    };
+    let expected = bytes(&[
+        b"\xa2\x66guards\x80\x65apply\x82",
+        b"\xa2\x63put\x78\x18hollowswitch/done/wk-1/2\x61v\x660500ff",
+        b"\xa2\x63put\x76hollowswitch/catalogue\x61v",
+        CATALOGUE,
+    ]);
+    assert_eq!(encode(&txn), expected);
+}
