--- a/src/api.rs
+++ b/src/api.rs
@@ -1,19 +1,24 @@
 //! The doors: users, workers, health checks and the other controllers.
 
+#[allow(
+    clippy::missing_errors_doc,
+    reason = "this module has yet to be cleaned"
+)]
+pub mod server;
 #[cfg(test)]
 mod tests;
 
-use crate::limiter::{Limiter, Request};
-use crate::node::{
+use crate::admission::concurrency_limit::{Limiter, Request};
+use crate::controller::{
     Abort, Answer, Health, Node, PeerCancelled, PeerView, Poll, Submit, WorkerAnswer, WorkerReport,
     WorkerResponse,
 };
-use crate::peer;
+use crate::coordination::peers;
 use crate::protocol::{self as wire, decode, encode, JobSpec, Report, BODY_LIMIT};
-use crate::server::{self, Connections};
 use actix::Addr;
 use actix_web::http::ConnectionType;
 use actix_web::{web, App, HttpResponse};
+use server::Connections;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -151,21 +156,21 @@
 }
 
 async fn view(door: web::Data<Door>, body: web::Bytes) -> HttpResponse {
-    let Some(view) = peer::decode::<peer::View>(&body) else {
+    let Some(view) = peers::decode::<peers::View>(&body) else {
         return plain(400, "malformed");
     };
     match door.node.send(PeerView(view)).await {
-        Ok(own) => HttpResponse::Ok().body(peer::encode(&own)),
+        Ok(own) => HttpResponse::Ok().body(peers::encode(&own)),
         Err(_) => plain(503, "stopping"),
     }
 }
 
 async fn cancelled(door: web::Data<Door>, body: web::Bytes) -> HttpResponse {
-    let Some(told) = peer::decode::<peer::Cancelled>(&body) else {
+    let Some(told) = peers::decode::<peers::Cancelled>(&body) else {
         return plain(400, "malformed");
     };
     match door.node.send(PeerCancelled(told)).await {
-        Ok(revision) => HttpResponse::Ok().body(peer::encode(&revision)),
+        Ok(revision) => HttpResponse::Ok().body(peers::encode(&revision)),
         Err(_) => plain(503, "stopping"),
     }
 }
@@ -198,7 +203,7 @@
 
 /// The routes of the other controllers.
 fn peer_routes(config: &mut web::ServiceConfig) {
-    let limit = || web::PayloadConfig::new(peer::LIMIT);
+    let limit = || web::PayloadConfig::new(peers::LIMIT);
     config
         .service(
             web::resource("/peer/view")
--- a/src/fleet.rs
+++ b/src/autoscaler.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::cloud::RENT_MOST;
+use crate::clients::cloud::RENT_MOST;
 use crate::scheduler::{Amounts, MachineState, Offer, Scheduler, UnmetDemand, Utilization};
 use std::collections::{HashMap, VecDeque};
 
--- a/src/cloud.rs
+++ b/src/clients/cloud.rs
@@ -1,9 +1,9 @@
 //! The cloud's client.
 
+use crate::clients::worker::exchange;
 use crate::protocol::{
     decode, encode, Catalogue, ListedMachine, MachineList, MachineNames, MachineType, RentRequest,
 };
-use crate::worker::exchange;
 use awc::http::Method;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/src/node/election.rs
+++ b/src/controller/election.rs
@@ -1,13 +1,14 @@
 //! Leadership, and the leader's work: placing, sending, durable writes.
 
-use super::controller::{Pass, FLUSH_MS, PASS_MS};
+use super::state::{Pass, FLUSH_MS, PASS_MS};
 use super::{pause, Shared};
-use crate::leader::{Authority, Event, Term};
-use crate::permit::while_permitted;
+use crate::clients::permit::while_permitted;
+use crate::clients::worker;
+use crate::coordination::leadership::{Authority, Event, Term};
 use crate::protocol as wire;
+use crate::store;
 use crate::store::{Decided, LeaderRecord, StoreError};
-use crate::units::millis;
-use crate::{store, worker};
+use crate::time::millis;
 use rand::Rng;
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/node/mod.rs
+++ b/src/controller/mod.rs
@@ -1,21 +1,21 @@
 //! A controller: the actor that joins the pure parts to the state service, the cloud, the workers and the users.
 
-mod controller;
 mod election;
 mod persistence;
 mod provisioning;
+mod state;
 #[cfg(test)]
 mod tests;
 mod user_requests;
 
-use self::controller::{Clock, ControllerState, PASS_MS};
-use crate::cloud::CloudClient;
+use self::state::{Clock, ControllerState, PASS_MS};
+use crate::clients::cloud::CloudClient;
+use crate::clients::worker;
 use crate::config::Settings;
-use crate::leader::Event;
-use crate::peer::{self, Cancelled, View};
+use crate::coordination::leadership::Event;
+use crate::coordination::peers::{self, Cancelled, View};
 use crate::protocol::{JobSpec, JobView, Report, ReportReply, Txn};
 use crate::store::{self, guard, Decided, StoreClient, StoreError};
-use crate::worker;
 use actix::prelude::*;
 use futures_util::future::{select, Either};
 use rand::Rng;
@@ -292,7 +292,7 @@
                 };
                 let (me, node, addr) = (self.clone(), p.node.clone(), p.peer_addr);
                 actix::spawn(async move {
-                    if let Some(revision) = peer::tell_cancelled(&me.http, addr, &message).await {
+                    if let Some(revision) = peers::tell_cancelled(&me.http, addr, &message).await {
                         let notices = &mut me.controller.borrow_mut().notices;
                         notices.told(&node, last);
                         notices.mirrored(&node, revision);
@@ -319,7 +319,7 @@
                 );
                 actix::spawn(async move {
                     let from = Instant::now();
-                    let answer = peer::ask(&me.http, addr, &own).await;
+                    let answer = peers::ask(&me.http, addr, &own).await;
                     let mut controller = me.controller.borrow_mut();
                     let now = controller.now();
                     match answer {
--- a/src/node/persistence.rs
+++ b/src/controller/persistence.rs
@@ -1,7 +1,7 @@
 //! The leader's rounds and its books: what it sends, and the transactions that make its decisions durable.
 
-use super::controller::{ControllerState, Pass, FLUSH_MS, PASS_MS, PAUSE_MS, TICK_MS};
-use crate::leader::{Authority, Term};
+use super::state::{ControllerState, Pass, FLUSH_MS, PASS_MS, PAUSE_MS, TICK_MS};
+use crate::coordination::leadership::{Authority, Term};
 use crate::protocol as wire;
 use crate::protocol::{Report, Txn};
 use crate::scheduler::Direct;
--- a/src/node/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -1,16 +1,17 @@
 //! The leader's dealings with the cloud.
 
-use super::controller::{UnregisteredMachine, CLOUD_SHARE, UNREGISTERED_LIMIT};
+use super::state::{UnregisteredMachine, CLOUD_SHARE, UNREGISTERED_LIMIT};
 use super::{pause, Shared};
-use crate::cloud::{Rented, RELEASE_MOST};
-use crate::fleet::RentalRequest;
-use crate::leader::{Authority, Term};
-use crate::permit::while_permitted;
+use crate::autoscaler::RentalRequest;
+use crate::clients::cloud::{Rented, RELEASE_MOST};
+use crate::clients::permit::while_permitted;
+use crate::clients::worker;
+use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::{MachineType, RentRequest, Txn};
 use crate::scheduler::{Direct, MachineState, Offer, Origin};
+use crate::store;
 use crate::store::{guard, put, Decided, RentalRecord};
-use crate::units::millis;
-use crate::{store, worker};
+use crate::time::millis;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/src/node/controller.rs
+++ b/src/controller/state.rs
@@ -2,17 +2,19 @@
 //! tests drive it with a scripted store, workers and peers.
 
 use super::WorkerAnswer;
+use crate::admission::rate::{RateMeter, TokenBucket};
+use crate::admission::write_admission::{users_share, Pacer};
+use crate::autoscaler::Fleet;
 use crate::config::Settings;
-use crate::fleet::Fleet;
-use crate::leader::{Authority, Event, Leadership, Term};
-use crate::pacer::{users_share, Pacer};
-use crate::peer::{CancellationNotices, Cancelled, CancelledJob, Notice, PeerHealth, View};
+use crate::coordination::leadership::{Authority, Event, Leadership, Term};
+use crate::coordination::peers::{
+    CancellationNotices, Cancelled, CancelledJob, Notice, PeerHealth, View,
+};
 use crate::protocol as wire;
 use crate::protocol::{JobSpec, JobState, JobView, Kind, MachineType, Report};
-use crate::rate::{RateMeter, TokenBucket};
 use crate::scheduler::{Arrival, Direct, Origin, Params, ReportOutcome, Scheduler};
 use crate::store::{LeaderRecord, Mirror, MirrorChange, OverRecord, Versioned};
-use crate::units::millis;
+use crate::time::millis;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
--- a/src/node/tests/cancellations.rs
+++ b/src/controller/tests/cancellations.rs
@@ -1,7 +1,7 @@
 //! Cancellations between controllers: nobody is told of one before the leader knows.
 
 use super::world::World;
-use crate::peer::{Cancelled, CancelledJob};
+use crate::coordination::peers::{Cancelled, CancelledJob};
 use crate::scheduler::tests::spec;
 
 /// The two controllers that do not lead.
--- a/src/node/tests/world/controllers.rs
+++ b/src/controller/tests/world/controllers.rs
@@ -1,7 +1,7 @@
 //! The controllers of the scripted world: carries out what each `ControllerState` asks for, as the loops of `node` do.
 
 use super::*;
-use crate::units::millis;
+use crate::time::millis;
 
 impl World {
     pub(super) fn drive(&mut self, n: usize) {
@@ -430,7 +430,8 @@
                 continue;
             };
             if let Some((jobs, last)) = hint {
-                let revision = other.take_cancelled(&crate::peer::Cancelled { jobs });
+                let revision =
+                    other.take_cancelled(&crate::coordination::peers::Cancelled { jobs });
                 let notices = &mut self.nodes[a].controller.as_mut().unwrap().notices;
                 notices.told(&name, last);
                 notices.mirrored(&name, revision);
--- a/src/node/tests/world/mod.rs
+++ b/src/controller/tests/world/mod.rs
@@ -10,11 +10,11 @@
 use service::Service;
 
 use crate::config::Settings;
-use crate::leader::Term;
-use crate::leader::{Authority, Event as LeadEvent, Role};
-use crate::node::controller::{Clock, ControllerState, Pass};
-use crate::node::WorkerAnswer;
-use crate::peer::{CancelledJob, Notice};
+use crate::controller::state::{Clock, ControllerState, Pass};
+use crate::controller::WorkerAnswer;
+use crate::coordination::leadership::Term;
+use crate::coordination::leadership::{Authority, Event as LeadEvent, Role};
+use crate::coordination::peers::{CancelledJob, Notice};
 use crate::protocol::{
     split_task, Change, Command, Event, ExitReason, Guard, JobSpec, Kind, MachineType, Report,
     ReportReply, TaskReport, TaskState, Txn,
--- a/src/node/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,8 +1,8 @@
 //! What users ask: submissions, polls, cancellations.
 
-use super::controller::over_view;
+use super::state::over_view;
 use super::{pause, Answer, Shared};
-use crate::peer::{CancelledJob, Notice};
+use crate::coordination::peers::{CancelledJob, Notice};
 use crate::protocol::{JobSpec, JobState, JobView, Txn};
 use crate::store;
 use crate::store::{Decided, LiveRecord, OverRecord, StoreError, Versioned};
@@ -185,8 +185,9 @@
             let controller = self.controller.borrow();
             (
                 controller.now(),
-                (controller.settings.operator.hold_s * 1000.0 * (1.0 + crate::leader::DRIFT))
-                    as u64,
+                (controller.settings.operator.hold_s
+                    * 1000.0
+                    * (1.0 + crate::coordination::leadership::DRIFT)) as u64,
             )
         };
         loop {
--- a/src/peer.rs
+++ b/src/coordination/peers.rs
@@ -6,7 +6,7 @@
 
 pub use notices::{CancellationNotices, Notice};
 
-use crate::worker::exchange;
+use crate::clients::worker::exchange;
 use awc::http::Method;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::collections::HashMap;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,24 +1,15 @@
 //! hollowswitch: a cluster scheduler that rents machines by the second and keeps every task in at most one place.
 //!
-//! The program in `main.rs` is thin; [`node::run`] is the whole service. Start reading at [`scheduler`], the logic without
-//! I/O, and `docs/design.md`.
-#![warn(missing_docs)]
+//! The program in `main.rs` is thin; [`controller::run`] is the whole service. Start reading at [`scheduler`], the logic
+//! without I/O, and `docs/design.md`.
 
+pub mod admission;
 #[allow(
     clippy::cast_possible_truncation,
     clippy::missing_errors_doc,
     reason = "this module has yet to be cleaned"
 )]
 pub mod api;
-pub mod cloud;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    reason = "this module has yet to be cleaned"
-)]
-pub mod config;
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -26,21 +17,16 @@
     clippy::too_many_lines,
     reason = "this module has yet to be cleaned"
 )]
-pub mod fleet;
+pub mod autoscaler;
+pub mod clients;
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    clippy::match_same_arms,
-    reason = "this module has yet to be cleaned"
-)]
-pub mod leader;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::missing_panics_doc,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
     reason = "this module has yet to be cleaned"
 )]
-pub mod limiter;
+pub mod config;
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -51,16 +37,8 @@
     clippy::too_many_lines,
     reason = "this module has yet to be cleaned"
 )]
-pub mod node;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::missing_errors_doc,
-    reason = "this module has yet to be cleaned"
-)]
-pub mod pacer;
-pub mod peer;
-pub mod permit;
+pub mod controller;
+pub mod coordination;
 #[allow(clippy::too_many_lines, reason = "this module has yet to be cleaned")]
 pub mod placement;
 #[allow(
@@ -68,13 +46,6 @@
     reason = "this module has yet to be cleaned"
 )]
 pub mod protocol;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::missing_errors_doc,
-    reason = "this module has yet to be cleaned"
-)]
-pub mod rate;
 #[allow(
     clippy::assigning_clones,
     clippy::cast_possible_truncation,
@@ -87,11 +58,6 @@
     reason = "this module has yet to be cleaned"
 )]
 pub mod scheduler;
-#[allow(
-    clippy::missing_errors_doc,
-    reason = "this module has yet to be cleaned"
-)]
-pub mod server;
 #[allow(
     clippy::assigning_clones,
     clippy::cast_possible_truncation,
@@ -101,14 +67,4 @@
     reason = "this module has yet to be cleaned"
 )]
 pub mod store;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    reason = "this module has yet to be cleaned"
-)]
-pub mod units;
-#[allow(
-    clippy::missing_errors_doc,
-    reason = "this module has yet to be cleaned"
-)]
-pub mod worker;
+pub mod time;
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -8,7 +8,7 @@
 use crate::placement::Capability;
 use crate::protocol::{split_task, Report};
 use crate::protocol::{Command, Kind};
-use crate::units::millis;
+use crate::time::millis;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 
 /// A margin beside the drift of clocks, in milliseconds.
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -1,6 +1,6 @@
 //! Fixed numbers of a scheduler, from the settings.
 
-use crate::units::millis;
+use crate::time::millis;
 use std::collections::HashMap;
 
 /// A team's quota; `u64::MAX` where it has none.
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{split_task, ExitReason, Report, TaskReport, TaskState};
 use crate::protocol::{Command, Kind, ReportReply};
 use crate::store::CHUNK;
-use crate::units::millis;
+use crate::time::millis;
 use std::collections::HashSet;
 
 /// Most commands in one message to a worker: keeps it far below 64 KiB. The rest follows in the next one.
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -8,7 +8,7 @@
 use crate::placement;
 use crate::placement::{Ask, Candidate, CLASSES};
 use crate::protocol::{Kind, Priority};
-use crate::units::millis;
+use crate::time::millis;
 use std::collections::{BTreeMap, HashMap};
 
 /// The largest jobs, too, must begin within this time (PROTOCOL, additions), and this share of it is left to others.
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -2,8 +2,8 @@
 
 use super::records::record;
 use super::{Mirror, Versioned, ROOT};
+use crate::clients::worker::ExchangeError;
 use crate::protocol::{self as wire, Item, Txn};
-use crate::worker::ExchangeError;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -67,7 +67,7 @@
         body: Option<Vec<u8>>,
         within: Duration,
     ) -> Result<(u16, Vec<u8>), StoreError> {
-        let answer = crate::worker::exchange(
+        let answer = crate::clients::worker::exchange(
             &self.http,
             method,
             &format!("{}{path}", self.base),
