--- a/src/node/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -2,9 +2,9 @@
 //! and literal records, so that this also holds between versions.
 
 use crate::config::tests::settings;
-use crate::leader::{Event as LeadEvent, Term};
-use crate::node::controller::{Clock, ControllerState, Pass};
-use crate::node::WorkerAnswer;
+use crate::controller::state::{Clock, ControllerState, Pass};
+use crate::controller::WorkerAnswer;
+use crate::coordination::leadership::{Event as LeadEvent, Term};
 use crate::protocol::{
     Change, Command, Event, ExitReason, JobState, Report, TaskReport, TaskState,
 };
--- a/tests/compat/peers.rs
+++ b/tests/compat/peers.rs
@@ -1,7 +1,7 @@
 //! Messages between controllers, as literal bincode. An old and a new process run side by side during an upgrade, so that the
 //! order and the types of all fields have to stay.
 
-use hollowswitch::peer::{decode, encode, Cancelled, CancelledJob, View};
+use hollowswitch::coordination::peers::{decode, encode, Cancelled, CancelledJob, View};
 
 /// A follower's view: node, epoch, revision, whether the store answers, then two absent fields.
 const FOLLOWER_VIEW: &[u8] = b"\x08\0\0\0\0\0\0\0drover-1\
