--- /dev/null
+++ b/src/controller/actor.rs
@@ -0,0 +1,127 @@
+//! The actor.
+
+use super::clock::Clock;
+use super::handles::Shared;
+use super::messages::{
+    Abort, Answer, Health, PeerCancelled, PeerView, Poll, Submit, WorkerReport, WorkerResponse,
+};
+use super::state::ControllerState;
+use crate::clients::cloud::CloudClient;
+use crate::clients::worker;
+use crate::config::Settings;
+use crate::store::StoreClient;
+use actix::prelude::*;
+use rand::Rng;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Instant;
+use tokio::sync::{watch, Notify};
+
+/// The actor.
+pub struct Node {
+    shared: Shared,
+}
+
+impl Node {
+    /// A node that has yet to be started.
+    pub(crate) fn new(settings: Settings) -> Node {
+        let connections =
+            (settings.platform.deployment.machine_limits.max_connections / 8).clamp(8, 100);
+        let http = worker::http_client(connections);
+        let incarnation = rand::thread_rng().gen::<u64>() >> 1;
+        let external = settings.platform.external.clone();
+        let controller = ControllerState::new(settings, incarnation, Clock::Steady(Instant::now()));
+        let shared = Shared {
+            controller: Rc::new(RefCell::new(controller)),
+            store: StoreClient::new(http.clone(), external.state),
+            cloud: CloudClient::new(http.clone(), external.cloud),
+            http,
+            revision: Rc::new(watch::channel(0).0),
+            campaign: Rc::new(Notify::new()),
+            reading: Rc::new(Notify::new()),
+            cancelled: Rc::new(Notify::new()),
+            urgent: Rc::new(Notify::new()),
+            logging: Rc::new(Notify::new()),
+            elected: Rc::new(Notify::new()),
+        };
+        Node { shared }
+    }
+}
+
+impl Actor for Node {
+    type Context = Context<Self>;
+
+    fn started(&mut self, _: &mut Self::Context) {
+        let s = &self.shared;
+        actix::spawn(s.clone().sync());
+        actix::spawn(s.clone().read_barrier());
+        actix::spawn(s.clone().leadership());
+        actix::spawn(s.clone().ticks());
+        actix::spawn(s.clone().start_log());
+        actix::spawn(s.clone().flush());
+        actix::spawn(s.clone().fleet());
+        actix::spawn(s.clone().peers());
+        actix::spawn(s.clone().tell_cancelled());
+    }
+}
+
+impl Handler<Submit> for Node {
+    type Result = ResponseFuture<Answer>;
+    fn handle(&mut self, m: Submit, _: &mut Self::Context) -> Self::Result {
+        Box::pin(self.shared.clone().submit(m.0))
+    }
+}
+
+impl Handler<Poll> for Node {
+    type Result = ResponseFuture<Answer>;
+    fn handle(&mut self, m: Poll, _: &mut Self::Context) -> Self::Result {
+        Box::pin(self.shared.clone().poll(m.0))
+    }
+}
+
+impl Handler<Abort> for Node {
+    type Result = ResponseFuture<Answer>;
+    fn handle(&mut self, m: Abort, _: &mut Self::Context) -> Self::Result {
+        Box::pin(self.shared.clone().abort(m.0))
+    }
+}
+
+impl Handler<Health> for Node {
+    type Result = bool;
+    fn handle(&mut self, _: Health, _: &mut Self::Context) -> bool {
+        self.shared.controller.borrow().healthy()
+    }
+}
+
+impl Handler<WorkerReport> for Node {
+    type Result = MessageResult<WorkerReport>;
+    fn handle(&mut self, m: WorkerReport, _: &mut Self::Context) -> Self::Result {
+        let mut controller = self.shared.controller.borrow_mut();
+        let answer = controller.report(&m.0);
+        if controller.needs_pass() {
+            self.shared.urgent.notify_one();
+        }
+        MessageResult(WorkerResponse {
+            answer,
+            valid_until: controller.answer_valid_until(),
+        })
+    }
+}
+
+impl Handler<PeerView> for Node {
+    type Result = MessageResult<PeerView>;
+    fn handle(&mut self, m: PeerView, _: &mut Self::Context) -> Self::Result {
+        let mut controller = self.shared.controller.borrow_mut();
+        controller.take_view(m.0);
+        MessageResult(controller.own_view())
+    }
+}
+
+impl Handler<PeerCancelled> for Node {
+    type Result = MessageResult<PeerCancelled>;
+    fn handle(&mut self, m: PeerCancelled, _: &mut Self::Context) -> Self::Result {
+        self.shared.urgent.notify_one();
+        self.shared.cancelled.notify_one();
+        MessageResult(self.shared.controller.borrow_mut().take_cancelled(&m.0))
+    }
+}
--- a/src/controller/election.rs
+++ b/src/controller/election.rs
@@ -1,17 +1,14 @@
-//! Leadership, and the leader's work: placing, sending, durable writes.
+//! Campaigns for leadership, renews it and gives it up.
 
-use super::state::{Pass, FLUSH_MS, PASS_MS};
-use super::{pause, Shared};
-use crate::clients::permit::while_permitted;
-use crate::clients::worker;
+use super::handles::{pause, Shared};
+use super::state::ControllerState;
 use crate::coordination::leadership::{Authority, Event, Term};
-use crate::protocol as wire;
+use crate::protocol::Txn;
+use crate::scheduler::{Origin, Params, Scheduler};
 use crate::store;
-use crate::store::{Decided, LeaderRecord, StoreError};
+use crate::store::{Decided, LeaderRecord, Mirror, StoreError};
 use crate::time::millis;
 use rand::Rng;
-use std::cell::Cell;
-use std::rc::Rc;
 use std::time::Duration;
 
 impl Shared {
@@ -143,7 +140,7 @@
     }
 
     /// Gives leadership up, so that a node that hears the workers may take it at once.
-    fn give_up(&self) {
+    pub(super) fn give_up(&self) {
         let mut controller = self.controller.borrow_mut();
         if let Some(Term { lease, .. }) = controller.term() {
             let store = self.store.clone();
@@ -154,145 +151,74 @@
             controller.now() + (controller.settings.operator.hold_s * 4000.0) as u64;
         controller.lead_event(Event::Ended);
     }
+}
 
-    pub(super) async fn ticks(self) {
-        let connections = self
-            .controller
-            .borrow()
-            .settings
-            .platform
-            .deployment
-            .machine_limits
-            .max_connections;
-        let most = (connections / 16).clamp(8, 64);
-        let flying = Rc::new(Cell::new(0usize));
-        loop {
-            let wait_ms = self.controller.borrow().next_pass_in_ms();
-            let _ =
-                tokio::time::timeout(Duration::from_millis(wait_ms), self.urgent.notified()).await;
-            let pass = self
-                .controller
-                .borrow_mut()
-                .pass(most.saturating_sub(flying.get()), most / 4);
-            let sends = match pass {
-                Pass::Sends(sends) => sends,
-                Pass::Nothing => continue,
-                Pass::GiveUp(reason) => {
-                    tracing::info!(reason, "gives leadership up");
-                    self.give_up();
-                    continue;
-                }
-            };
-            self.logging.notify_one();
-            for d in sends {
-                let me = self.clone();
-                let flying = flying.clone();
-                let term = self.controller.borrow().term();
-                flying.set(flying.get() + 1);
-                actix::spawn(async move {
-                    let permitted = || me.controller.borrow().may_send_direct(term, &d);
-                    let answer = while_permitted(permitted, worker::send_direct(&me.http, &d))
-                        .await
-                        .flatten();
-                    flying.set(flying.get() - 1);
-                    me.controller
-                        .borrow_mut()
-                        .direct_answer(term, &d, answer.as_ref());
-                    me.urgent.notify_one();
-                });
-            }
-            // One round for all the reports of a moment.
-            pause(PASS_MS).await;
-        }
-    }
-
-    /// Writes the start log: one append at a time, so that the order of writes is that of the assignments.
-    pub(super) async fn start_log(self) {
-        let pace = (4000.0
-            / self
-                .controller
-                .borrow()
-                .settings
-                .platform
-                .deployment
-                .state
-                .write_rps) as u64;
-        loop {
-            self.logging.notified().await;
-            let next = self.controller.borrow_mut().next_append();
-            let Some((append, term, txn)) = next else {
-                continue;
-            };
-            let done = self.txn(&txn).await;
-            // Without an answer, or if an unanswered earlier one went through: what does the slot hold?
-            let found = match done {
-                Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused) => None,
-                _ => self
-                    .noted(
-                        self.store
-                            .get::<String>(&store::starts_key(append.slot))
-                            .await,
-                    )
-                    .ok(),
-            };
-            self.controller
-                .borrow_mut()
-                .logged(term, append, done, found);
-            self.urgent.notify_one();
-            pause(pace).await;
-        }
+impl ControllerState {
+    /// The transaction that claims the next epoch, and its record; none if somebody leads.
+    pub(super) fn claim(&mut self, lease: u64) -> Option<(Txn, store::EpochRecord)> {
+        self.unlogged = self
+            .mirror
+            .epoch
+            .as_ref()
+            .is_some_and(|e| !e.record.logs_starts);
+        store::claim_txn(&self.mirror, &self.me, lease)
     }
 
-    /// Makes results durable and clears up, in batches.
-    pub(super) async fn flush(self) {
-        loop {
-            self.elected().await;
-            pause(FLUSH_MS).await;
-            let Some(epoch) = self.controller.borrow().write_guard() else {
-                continue;
-            };
-            self.flush_complete(&epoch).await;
-            self.flush_ranges(&epoch).await;
-            self.flush_machines(&epoch).await;
-            let swept = self.controller.borrow_mut().sweep(&epoch);
-            if let Some(txn) = swept {
-                let _ = self.txn(&txn).await;
+    /// Builds the scheduler of a new epoch from the store.
+    pub(super) fn rebuild(&mut self, epoch: u64) {
+        let (now, wall) = (self.now(), self.wall());
+        let mut scheduler = Scheduler::new(Params::new(&self.settings), epoch, now);
+        scheduler.set_types(&self.types);
+        for h in self.mirror.rentals.values() {
+            let h = &h.record;
+            for machine in h.machines.iter().flatten() {
+                scheduler.add_machine(machine, h.hardware(), Origin::Inherited);
             }
         }
-    }
-
-    async fn flush_complete(&self, epoch: &wire::Guard) {
-        let complete = self.controller.borrow().completions(epoch);
-        for (id, tasks, txn) in complete {
-            // If it failed, the job was cancelled, or an unanswered try went through: the watch tells.
-            if let Ok(Decided::Applied(_)) = self.txn(&txn).await {
-                self.controller.borrow_mut().completed(&id, tasks);
-            }
+        for (id, v) in &self.mirror.live {
+            let ended = self.mirror.over(id).is_some();
+            scheduler.add_job(
+                v.record.clone(),
+                v.version,
+                &done_rows(&self.mirror, id),
+                wall,
+                ended,
+            );
         }
-    }
-
-    async fn flush_ranges(&self, epoch: &wire::Guard) {
-        let Some((rows, txn)) = self.controller.borrow().ranges(epoch) else {
-            return;
-        };
-        match self.txn(&txn).await {
-            Ok(Decided::Applied(_)) => self.controller.borrow_mut().stored(epoch, &rows),
-            // The mirror lags behind an earlier write, or a job has just ended; either shows shortly.
-            Ok(Decided::Failed(keys)) => tracing::debug!(?keys, "ranges not stored yet"),
-            Err(_) => {}
+        for (id, v) in &self.mirror.stopping {
+            scheduler.add_job(
+                v.record.clone(),
+                v.version,
+                &done_rows(&self.mirror, id),
+                wall,
+                true,
+            );
         }
-    }
-
-    /// Forgets machines that are gone.
-    async fn flush_machines(&self, epoch: &wire::Guard) {
-        let Some((forgotten, txn)) = self.controller.borrow().forgettable(epoch) else {
-            return;
-        };
-        if let Ok(Decided::Applied(_)) = self.txn(&txn).await {
-            let mut controller = self.controller.borrow_mut();
-            forgotten.iter().for_each(|m| {
-                controller.gone.remove(m);
-            });
+        scheduler.inherit(
+            self.mirror
+                .starts
+                .iter()
+                .map(|(slot, v)| (*slot, v.version, v.record.as_str())),
+        );
+        if self.unlogged {
+            scheduler.wait_for_lease_expiry();
         }
+        self.leads_since = now;
+        let (jobs, rentals) = (self.mirror.live.len(), self.mirror.rentals.len());
+        tracing::info!(
+            epoch,
+            jobs,
+            rentals,
+            unsettled = scheduler.unsettled(),
+            "epoch begins"
+        );
+        self.scheduler = Some(scheduler);
     }
 }
+
+pub(super) fn done_rows(mirror: &Mirror, job: &str) -> Vec<(u32, Vec<u8>)> {
+    let from = (job.to_string(), 0);
+    let rows = mirror.done.range(from..).take_while(|((j, _), _)| j == job);
+    rows.map(|((_, chunk), v)| (*chunk, v.record.clone()))
+        .collect()
+}
--- /dev/null
+++ b/src/controller/heartbeats.rs
@@ -0,0 +1,64 @@
+//! The answers to the reports of workers.
+
+use super::messages::WorkerAnswer;
+use super::state::{ControllerState, UnregisteredMachine, UNREGISTERED_LIMIT};
+use crate::coordination::leadership::{Authority, Event};
+use crate::protocol::Report;
+use crate::scheduler::{Arrival, ReportOutcome};
+use std::time::{Duration, Instant};
+
+impl ControllerState {
+    pub(super) fn report(&mut self, r: &Report) -> WorkerAnswer {
+        let now = self.now();
+        let authority = self.authority();
+        let leader = self.mirror.leader.as_ref().map(|l| l.record.node.clone());
+        let elsewhere = |l: Option<String>, me: &str| match l.filter(|l| l != me) {
+            Some(l) => WorkerAnswer::Elsewhere(Some(l)),
+            None => WorkerAnswer::Later,
+        };
+        if authority == Authority::None {
+            return elsewhere(leader, &self.me.node);
+        }
+        let Some(scheduler) = self.scheduler.as_mut() else {
+            return WorkerAnswer::Later;
+        };
+        scheduler.at(now);
+        match scheduler.report(
+            r,
+            Arrival::Report {
+                may_start: authority == Authority::Full,
+            },
+        ) {
+            ReportOutcome::Reply(reply) => WorkerAnswer::Reply(reply),
+            ReportOutcome::Superseded => {
+                self.lead_event(Event::Ended);
+                WorkerAnswer::Later
+            }
+            ReportOutcome::UnregisteredMachine => {
+                if !self.released.contains_key(&r.machine)
+                    && self.unregistered.len() < UNREGISTERED_LIMIT
+                {
+                    let (machine_type, zone) = (r.machine_type.clone(), r.zone.clone());
+                    let ask = Some((r.address.clone(), r.session));
+                    self.unregistered.insert(
+                        r.machine.clone(),
+                        UnregisteredMachine {
+                            machine_type,
+                            zone,
+                            spot: r.spot,
+                            ask,
+                        },
+                    );
+                }
+                WorkerAnswer::Later
+            }
+        }
+    }
+
+    /// The moment at which an answer to a worker that is decided now becomes void.
+    pub(super) fn answer_valid_until(&self) -> Option<Instant> {
+        let now = self.now();
+        let left_ms = self.lead.authority_ends(now).saturating_sub(now);
+        Instant::now().checked_add(Duration::from_millis(left_ms))
+    }
+}
--- /dev/null
+++ b/src/controller/peer_view_loop.rs
@@ -0,0 +1,118 @@
+//! Exchanges views with the other controllers.
+
+use super::handles::{pause, Shared};
+use super::state::ControllerState;
+use crate::admission::write_admission::users_share;
+use crate::coordination::leadership::{Authority, Event};
+use crate::coordination::peers::{self, View};
+use crate::scheduler::Scheduler;
+use std::time::Instant;
+
+/// A connection that fails sooner was refused.
+const REFUSED_MS: u128 = 500;
+
+/// How long the leader's word of its changes counts.
+const LEADER_VIEW_TTL_MS: u64 = 3000;
+
+impl Shared {
+    pub(super) async fn peers(self) {
+        let peers = self.controller.borrow().settings.platform.peers.clone();
+        loop {
+            pause(900).await;
+            for p in &peers {
+                let me = self.clone();
+                let (addr, own) = (
+                    p.peer_addr,
+                    View {
+                        counts: None,
+                        ..self.controller.borrow().own_view()
+                    },
+                );
+                actix::spawn(async move {
+                    let from = Instant::now();
+                    let answer = peers::ask(&me.http, addr, &own).await;
+                    let mut controller = me.controller.borrow_mut();
+                    let now = controller.now();
+                    match answer {
+                        Some(v) => controller.take_view(v),
+                        None if from.elapsed().as_millis() < REFUSED_MS => {
+                            controller.peer_health.refused(now);
+                        }
+                        None => {}
+                    }
+                });
+            }
+        }
+    }
+}
+
+impl ControllerState {
+    pub(super) fn own_view(&self) -> View {
+        let counts = self
+            .scheduler
+            .as_ref()
+            .filter(|_| self.authority() != Authority::None)
+            .map(Scheduler::all_counts);
+        let (node, revision) = (self.me.node.clone(), self.mirror.revision);
+        let leader_changes_per_s = self.term().map(|_| self.own_changes.per_s(self.now()));
+        View {
+            node,
+            epoch: self.newest_epoch,
+            revision,
+            state_ok: self.state_ok(),
+            leader_changes_per_s,
+            counts,
+        }
+    }
+
+    pub(super) fn take_view(&mut self, v: View) {
+        let now = self.now();
+        if v.epoch > self.newest_epoch {
+            self.newest_epoch = v.epoch;
+        }
+        if self
+            .term()
+            .is_some_and(|term| self.newest_epoch > term.epoch)
+        {
+            self.lead_event(Event::Ended);
+        }
+        if let Some(changes_per_s) = v
+            .leader_changes_per_s
+            .filter(|_| v.epoch >= self.newest_epoch)
+        {
+            self.leader_changes = Some((changes_per_s, now));
+        }
+        if let Some(counts) = v
+            .counts
+            .filter(|_| self.scheduler.is_none() && v.epoch >= self.newest_epoch)
+        {
+            self.counts = counts
+                .into_iter()
+                .map(|(id, done, running)| (id, (done, running)))
+                .collect();
+        }
+        self.notices.mirrored(&v.node, v.revision);
+        self.peer_health.told(v.node, v.state_ok, now);
+    }
+
+    /// Adjusts the pace of users' changes to what the leader leaves.
+    pub(super) fn adjust_pace(&mut self) {
+        let now = self.now();
+        let fresh = self
+            .leader_changes
+            .filter(|(_, at)| now < at + LEADER_VIEW_TTL_MS)
+            .map(|(changes, _)| changes);
+        let leader = if self.term().is_some() {
+            Some(self.own_changes.per_s(now))
+        } else {
+            fresh
+        };
+        let platform = &self.settings.platform;
+        let most = users_share(
+            platform.deployment.state.write_rps,
+            platform.peers.len() + 1,
+            leader,
+        );
+        self.pacer.set_most(most);
+    }
+}
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -1,7 +1,7 @@
 //! The leader's dealings with the cloud.
 
+use super::handles::{pause, Shared};
 use super::state::{UnregisteredMachine, CLOUD_SHARE, UNREGISTERED_LIMIT};
-use super::{pause, Shared};
 use crate::autoscaler::RentalRequest;
 use crate::clients::cloud::{Rented, RELEASE_MOST};
 use crate::clients::permit::while_permitted;
--- /dev/null
+++ b/src/controller/read_barrier.rs
@@ -0,0 +1,60 @@
+//! Reads that are at least as new as the moment at which they were asked for.
+
+use super::handles::{pause, Shared};
+use crate::coordination::leadership::Event;
+use crate::protocol::Txn;
+use crate::store::{self, guard};
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+impl Shared {
+    /// Answers readers: one compare-only transaction gives the revision that their answers must have reached.
+    pub(super) async fn read_barrier(self) {
+        loop {
+            self.reading.notified().await;
+            pause(40).await;
+            let (readers, txn, leads, sent) = {
+                let mut controller = self.controller.borrow_mut();
+                let (leads, sent) = (controller.term().is_some(), controller.now());
+                let version = controller.mirror.epoch.as_ref().map_or(0, |e| e.version);
+                let txn = Txn {
+                    guards: vec![guard(store::epoch_key(), version)],
+                    apply: Vec::new(),
+                };
+                (std::mem::take(&mut controller.readers), txn, leads, sent)
+            };
+            if readers.is_empty() && !leads {
+                continue;
+            }
+            let http = self.clone();
+            actix::spawn(async move {
+                if let Ok(revision) = http.noted(http.store.barrier(&txn).await) {
+                    http.controller
+                        .borrow_mut()
+                        .lead_event(Event::Read { sent, revision });
+                    readers.into_iter().for_each(|r| {
+                        let _ = r.send(revision);
+                    });
+                }
+            });
+            pause(60).await;
+        }
+    }
+
+    /// Waits until the mirror is at least as new as this moment.
+    pub(super) async fn current(&self) -> bool {
+        let (tx, rx) = oneshot::channel();
+        self.controller.borrow_mut().readers.push(tx);
+        self.reading.notify_one();
+        let wait = async {
+            let revision = rx.await.ok()?;
+            let mut seen = self.revision.subscribe();
+            seen.wait_for(|r| *r >= revision).await.ok()?;
+            Some(())
+        };
+        matches!(
+            tokio::time::timeout(Duration::from_millis(1500), wait).await,
+            Ok(Some(()))
+        )
+    }
+}
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -2,7 +2,9 @@
 //! and literal records, so that this also holds between versions.
 
 use crate::config::tests::settings;
-use crate::controller::state::{Clock, ControllerState, Pass};
+use crate::controller::clock::Clock;
+use crate::controller::scheduling_round::Pass;
+use crate::controller::state::ControllerState;
 use crate::controller::WorkerAnswer;
 use crate::coordination::leadership::{Event as LeadEvent, Term};
 use crate::protocol::{
--- a/src/controller/tests/world/mod.rs
+++ b/src/controller/tests/world/mod.rs
@@ -10,7 +10,9 @@
 use service::Service;
 
 use crate::config::Settings;
-use crate::controller::state::{Clock, ControllerState, Pass};
+use crate::controller::clock::Clock;
+use crate::controller::scheduling_round::Pass;
+use crate::controller::state::ControllerState;
 use crate::controller::WorkerAnswer;
 use crate::coordination::leadership::Term;
 use crate::coordination::leadership::{Authority, Event as LeadEvent, Role};
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,7 +1,8 @@
 //! What users ask: submissions, polls, cancellations.
 
-use super::state::over_view;
-use super::{pause, Answer, Shared};
+use super::handles::{pause, Shared};
+use super::job_status::over_view;
+use super::messages::Answer;
 use crate::coordination::peers::{CancelledJob, Notice};
 use crate::protocol::{JobSpec, JobState, JobView, Txn};
 use crate::store;
--- /dev/null
+++ b/src/controller/watch_loop.rs
@@ -0,0 +1,86 @@
+//! Keeps the mirror of the store by a watch.
+
+use super::handles::{pause, Shared};
+use crate::store::StoreError;
+use futures_util::future::{select, Either};
+
+/// How long a watch waits for a change.
+const WATCH_MS: u64 = 4000;
+
+/// How long the mirror may lag behind a read before its watch is opened anew; doubled while that does not help.
+const SILENT_WATCH_MS: u64 = 500;
+
+impl Shared {
+    pub(super) async fn sync(self) {
+        let (rps, nodes) = {
+            let c = self.controller.borrow();
+            (
+                c.settings.platform.deployment.state.rps,
+                c.settings.platform.peers.len() + 1,
+            )
+        };
+        // A quarter of the request budget goes to watches, shared among the nodes.
+        let pace = ((4000.0 * nodes as f64 / rps) as u64).clamp(20, 1000);
+        let (mut loaded, mut patience) = (false, SILENT_WATCH_MS);
+        loop {
+            if !loaded {
+                if let Ok(fresh) = self.noted(self.store.load().await) {
+                    let revision = fresh.revision;
+                    self.controller.borrow_mut().loaded(fresh);
+                    self.revision.send_replace(revision);
+                    loaded = true;
+                    self.campaign.notify_one();
+                } else {
+                    pause(300).await;
+                    continue;
+                }
+            }
+            let after = self.controller.borrow().mirror.revision;
+            let watch = Box::pin(self.store.watch(after, WATCH_MS));
+            let watched = match select(watch, Box::pin(self.left_behind(patience))).await {
+                Either::Left((watched, _)) => watched,
+                Either::Right(_) => {
+                    tracing::info!(after, "watch waits silently, opened anew");
+                    patience = (patience * 2).min(WATCH_MS);
+                    continue;
+                }
+            };
+            match self.noted(watched) {
+                Ok(w) => {
+                    patience = SILENT_WATCH_MS;
+                    let quiet = w.events.is_empty();
+                    if self.controller.borrow_mut().watched(w.revision, &w.events) {
+                        self.campaign.notify_one();
+                    }
+                    self.revision.send_replace(w.revision);
+                    self.urgent.notify_one();
+                    if !quiet {
+                        pause(pace).await;
+                    }
+                }
+                // A node that was kept from the store for long once asked for the same changes for ever, more than it
+                // was ready to take at a time.
+                Err(reason @ (StoreError::Gone | StoreError::TooLarge)) => {
+                    tracing::info!(%reason, "too far behind for a watch, reading everything again");
+                    loaded = false;
+                }
+                Err(_) => pause(250).await,
+            }
+        }
+    }
+
+    /// Returns when a read that was sent a while ago has told of changes that the mirror still lacks. A watch that was open
+    /// when the state service refused this node, or was down, may wait on silently after it.
+    async fn left_behind(&self, patience: u64) {
+        loop {
+            pause(patience).await;
+            let controller = self.controller.borrow();
+            if controller
+                .lead
+                .behind(controller.now().saturating_sub(patience))
+            {
+                return;
+            }
+        }
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! hollowswitch: a cluster scheduler that rents machines by the second and keeps every task in at most one place.
 //!
-//! The program in `main.rs` is thin; [`controller::run`] is the whole service. Start reading at [`scheduler`], the logic
+//! The program in `main.rs` is thin; [`service::run`] is the whole service. Start reading at [`scheduler`], the logic
 //! without I/O, and `docs/design.md`.
 
 pub mod admission;
@@ -58,6 +58,7 @@
     reason = "this module has yet to be cleaned"
 )]
 pub mod scheduler;
+pub mod service;
 #[allow(
     clippy::assigning_clones,
     clippy::cast_possible_truncation,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The program: reads its settings and runs a controller.
 
 use clap::Parser;
-use hollowswitch::{config::Settings, controller};
+use hollowswitch::{config::Settings, service};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -45,7 +45,7 @@
         println!("settings are valid");
         return ExitCode::SUCCESS;
     }
-    match controller::run(settings) {
+    match service::run(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("hollowswitch: {e}");
