--- a/src/controller/durable_writes.rs
+++ b/src/controller/durable_writes.rs
@@ -14,7 +14,7 @@
         let term = self
             .term()
             .filter(|_| self.authority() == Authority::Full && self.scheduler.is_some())?;
-        Some(guard(store::epoch_key(), term.version))
+        Some(guard(store::epoch_key(), term.epoch_version))
     }
 
     /// Rows written in a round. Results wait on their machines until they are stored, so that they need not be written at
@@ -83,7 +83,7 @@
     pub(super) fn stored(&mut self, epoch: &wire::Guard, rows: &[DoneChunk]) {
         let same = self
             .term()
-            .is_some_and(|term| term.version == epoch.version);
+            .is_some_and(|term| term.epoch_version == epoch.version);
         if let Some(p) = self.scheduler.as_mut().filter(|_| same) {
             rows.iter().for_each(|r| p.saved(r));
         }
--- a/src/controller/election.rs
+++ b/src/controller/election.rs
@@ -2,12 +2,12 @@
 
 use super::handles::{pause, Shared};
 use super::state::ControllerState;
-use crate::coordination::leadership::{Authority, Event, Term};
+use crate::coordination::leadership::{Authority, LeadershipEvent, Term};
 use crate::protocol::Txn;
 use crate::scheduler::{Origin, Params, Scheduler};
 use crate::store;
 use crate::store::{Decided, LeaderRecord, Mirror, StoreError};
-use crate::time::millis;
+use crate::time::{millis, Timestamp};
 use rand::Rng;
 use std::time::Duration;
 
@@ -35,7 +35,9 @@
                 let mut controller = self.controller.borrow_mut();
                 match renewed {
                     Ok(()) => {
-                        controller.lead_event(Event::Renewed(sent));
+                        controller.lead_event(LeadershipEvent::LeaseRenewed {
+                            requested_at: Timestamp::from_millis(sent),
+                        });
                         if controller.scheduler.is_some()
                             && controller.authority() == Authority::None
                         {
@@ -44,9 +46,9 @@
                             self.give_up();
                         }
                     }
-                    Err(StoreError::Gone) => controller.lead_event(Event::Ended),
+                    Err(StoreError::Gone) => controller.lead_event(LeadershipEvent::TermEnded),
                     Err(_) if controller.authority() == Authority::None => {
-                        controller.lead_event(Event::Ended);
+                        controller.lead_event(LeadershipEvent::TermEnded);
                     }
                     Err(_) => {}
                 }
@@ -62,7 +64,7 @@
     pub(super) async fn run_for_leader(&self, ttl: u64) {
         let sent = {
             let mut controller = self.controller.borrow_mut();
-            controller.lead_event(Event::Campaign);
+            controller.lead_event(LeadershipEvent::CampaignStarted);
             controller.now()
         };
         let won = match self.noted(self.store.open_lease(ttl).await) {
@@ -70,25 +72,34 @@
             Err(_) => None,
         };
         let Some(term) = won else {
-            self.controller.borrow_mut().lead_event(Event::Lost);
+            self.controller
+                .borrow_mut()
+                .lead_event(LeadershipEvent::CampaignLost);
             pause(100).await;
             return;
         };
         self.controller
             .borrow_mut()
-            .lead_event(Event::Won { term, sent });
-        let Term { epoch, version, .. } = term;
+            .lead_event(LeadershipEvent::CampaignWon {
+                term,
+                lease_requested_at: Timestamp::from_millis(sent),
+            });
+        let Term {
+            epoch,
+            epoch_version,
+            ..
+        } = term;
         // The mirror must have reached the epoch before anything is built on it.
         let mut seen = self.revision.subscribe();
         let wait = tokio::time::timeout(
             Duration::from_millis(ttl * 3 / 4),
-            seen.wait_for(|r| *r >= version),
+            seen.wait_for(|r| *r >= epoch_version),
         )
         .await;
         let mut controller = self.controller.borrow_mut();
-        controller.lead_event(Event::Read {
-            sent,
-            revision: version,
+        controller.lead_event(LeadershipEvent::RevisionRead {
+            requested_at: Timestamp::from_millis(sent),
+            revision: epoch_version,
         });
         match wait {
             Ok(Ok(_)) if controller.term().is_some() => {
@@ -96,7 +107,7 @@
                 self.elected.notify_waiters();
                 self.urgent.notify_one();
             }
-            _ => controller.lead_event(Event::Ended),
+            _ => controller.lead_event(LeadershipEvent::TermEnded),
         }
     }
 
@@ -112,7 +123,7 @@
             Ok(Decided::Applied(revision)) => {
                 return Some(Term {
                     epoch,
-                    version: revision,
+                    epoch_version: revision,
                     lease,
                 })
             }
@@ -127,7 +138,7 @@
                     if e.record == record && l.record == record.leader && l.version == e.version {
                         return Some(Term {
                             epoch,
-                            version: e.version,
+                            epoch_version: e.version,
                             lease,
                         });
                     }
@@ -149,7 +160,7 @@
         // Long enough for another to claim, and for the next where that one is cut off as well.
         controller.no_campaign_until =
             controller.now() + (controller.settings.operator.hold_s * 4000.0) as u64;
-        controller.lead_event(Event::Ended);
+        controller.lead_event(LeadershipEvent::TermEnded);
     }
 }
 
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -2,10 +2,11 @@
 
 use super::messages::WorkerAnswer;
 use super::state::{ControllerState, UnregisteredMachine, UNREGISTERED_LIMIT};
-use crate::coordination::leadership::{Authority, Event};
+use crate::coordination::leadership::{Authority, LeadershipEvent};
 use crate::protocol::Report;
 use crate::scheduler::{Arrival, ReportOutcome};
-use std::time::{Duration, Instant};
+use crate::time::Timestamp;
+use std::time::Instant;
 
 impl ControllerState {
     pub(super) fn report(&mut self, r: &Report) -> WorkerAnswer {
@@ -31,7 +32,7 @@
         ) {
             ReportOutcome::Reply(reply) => WorkerAnswer::Reply(reply),
             ReportOutcome::Superseded => {
-                self.lead_event(Event::Ended);
+                self.lead_event(LeadershipEvent::TermEnded);
                 WorkerAnswer::Later
             }
             ReportOutcome::UnregisteredMachine => {
@@ -57,8 +58,8 @@
 
     /// The moment at which an answer to a worker that is decided now becomes void.
     pub(super) fn answer_valid_until(&self) -> Option<Instant> {
-        let now = self.now();
-        let left_ms = self.lead.authority_ends(now).saturating_sub(now);
-        Instant::now().checked_add(Duration::from_millis(left_ms))
+        let now = Timestamp::from_millis(self.now());
+        let remaining = self.lead.authority_ends(now).saturating_duration_since(now);
+        Instant::now().checked_add(remaining)
     }
 }
--- a/src/controller/peer_view_loop.rs
+++ b/src/controller/peer_view_loop.rs
@@ -3,7 +3,7 @@
 use super::handles::{pause, Shared};
 use super::state::ControllerState;
 use crate::admission::write_admission::users_share;
-use crate::coordination::leadership::{Authority, Event};
+use crate::coordination::leadership::{Authority, LeadershipEvent};
 use crate::coordination::peers::{self, View};
 use crate::scheduler::Scheduler;
 use std::time::Instant;
@@ -74,7 +74,7 @@
             .term()
             .is_some_and(|term| self.newest_epoch > term.epoch)
         {
-            self.lead_event(Event::Ended);
+            self.lead_event(LeadershipEvent::TermEnded);
         }
         if let Some(changes_per_s) = v
             .leader_changes_per_s
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -139,7 +139,11 @@
     pub(super) async fn store_types(&self, types: Vec<MachineType>) {
         let (guards, same) = {
             let controller = self.controller.borrow();
-            let Some(Term { version: epoch, .. }) = controller.term() else {
+            let Some(Term {
+                epoch_version: epoch,
+                ..
+            }) = controller.term()
+            else {
                 return;
             };
             let old = controller.mirror.catalogue.as_ref();
@@ -307,7 +311,7 @@
             let controller = self.controller.borrow();
             let Some(Term {
                 epoch: number,
-                version,
+                epoch_version: version,
                 ..
             }) = controller.term()
             else {
@@ -370,7 +374,7 @@
                 .controller
                 .borrow()
                 .term()
-                .is_some_and(|term| term.version == epoch)
+                .is_some_and(|term| term.epoch_version == epoch)
             {
                 self.add_machines(&record, Origin::Found);
             }
@@ -455,7 +459,11 @@
         let (name, record, epoch) = {
             let mut controller = self.controller.borrow_mut();
             controller.rentals += 1;
-            let Some(Term { version: epoch, .. }) = controller.term() else {
+            let Some(Term {
+                epoch_version: epoch,
+                ..
+            }) = controller.term()
+            else {
                 return false;
             };
             let Some(scheduler) = controller.scheduler.as_ref() else {
@@ -498,7 +506,11 @@
         mut record: RentalRecord,
         version: u64,
     ) -> bool {
-        let Some(Term { version: epoch, .. }) = self.controller.borrow().term() else {
+        let Some(Term {
+            epoch_version: epoch,
+            ..
+        }) = self.controller.borrow().term()
+        else {
             return false;
         };
         if self.controller.borrow().authority() != Authority::Full {
--- a/src/controller/read_barrier.rs
+++ b/src/controller/read_barrier.rs
@@ -1,9 +1,10 @@
 //! Reads that are at least as new as the moment at which they were asked for.
 
 use super::handles::{pause, Shared};
-use crate::coordination::leadership::Event;
+use crate::coordination::leadership::LeadershipEvent;
 use crate::protocol::Txn;
 use crate::store::{self, guard};
+use crate::time::Timestamp;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
@@ -31,7 +32,10 @@
                 if let Ok(revision) = http.noted(http.store.barrier(&txn).await) {
                     http.controller
                         .borrow_mut()
-                        .lead_event(Event::Read { sent, revision });
+                        .lead_event(LeadershipEvent::RevisionRead {
+                            requested_at: Timestamp::from_millis(sent),
+                            revision,
+                        });
                     readers.into_iter().for_each(|r| {
                         let _ = r.send(revision);
                     });
--- a/src/controller/replica.rs
+++ b/src/controller/replica.rs
@@ -2,7 +2,7 @@
 
 use super::election::done_rows;
 use super::state::ControllerState;
-use crate::coordination::leadership::Event;
+use crate::coordination::leadership::LeadershipEvent;
 use crate::protocol as wire;
 use crate::protocol::MachineType;
 use crate::store::{Mirror, MirrorChange};
@@ -24,7 +24,7 @@
         // What has changed is in the scheduler before any authority follows from it.
         let vacant = self.seen(seen);
         let revision = self.mirror.revision;
-        self.lead_event(Event::Mirrored(revision));
+        self.lead_event(LeadershipEvent::ReplicaAdvanced { revision });
         vacant
     }
 
@@ -71,7 +71,7 @@
             .term()
             .is_some_and(|term| self.newest_epoch > term.epoch)
         {
-            self.lead_event(Event::Ended);
+            self.lead_event(LeadershipEvent::TermEnded);
         }
         vacant
     }
--- a/src/controller/start_log_loop.rs
+++ b/src/controller/start_log_loop.rs
@@ -61,7 +61,7 @@
             .min((60 << 10) - 100 * most)
             .saturating_sub(64);
         let append = self.scheduler.as_mut()?.append(limit, most)?;
-        let txn = store::log_txn(&guard(store::epoch_key(), term.version), &append);
+        let txn = store::log_txn(&guard(store::epoch_key(), term.epoch_version), &append);
         Some((append, term, txn))
     }
 
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -7,14 +7,14 @@
 use crate::admission::write_admission::{users_share, Pacer};
 use crate::autoscaler::Fleet;
 use crate::config::Settings;
-use crate::coordination::leadership::{Authority, Event, Leadership, Term};
+use crate::coordination::leadership::{Authority, Leadership, LeadershipEvent, Term};
 use crate::coordination::peers::{CancellationNotices, PeerHealth};
 use crate::protocol::MachineType;
 use crate::scheduler::Scheduler;
 use crate::store::{LeaderRecord, Mirror};
-use crate::time::millis;
+use crate::time::{duration, Timestamp};
 use std::collections::{BTreeMap, HashMap, HashSet};
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 
 /// Most unregistered machines that are remembered at a time, so that reports in made-up names cost bounded memory; some times
@@ -96,13 +96,13 @@
             node: settings.platform.node.clone(),
             incarnation,
         };
-        let ttl = millis(settings.operator.hold_s);
+        let lease_ttl = duration(settings.operator.hold_s);
         let state = &settings.platform.deployment.state;
         let user_changes = users_share(state.write_rps, settings.platform.peers.len() + 1, None);
         let user_reads = state.rps * USER_READS / (settings.platform.peers.len() + 1) as f64;
         let cloud_rps = settings.platform.deployment.cloud.rps * CLOUD_SHARE;
         ControllerState {
-            lead: Leadership::new(ttl, settings.grace_ms()),
+            lead: Leadership::new(lease_ttl, Duration::from_millis(settings.grace_ms())),
             settings,
             clock,
             me,
@@ -154,7 +154,7 @@
     }
 
     pub(super) fn authority(&self) -> Authority {
-        self.lead.authority(self.now())
+        self.lead.authority(Timestamp::from_millis(self.now()))
     }
 
     /// Whether what was decided in a term may still be sent. Asked again right before each send: the process may have stood
@@ -172,7 +172,7 @@
         self.mirror.free_to_claim(&self.me)
     }
 
-    pub(super) fn lead_event(&mut self, event: Event) {
+    pub(super) fn lead_event(&mut self, event: LeadershipEvent) {
         if self.lead.apply(event) && self.term().is_none() {
             self.scheduler = None;
             self.unregistered.clear();
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -6,11 +6,12 @@
 use crate::controller::scheduling_round::Pass;
 use crate::controller::state::ControllerState;
 use crate::controller::WorkerAnswer;
-use crate::coordination::leadership::{Event as LeadEvent, Term};
+use crate::coordination::leadership::{LeadershipEvent, Term};
 use crate::protocol::{
     Change, Command, Event, ExitReason, JobState, Report, TaskReport, TaskState,
 };
 use crate::store::{Decided, Mirror};
+use crate::time::Timestamp;
 use ciborium::{cbor, Value};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -110,8 +111,8 @@
     replica.apply(300, &put_events(records));
     replica.loaded = true;
     controller.loaded(replica);
-    let now = controller.now();
-    controller.lead_event(LeadEvent::Campaign);
+    let now = Timestamp::from_millis(controller.now());
+    controller.lead_event(LeadershipEvent::CampaignStarted);
     let (txn, record) = controller.claim(88).expect("nobody leads");
     assert_eq!(record.number, 7);
     let guarded: Vec<(&str, u64)> = txn
@@ -125,10 +126,13 @@
     );
     let term = Term {
         epoch: 7,
-        version: CLAIMED_AT,
+        epoch_version: CLAIMED_AT,
         lease: 88,
     };
-    controller.lead_event(LeadEvent::Won { term, sent: now });
+    controller.lead_event(LeadershipEvent::CampaignWon {
+        term,
+        lease_requested_at: now,
+    });
     let own = cbor!({"node" => "drover-0", "incarnation" => 77}).unwrap();
     let epoch = cbor!({"number" => 7, "leader" => own, "members" => [own], "logs_starts" => true});
     let claimed = vec![
@@ -136,8 +140,8 @@
         ("hollowswitch/epoch", epoch.unwrap(), CLAIMED_AT),
     ];
     controller.watched(CLAIMED_AT, &put_events(claimed));
-    controller.lead_event(LeadEvent::Read {
-        sent: now,
+    controller.lead_event(LeadershipEvent::RevisionRead {
+        requested_at: now,
         revision: CLAIMED_AT,
     });
     controller.rebuild(7);
--- a/src/controller/tests/world/controllers.rs
+++ b/src/controller/tests/world/controllers.rs
@@ -1,7 +1,7 @@
 //! The controllers of the scripted world: carries out what each `ControllerState` asks for, as the loops of `node` do.
 
 use super::*;
-use crate::time::millis;
+use crate::time::{millis, Timestamp};
 
 impl World {
     pub(super) fn drive(&mut self, n: usize) {
@@ -44,7 +44,10 @@
         };
         if let Some((opened, silent)) = watch {
             *silent |= !reach;
-            let left_behind = now >= *opened + 500 && controller.lead.behind(now - 500);
+            let left_behind = now >= *opened + 500
+                && controller
+                    .lead
+                    .lags_behind_read_sent_before(Timestamp::from_millis(now - 500));
             if (now > *opened + WATCH || (left_behind && reach)) && !(stuck && *silent) {
                 *watch = None;
             }
@@ -73,14 +76,14 @@
         let controller = self.nodes[n].controller.as_mut().unwrap();
         if let Some((epoch, version, sent, until)) = awaits {
             if controller.mirror.revision >= version && controller.term().is_some() {
-                controller.lead_event(LeadEvent::Read {
-                    sent,
+                controller.lead_event(LeadershipEvent::RevisionRead {
+                    requested_at: Timestamp::from_millis(sent),
                     revision: version,
                 });
                 controller.rebuild(epoch);
                 self.nodes[n].awaits = None;
             } else if now > until {
-                controller.lead_event(LeadEvent::Ended);
+                controller.lead_event(LeadershipEvent::TermEnded);
                 self.nodes[n].awaits = None;
             }
             return;
@@ -94,18 +97,20 @@
             match (reach, self.service.leases.get_mut(&lease)) {
                 (Ok(()), Some((end, ttl))) => {
                     *end = now + *ttl;
-                    controller.lead_event(LeadEvent::Read {
-                        sent: now,
+                    controller.lead_event(LeadershipEvent::RevisionRead {
+                        requested_at: Timestamp::from_millis(now),
                         revision,
                     });
-                    controller.lead_event(LeadEvent::Renewed(now));
+                    controller.lead_event(LeadershipEvent::LeaseRenewed {
+                        requested_at: Timestamp::from_millis(now),
+                    });
                     if controller.scheduler.is_some() && controller.authority() == Authority::None {
                         self.give_up(n);
                     }
                 }
-                (Ok(()), None) => controller.lead_event(LeadEvent::Ended),
+                (Ok(()), None) => controller.lead_event(LeadershipEvent::TermEnded),
                 _ if controller.authority() == Authority::None => {
-                    controller.lead_event(LeadEvent::Ended);
+                    controller.lead_event(LeadershipEvent::TermEnded);
                 }
                 _ => {}
             }
@@ -119,7 +124,7 @@
             return;
         }
         let ttl = (controller.settings.operator.hold_s * 1000.0) as u64;
-        controller.lead_event(LeadEvent::Campaign);
+        controller.lead_event(LeadershipEvent::CampaignStarted);
         let lease = self.service.next_lease + 1;
         self.service.next_lease = lease;
         self.service.leases.insert(lease, (now + ttl, ttl));
@@ -131,17 +136,17 @@
         });
         let controller = self.nodes[n].controller.as_mut().unwrap();
         if let Some((epoch, version)) = won {
-            controller.lead_event(LeadEvent::Won {
+            controller.lead_event(LeadershipEvent::CampaignWon {
                 term: Term {
                     epoch,
-                    version,
+                    epoch_version: version,
                     lease,
                 },
-                sent: now,
+                lease_requested_at: Timestamp::from_millis(now),
             });
             self.nodes[n].awaits = Some((epoch, version, now, now + ttl * 3 / 4));
         } else {
-            controller.lead_event(LeadEvent::Lost);
+            controller.lead_event(LeadershipEvent::CampaignLost);
             controller.no_campaign_until = now + 200;
             self.service.end_lease(lease);
         }
@@ -152,7 +157,7 @@
         let controller = self.nodes[n].controller.as_mut().unwrap();
         let lease = controller.term().map(|term| term.lease);
         controller.no_campaign_until = now + 10_000;
-        controller.lead_event(LeadEvent::Ended);
+        controller.lead_event(LeadershipEvent::TermEnded);
         if self.service.reach(n).is_ok() {
             lease.into_iter().for_each(|h| self.service.end_lease(h));
         }
--- a/src/controller/tests/world/mod.rs
+++ b/src/controller/tests/world/mod.rs
@@ -15,7 +15,7 @@
 use crate::controller::state::ControllerState;
 use crate::controller::WorkerAnswer;
 use crate::coordination::leadership::Term;
-use crate::coordination::leadership::{Authority, Event as LeadEvent, Role};
+use crate::coordination::leadership::{Authority, LeadershipEvent, Role};
 use crate::coordination::peers::{CancelledJob, Notice};
 use crate::protocol::{
     split_task, Change, Command, Event, ExitReason, Guard, JobSpec, Kind, MachineType, Report,
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -3,10 +3,12 @@
 use super::handles::{pause, Shared};
 use super::job_status::over_view;
 use super::messages::Answer;
+use crate::coordination::leadership::longest_authority;
 use crate::coordination::peers::{CancelledJob, Notice};
 use crate::protocol::{JobSpec, JobState, JobView, Txn};
 use crate::store;
 use crate::store::{Decided, LiveRecord, OverRecord, StoreError, Versioned};
+use crate::time::{duration, whole_millis};
 
 /// Between two looks at whether the leader knows of a cancellation.
 const ACKNOWLEDGEMENT_POLL_MS: u64 = 10;
@@ -186,9 +188,9 @@
             let controller = self.controller.borrow();
             (
                 controller.now(),
-                (controller.settings.operator.hold_s
-                    * 1000.0
-                    * (1.0 + crate::coordination::leadership::DRIFT)) as u64,
+                whole_millis(longest_authority(duration(
+                    controller.settings.operator.hold_s,
+                ))),
             )
         };
         loop {
--- a/src/controller/watch_loop.rs
+++ b/src/controller/watch_loop.rs
@@ -2,6 +2,7 @@
 
 use super::handles::{pause, Shared};
 use crate::store::StoreError;
+use crate::time::Timestamp;
 use futures_util::future::{select, Either};
 
 /// How long a watch waits for a change.
@@ -77,7 +78,9 @@
             let controller = self.controller.borrow();
             if controller
                 .lead
-                .behind(controller.now().saturating_sub(patience))
+                .lags_behind_read_sent_before(Timestamp::from_millis(
+                    controller.now().saturating_sub(patience),
+                ))
             {
                 return;
             }
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -1,108 +1,139 @@
-//! Leadership of one epoch: who may start tasks, until when, and who may still renew leases.
+//! Leadership of one epoch: whether this controller leads, what it may do as the leader, and until when.
 //!
-//! Authority follows knowledge. A leader lease that was renewed says that nobody else leads; it does not say that this node has heard
-//! of the cancellations which the others confirmed. So every authority counts from the *sending* of the older of two requests:
-//! the last good renewal of the leader lease, and the last read of the store whose answer this node's mirror has reached.
+//! # Why authority needs both a renewed lease and a recent read
 //!
-//! Pure: times come in as milliseconds of the steady clock.
+//! A renewed leader lease proves that no other controller leads. It does not prove that this controller knows of every
+//! cancellation that the other controllers have confirmed to users: it learns of those from the watch of its replica, which
+//! may lag. So authority is counted from the *sending* of the older of two requests:
+//!
+//! - the last successful renewal of the leader lease, and
+//! - the last linearizable read of the store whose revision the replica has reached.
+//!
+//! A cancellation that is missing in the replica became durable after that read was sent. The controller that confirms a
+//! cancellation waits until the leader knows of it or for [`longest_authority`], so that no task of the job is started after
+//! the confirmation.
+//!
+//! The module does no I/O and reads no clock: moments are passed in as [`Timestamp`]s of the steady clock.
 
 #[cfg(test)]
 mod tests;
 
-/// Most by which a steady clock may run wrong, with room to spare (the wire promises 0.05%).
-pub const DRIFT: f64 = 0.001;
-/// Kept back from every authority that ends at a time.
-const MARGIN_MS: u64 = 150;
-/// Most reads that wait for the mirror; beyond that the oldest is given up, which only delays an authority.
+use crate::time::{whole_millis, Timestamp};
+use std::time::Duration;
+
+/// The largest relative error assumed of a steady clock. The protocol promises 0.05%; this is twice as much.
+const MAX_CLOCK_DRIFT: f64 = 0.001;
+/// Safety margin by which the authority to start tasks ends early.
+const AUTHORITY_MARGIN: Duration = Duration::from_millis(150);
+/// The largest number of reads that wait for the replica. Beyond it the oldest is dropped, which can only delay authority.
 const PENDING_READS_LIMIT: usize = 64;
 
-/// Where a node stands.
+/// The role of this controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
-    /// Another node leads, or none.
+    /// Another controller leads, or none.
     Follower,
-    /// Trying to become leader.
+    /// This controller tries to become the leader.
     Campaigning,
-    /// Leads an epoch under a leader lease.
+    /// This controller leads an epoch under a leader lease.
     Leading(Term),
 }
 
-/// The time for which a node leads an epoch.
+/// The term of a leader: one epoch under one leader lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Term {
-    /// Epoch number.
+    /// Number of the epoch.
     pub epoch: u64,
-    /// Version of the epoch key, which guards every write.
-    pub version: u64,
-    /// The leader lease in the state service.
+    /// Version of the epoch key in the store. Every write of the leader is conditional on it.
+    pub epoch_version: u64,
+    /// Identifier of the leader lease in the store.
     pub lease: u64,
 }
 
-/// What a leader may do at a moment.
+/// What this controller may do as the leader at a given moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Authority {
     /// Nothing.
     None,
-    /// Renew leases and stop tasks, but start nothing: the leader lease may have ended unseen, or a job may have been cancelled.
+    /// It may renew worker leases and stop tasks, but start nothing: another controller may lead by now, or a job may have
+    /// been cancelled without this controller knowing.
     Renew,
     /// Everything.
     Full,
 }
 
-/// What happens to a node's leadership.
+/// An event that may change the role or extend the authority.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Event {
-    /// It begins to campaign.
-    Campaign,
+pub enum LeadershipEvent {
+    /// This controller starts to campaign.
+    CampaignStarted,
     /// The campaign failed.
-    Lost,
-    /// The campaign succeeded; the leader lease was last confirmed by a request sent at `sent`.
-    Won {
+    CampaignLost,
+    /// The campaign succeeded.
+    CampaignWon {
         /// The term that begins.
         term: Term,
-        /// When the leader lease's request was sent.
-        sent: u64,
+        /// When the request that opened the leader lease was sent.
+        lease_requested_at: Timestamp,
+    },
+    /// The leader lease was renewed.
+    LeaseRenewed {
+        /// When the request was sent.
+        requested_at: Timestamp,
+    },
+    /// A linearizable read of the store was answered.
+    RevisionRead {
+        /// When the request was sent.
+        requested_at: Timestamp,
+        /// The revision that the store had reached when it answered.
+        revision: u64,
     },
-    /// A renewal sent at this time succeeded.
-    Renewed(u64),
-    /// A read of the store sent at `sent` was answered: the store was at `revision` by then, or later.
-    Read {
-        /// When it was sent.
-        sent: u64,
-        /// The revision it told.
+    /// The replica holds every change up to a revision.
+    ReplicaAdvanced {
+        /// That revision.
         revision: u64,
     },
-    /// The mirror holds every change up to this revision.
-    Mirrored(u64),
-    /// The leader lease has ended, or another epoch was seen, or the grace period of an outage is over.
-    Ended,
+    /// The term is over: the leader lease ended, a later epoch was seen, this controller steps down, or its grace period
+    /// without the store is over.
+    TermEnded,
+}
+
+/// A linearizable read whose revision the replica has yet to reach.
+#[derive(Debug, Clone, Copy)]
+struct PendingRead {
+    requested_at: Timestamp,
+    revision: u64,
 }
 
-/// The state machine.
+/// The state machine of this controller's leadership.
 pub struct Leadership {
     role: Role,
-    ttl_ms: u64,
-    grace_ms: u64,
-    renewed: u64,
-    /// Sending time of the newest read that the mirror has reached.
-    known: u64,
-    mirrored: u64,
-    /// Reads that the mirror has not reached yet: sending time and revision.
-    reads: Vec<(u64, u64)>,
+    /// How long a renewal or a read gives the authority to start tasks.
+    full_authority: Duration,
+    /// How much longer worker leases may be renewed.
+    grace_period: Duration,
+    /// When the newest successful renewal of the leader lease was sent.
+    lease_renewed_at: Timestamp,
+    /// When the newest read was sent whose revision the replica has reached.
+    up_to_date_at: Timestamp,
+    replica_revision: u64,
+    pending_reads: Vec<PendingRead>,
 }
 
 impl Leadership {
-    /// A follower whose leader leases live `ttl_ms` and who may renew leases `grace_ms` beyond its authority to start.
+    /// A follower. Its leader leases will have the given time to live; without renewals it may go on renewing worker leases
+    /// for the grace period after its authority to start tasks has ended.
     #[must_use]
-    pub fn new(ttl_ms: u64, grace_ms: u64) -> Self {
+    pub fn new(lease_ttl: Duration, grace_period: Duration) -> Self {
         Leadership {
             role: Role::Follower,
-            ttl_ms,
-            grace_ms,
-            renewed: 0,
-            known: 0,
-            mirrored: 0,
-            reads: Vec::new(),
+            full_authority: scaled(lease_ttl, 1.0 - MAX_CLOCK_DRIFT)
+                .saturating_sub(AUTHORITY_MARGIN),
+            grace_period,
+            lease_renewed_at: Timestamp::ZERO,
+            up_to_date_at: Timestamp::ZERO,
+            replica_revision: 0,
+            pending_reads: Vec::new(),
         }
     }
 
@@ -112,100 +143,154 @@
         &self.role
     }
 
-    /// The term, while leading.
+    /// The term, while this controller leads.
     #[must_use]
     pub fn term(&self) -> Option<Term> {
         match self.role {
             Role::Leading(term) => Some(term),
-            _ => None,
+            Role::Follower | Role::Campaigning => None,
         }
     }
 
-    /// The one place where the role changes. True if it did.
-    pub fn apply(&mut self, event: Event) -> bool {
+    /// Applies an event and returns whether the role changed. The role changes nowhere else.
+    pub fn apply(&mut self, event: LeadershipEvent) -> bool {
+        use LeadershipEvent as Event;
         let next = match (&self.role, event) {
-            (_, Event::Read { sent, revision }) => {
-                self.reads.push((sent, revision));
-                if self.reads.len() > PENDING_READS_LIMIT {
-                    self.reads.remove(0);
-                }
-                self.catch_up();
+            (
+                _,
+                Event::RevisionRead {
+                    requested_at,
+                    revision,
+                },
+            ) => {
+                self.add_pending_read(PendingRead {
+                    requested_at,
+                    revision,
+                });
                 return false;
             }
-            (_, Event::Mirrored(revision)) => {
-                self.mirrored = self.mirrored.max(revision);
-                self.catch_up();
+            (_, Event::ReplicaAdvanced { revision }) => {
+                self.replica_revision = self.replica_revision.max(revision);
+                self.settle_pending_reads();
                 return false;
             }
-            (Role::Follower, Event::Campaign) => Role::Campaigning,
-            (Role::Campaigning, Event::Lost) => Role::Follower,
-            (Role::Campaigning, Event::Won { term, sent }) => {
-                self.renewed = sent;
+            (Role::Leading(_), Event::LeaseRenewed { requested_at }) => {
+                self.lease_renewed_at = self.lease_renewed_at.max(requested_at);
+                return false;
+            }
+            (
+                Role::Campaigning,
+                Event::CampaignWon {
+                    term,
+                    lease_requested_at,
+                },
+            ) => {
+                self.lease_renewed_at = lease_requested_at;
                 Role::Leading(term)
             }
-            (Role::Leading(_), Event::Renewed(sent)) => {
-                self.renewed = self.renewed.max(sent);
-                return false;
+            (Role::Follower, Event::CampaignStarted) => Role::Campaigning,
+            (Role::Campaigning, Event::CampaignLost) | (Role::Leading(_), Event::TermEnded) => {
+                Role::Follower
             }
-            (Role::Leading(_), Event::Ended) => Role::Follower,
             _ => return false,
         };
-        tracing::info!(from = ?self.role, to = ?next, "role");
+        log_role_change(&self.role, &next);
         self.role = next;
         true
     }
 
-    /// Reads that the mirror has reached become knowledge.
-    fn catch_up(&mut self) {
-        let (mirrored, known) = (self.mirrored, &mut self.known);
-        self.reads.retain(|(sent, revision)| {
-            if *revision <= mirrored {
-                *known = (*known).max(*sent);
+    fn add_pending_read(&mut self, read: PendingRead) {
+        self.pending_reads.push(read);
+        if self.pending_reads.len() > PENDING_READS_LIMIT {
+            self.pending_reads.remove(0);
+        }
+        self.settle_pending_reads();
+    }
+
+    /// Removes the reads whose revision the replica has reached; the replica is up to date as of their sending.
+    fn settle_pending_reads(&mut self) {
+        let replica_revision = self.replica_revision;
+        let up_to_date_at = &mut self.up_to_date_at;
+        self.pending_reads.retain(|read| {
+            let reached = read.revision <= replica_revision;
+            if reached {
+                *up_to_date_at = (*up_to_date_at).max(read.requested_at);
             }
-            *revision > mirrored
+            !reached
         });
     }
 
-    /// When the full authority ends.
-    fn full_until(&self) -> u64 {
-        let full = (self.ttl_ms as f64 * (1.0 - DRIFT)) as u64;
-        self.renewed.min(self.known) + full.saturating_sub(MARGIN_MS)
+    /// When the authority to start tasks ends, if this controller leads.
+    fn full_authority_ends(&self) -> Timestamp {
+        self.lease_renewed_at.min(self.up_to_date_at) + self.full_authority
     }
 
-    /// What may be done now.
+    /// What this controller may do now.
     ///
-    /// A renewal alone once gave the full authority back: after a refusal or an outage, in which open watches wait silently and
-    /// leader leases have their full time again, a leader started tasks of jobs that others had confirmed as cancelled meanwhile,
-    /// and short refusals in a row stretched the time for which such tasks were kept alive.
+    /// A renewal of the leader lease alone must not restore the full authority. After a refusal or an outage of the store, open
+    /// watches may stay silent and leader leases have their full time again. When a renewal was enough, a leader in that state
+    /// started tasks of jobs that other controllers had confirmed as cancelled meanwhile, and short refusals in a row prolonged
+    /// the time for which such tasks were kept alive.
     #[must_use]
-    pub fn authority(&self, now: u64) -> Authority {
+    pub fn authority(&self, now: Timestamp) -> Authority {
         if !matches!(self.role, Role::Leading(_)) {
             return Authority::None;
         }
-        let until = self.full_until();
-        if now < until {
+        let full_until = self.full_authority_ends();
+        if now < full_until {
             Authority::Full
-        } else if now < until + self.grace_ms {
+        } else if now < full_until + self.grace_period {
             Authority::Renew
         } else {
             Authority::None
         }
     }
 
-    /// When the present authority ends, unless a renewal or a read that is under way extends it.
+    /// When the present authority ends, unless a renewal or a read that is under way extends it; `now` if there is none.
     #[must_use]
-    pub fn authority_ends(&self, now: u64) -> u64 {
-        let until = self.full_until();
+    pub fn authority_ends(&self, now: Timestamp) -> Timestamp {
+        let full_until = self.full_authority_ends();
         match self.authority(now) {
             Authority::None => now,
-            Authority::Full => until,
-            Authority::Renew => until + self.grace_ms,
+            Authority::Full => full_until,
+            Authority::Renew => full_until + self.grace_period,
         }
     }
 
-    /// Whether the mirror is behind a read that was sent before `before`: its watch may wait silently.
+    /// Whether the replica has yet to reach the revision of a read that was sent before a moment. If so for long, its watch may
+    /// have stalled.
     #[must_use]
-    pub fn behind(&self, before: u64) -> bool {
-        self.reads.iter().any(|(sent, _)| *sent < before)
+    pub fn lags_behind_read_sent_before(&self, moment: Timestamp) -> bool {
+        self.pending_reads
+            .iter()
+            .any(|read| read.requested_at < moment)
+    }
+}
+
+/// The longest time for which a leader can start tasks of a job after its cancellation became durable, as measured by the
+/// clock of another controller.
+#[must_use]
+pub fn longest_authority(lease_ttl: Duration) -> Duration {
+    scaled(lease_ttl, 1.0 + MAX_CLOCK_DRIFT)
+}
+
+/// A duration times a factor near one, in whole milliseconds, rounded down.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the product of a duration and a positive factor is positive, and the cast saturates"
+)]
+fn scaled(duration: Duration, factor: f64) -> Duration {
+    Duration::from_millis((whole_millis(duration) as f64 * factor) as u64)
+}
+
+fn log_role_change(from: &Role, to: &Role) {
+    match (from, to) {
+        (_, Role::Campaigning) => tracing::info!("campaign started"),
+        (_, Role::Leading(term)) => tracing::info!(epoch = term.epoch, "leadership acquired"),
+        (Role::Leading(term), Role::Follower) => {
+            tracing::info!(epoch = term.epoch, "leadership ended");
+        }
+        (_, Role::Follower) => tracing::info!("campaign lost"),
     }
 }
