--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -1,7 +1,7 @@
 //! The actor.
 
 use super::clock::Clock;
-use super::handles::Shared;
+use super::handles::Handles;
 use super::messages::{
     Abort, Answer, Health, PeerCancelled, PeerView, Poll, Submit, WorkerReport, WorkerResponse,
 };
@@ -19,7 +19,7 @@
 
 /// The actor.
 pub struct Node {
-    shared: Shared,
+    shared: Handles,
 }
 
 impl Node {
@@ -31,18 +31,18 @@
         let incarnation = rand::thread_rng().gen::<u64>() >> 1;
         let external = settings.platform.external.clone();
         let controller = ControllerState::new(settings, incarnation, Clock::Steady(Instant::now()));
-        let shared = Shared {
-            controller: Rc::new(RefCell::new(controller)),
+        let shared = Handles {
+            state: Rc::new(RefCell::new(controller)),
             store: StoreClient::new(http.clone(), external.state),
             cloud: CloudClient::new(http.clone(), external.cloud),
             http,
-            revision: Rc::new(watch::channel(0).0),
-            campaign: Rc::new(Notify::new()),
-            reading: Rc::new(Notify::new()),
-            cancelled: Rc::new(Notify::new()),
-            urgent: Rc::new(Notify::new()),
-            logging: Rc::new(Notify::new()),
-            elected: Rc::new(Notify::new()),
+            replica_revision: Rc::new(watch::channel(0).0),
+            campaign_requested: Rc::new(Notify::new()),
+            read_requested: Rc::new(Notify::new()),
+            cancellation_recorded: Rc::new(Notify::new()),
+            round_requested: Rc::new(Notify::new()),
+            start_log_requested: Rc::new(Notify::new()),
+            leadership_acquired: Rc::new(Notify::new()),
         };
         Node { shared }
     }
@@ -89,17 +89,17 @@
 impl Handler<Health> for Node {
     type Result = bool;
     fn handle(&mut self, _: Health, _: &mut Self::Context) -> bool {
-        self.shared.controller.borrow().healthy()
+        self.shared.state.borrow().healthy()
     }
 }
 
 impl Handler<WorkerReport> for Node {
     type Result = MessageResult<WorkerReport>;
     fn handle(&mut self, m: WorkerReport, _: &mut Self::Context) -> Self::Result {
-        let mut controller = self.shared.controller.borrow_mut();
+        let mut controller = self.shared.state.borrow_mut();
         let answer = controller.report(&m.0);
         if controller.needs_pass() {
-            self.shared.urgent.notify_one();
+            self.shared.round_requested.notify_one();
         }
         MessageResult(WorkerResponse {
             answer,
@@ -111,7 +111,7 @@
 impl Handler<PeerView> for Node {
     type Result = MessageResult<PeerView>;
     fn handle(&mut self, m: PeerView, _: &mut Self::Context) -> Self::Result {
-        let mut controller = self.shared.controller.borrow_mut();
+        let mut controller = self.shared.state.borrow_mut();
         controller.take_view(m.0);
         MessageResult(controller.own_view())
     }
@@ -120,8 +120,8 @@
 impl Handler<PeerCancelled> for Node {
     type Result = MessageResult<PeerCancelled>;
     fn handle(&mut self, m: PeerCancelled, _: &mut Self::Context) -> Self::Result {
-        self.shared.urgent.notify_one();
-        self.shared.cancelled.notify_one();
-        MessageResult(self.shared.controller.borrow_mut().take_cancelled(&m.0))
+        self.shared.round_requested.notify_one();
+        self.shared.cancellation_recorded.notify_one();
+        MessageResult(self.shared.state.borrow_mut().take_cancelled(&m.0))
     }
 }
--- a/src/controller/cancellation_broadcast.rs
+++ b/src/controller/cancellation_broadcast.rs
@@ -1,23 +1,27 @@
 //! Tells the other controllers of cancellations, and what follows from what is known of them.
 
-use super::handles::{pause, Shared};
+use super::handles::{pause, Handles};
 use super::state::{ControllerState, PASS_MS};
 use crate::coordination::peers::{self, Cancelled, CancelledJob, Notice};
 use crate::protocol as wire;
 use crate::store::{LeaderRecord, OverRecord, Versioned};
 use std::time::Duration;
 
-impl Shared {
+impl Handles {
     /// Tells the others of cancellations, again until they know.
     pub(super) async fn tell_cancelled(self) {
-        let peers = self.controller.borrow().settings.platform.peers.clone();
+        let peers = self.state.borrow().settings.platform.peers.clone();
         loop {
-            let _ =
-                tokio::time::timeout(Duration::from_millis(500), self.cancelled.notified()).await;
+            let _ = tokio::time::timeout(
+                Duration::from_millis(500),
+                self.cancellation_recorded.notified(),
+            )
+            .await;
             for p in &peers {
                 let (message, last) = {
-                    let controller = self.controller.borrow();
-                    let Some((jobs, last)) = controller.notices.unknown_to(&p.node) else {
+                    let controller = self.state.borrow();
+                    let Some((jobs, last)) = controller.cancellation_notices.unknown_to(&p.node)
+                    else {
                         continue;
                     };
                     (Cancelled { jobs }, last)
@@ -25,7 +29,7 @@
                 let (me, node, addr) = (self.clone(), p.node.clone(), p.peer_addr);
                 actix::spawn(async move {
                     if let Some(revision) = peers::tell_cancelled(&me.http, addr, &message).await {
-                        let notices = &mut me.controller.borrow_mut().notices;
+                        let notices = &mut me.state.borrow_mut().cancellation_notices;
                         notices.told(&node, last);
                         notices.mirrored(&node, revision);
                     }
@@ -42,7 +46,7 @@
     /// nothing of it is started or believed to be done any more.
     pub(super) fn cancelled(&mut self, id: &str, tasks: u32) {
         let now = self.now();
-        self.mirror.remember_over(
+        self.replica.remember_over(
             id,
             OverRecord {
                 cancelled: true,
@@ -58,8 +62,8 @@
     /// A cancellation is durable at a revision; the others have to be told of it.
     pub(super) fn note_cancellation(&mut self, cancelled: CancelledJob) -> Notice {
         self.cancelled(&cancelled.job, cancelled.tasks);
-        let known = self.notices.find(&cancelled.job);
-        known.unwrap_or_else(|| self.notices.add(cancelled))
+        let known = self.cancellation_notices.find(&cancelled.job);
+        known.unwrap_or_else(|| self.cancellation_notices.add(cancelled))
     }
 
     /// A final state that was read from the store. Where it is a cancellation that the leader may not know of yet, it has to
@@ -73,7 +77,7 @@
             };
             self.note_cancellation(cancelled);
         } else {
-            self.mirror.remember_over(id, read.record);
+            self.replica.remember_over(id, read.record);
         }
     }
 
@@ -91,12 +95,12 @@
                 self.cancelled(&cancelled.job, cancelled.tasks);
             }
         }
-        self.mirror.revision
+        self.replica.revision
     }
 
     /// The notice of a job's cancellation while a leader may not know of it.
     pub(super) fn unsettled_cancellation(&self, job: &str) -> Option<Notice> {
-        self.notices
+        self.cancellation_notices
             .find(job)
             .filter(|notice| !self.stops_known(*notice))
     }
@@ -104,22 +108,24 @@
     /// Whether a leader may start tasks of a job whose cancellation became durable at a revision, for all that the mirrors
     /// tell: the leader of then may not have heard of it. A later one has read the store since.
     pub(super) fn leader_may_miss(&self, revision: u64) -> bool {
-        let leader_misses = self.mirror.leader.as_ref().is_some_and(|leader| {
-            leader.record != self.me
+        let leader_misses = self.replica.leader.as_ref().is_some_and(|leader| {
+            leader.record != self.identity
                 && leader.version <= revision
-                && self.notices.mirrored_by(&leader.record.node) < revision
+                && self.cancellation_notices.mirrored_by(&leader.record.node) < revision
         });
-        self.mirror.revision < revision || leader_misses
+        self.replica.revision < revision || leader_misses
     }
 
     /// Whether no leader can start anything any more of a job whose cancellation is durable: the leader of then has been
     /// told, or its leader lease has ended.
     pub(super) fn stops_known(&self, notice: Notice) -> bool {
-        let told =
-            |leader: &Versioned<LeaderRecord>| self.notices.was_told(&leader.record.node, notice);
-        let mirrored = self.mirror.revision >= notice.revision();
+        let told = |leader: &Versioned<LeaderRecord>| {
+            self.cancellation_notices
+                .was_told(&leader.record.node, notice)
+        };
+        let mirrored = self.replica.revision >= notice.revision();
         mirrored
             && (!self.leader_may_miss(notice.revision())
-                || self.mirror.leader.as_ref().is_some_and(told))
+                || self.replica.leader.as_ref().is_some_and(told))
     }
 }
--- a/src/controller/durable_writes.rs
+++ b/src/controller/durable_writes.rs
@@ -42,7 +42,7 @@
     /// A job is final.
     pub(super) fn completed(&mut self, id: &str, tasks: u32) {
         tracing::info!(job = %id, tasks, "job done");
-        self.mirror.remember_over(
+        self.replica.remember_over(
             id,
             OverRecord {
                 cancelled: false,
@@ -63,7 +63,7 @@
         };
         for row in &rows {
             let known = self
-                .mirror
+                .replica
                 .done
                 .get(&(row.job.clone(), row.chunk))
                 .map_or(0, |v| v.version);
@@ -101,7 +101,7 @@
             },
             Vec::new(),
         );
-        for (name, h) in &self.mirror.rentals {
+        for (name, h) in &self.replica.rentals {
             let Some(machines) = &h.record.machines else {
                 continue;
             };
@@ -150,15 +150,15 @@
             }
         };
         for (id, v) in self
-            .mirror
+            .replica
             .stopping
             .iter()
             .filter(|(id, _)| !scheduler.has_job(id))
         {
             add(store::stopping_key(id), v.version);
         }
-        for ((id, chunk), v) in &self.mirror.done {
-            if !self.mirror.live.contains_key(id) && !self.mirror.stopping.contains_key(id) {
+        for ((id, chunk), v) in &self.replica.done {
+            if !self.replica.live.contains_key(id) && !self.replica.stopping.contains_key(id) {
                 add(store::done_key(id, *chunk), v.version);
             }
         }
--- a/src/controller/flush_loop.rs
+++ b/src/controller/flush_loop.rs
@@ -1,45 +1,45 @@
 //! Makes results durable and clears up, in batches.
 
-use super::handles::{pause, Shared};
+use super::handles::{pause, Handles};
 use super::state::FLUSH_MS;
 use crate::protocol as wire;
 use crate::store::Decided;
 
-impl Shared {
+impl Handles {
     /// Makes results durable and clears up, in batches.
     pub(super) async fn flush(self) {
         loop {
-            self.elected().await;
+            self.wait_until_leading().await;
             pause(FLUSH_MS).await;
-            let Some(epoch) = self.controller.borrow().write_guard() else {
+            let Some(epoch) = self.state.borrow().write_guard() else {
                 continue;
             };
             self.flush_complete(&epoch).await;
             self.flush_ranges(&epoch).await;
             self.flush_machines(&epoch).await;
-            let swept = self.controller.borrow_mut().sweep(&epoch);
+            let swept = self.state.borrow_mut().sweep(&epoch);
             if let Some(txn) = swept {
-                let _ = self.txn(&txn).await;
+                let _ = self.leader_transaction(&txn).await;
             }
         }
     }
 
     async fn flush_complete(&self, epoch: &wire::Guard) {
-        let complete = self.controller.borrow().completions(epoch);
+        let complete = self.state.borrow().completions(epoch);
         for (id, tasks, txn) in complete {
             // If it failed, the job was cancelled, or an unanswered try went through: the watch tells.
-            if let Ok(Decided::Applied(_)) = self.txn(&txn).await {
-                self.controller.borrow_mut().completed(&id, tasks);
+            if let Ok(Decided::Applied(_)) = self.leader_transaction(&txn).await {
+                self.state.borrow_mut().completed(&id, tasks);
             }
         }
     }
 
     async fn flush_ranges(&self, epoch: &wire::Guard) {
-        let Some((rows, txn)) = self.controller.borrow().ranges(epoch) else {
+        let Some((rows, txn)) = self.state.borrow().ranges(epoch) else {
             return;
         };
-        match self.txn(&txn).await {
-            Ok(Decided::Applied(_)) => self.controller.borrow_mut().stored(epoch, &rows),
+        match self.leader_transaction(&txn).await {
+            Ok(Decided::Applied(_)) => self.state.borrow_mut().stored(epoch, &rows),
             // The mirror lags behind an earlier write, or a job has just ended; either shows shortly.
             Ok(Decided::Failed(keys)) => tracing::debug!(?keys, "ranges not stored yet"),
             Err(_) => {}
@@ -48,11 +48,11 @@
 
     /// Forgets machines that are gone.
     async fn flush_machines(&self, epoch: &wire::Guard) {
-        let Some((forgotten, txn)) = self.controller.borrow().forgettable(epoch) else {
+        let Some((forgotten, txn)) = self.state.borrow().forgettable(epoch) else {
             return;
         };
-        if let Ok(Decided::Applied(_)) = self.txn(&txn).await {
-            let mut controller = self.controller.borrow_mut();
+        if let Ok(Decided::Applied(_)) = self.leader_transaction(&txn).await {
+            let mut controller = self.state.borrow_mut();
             forgotten.iter().for_each(|m| {
                 controller.gone.remove(m);
             });
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -12,13 +12,13 @@
     pub(super) fn report(&mut self, r: &Report) -> WorkerAnswer {
         let now = self.now();
         let authority = self.authority();
-        let leader = self.mirror.leader.as_ref().map(|l| l.record.node.clone());
+        let leader = self.replica.leader.as_ref().map(|l| l.record.node.clone());
         let elsewhere = |l: Option<String>, me: &str| match l.filter(|l| l != me) {
             Some(l) => WorkerAnswer::Elsewhere(Some(l)),
             None => WorkerAnswer::Later,
         };
         if authority == Authority::None {
-            return elsewhere(leader, &self.me.node);
+            return elsewhere(leader, &self.identity.node);
         }
         let Some(scheduler) = self.scheduler.as_mut() else {
             return WorkerAnswer::Later;
@@ -59,7 +59,10 @@
     /// The moment at which an answer to a worker that is decided now becomes void.
     pub(super) fn answer_valid_until(&self) -> Option<Instant> {
         let now = Timestamp::from_millis(self.now());
-        let remaining = self.lead.authority_ends(now).saturating_duration_since(now);
+        let remaining = self
+            .leadership
+            .authority_ends(now)
+            .saturating_duration_since(now);
         Instant::now().checked_add(remaining)
     }
 }
--- a/src/controller/job_status.rs
+++ b/src/controller/job_status.rs
@@ -6,15 +6,15 @@
 
 impl ControllerState {
     pub(super) fn view(&self, id: &str) -> Option<JobView> {
-        if let Some(over) = self.mirror.over(id) {
+        if let Some(over) = self.replica.over(id) {
             return Some(over_view(id, over));
         }
         let counts = self
             .scheduler
             .as_ref()
             .and_then(|p| p.counts(id))
-            .or(self.counts.get(id).copied());
-        self.mirror.live.get(id)?;
+            .or(self.reported_task_counts.get(id).copied());
+        self.replica.live.get(id)?;
         let (done, running) = counts.unwrap_or_default();
         let state = if running > 0 {
             JobState::Running
@@ -41,7 +41,7 @@
         else {
             return Some("unknown team");
         };
-        let fits = self.types.iter().any(|t| {
+        let fits = self.machine_types.iter().any(|t| {
             s.types.as_ref().is_none_or(|l| l.contains(&t.name))
                 && s.zone.as_ref().is_none_or(|z| t.zones.contains(z))
                 && s.cpus <= t.cpus
--- a/src/controller/peer_view_loop.rs
+++ b/src/controller/peer_view_loop.rs
@@ -1,6 +1,6 @@
 //! Exchanges views with the other controllers.
 
-use super::handles::{pause, Shared};
+use super::handles::{pause, Handles};
 use super::state::ControllerState;
 use crate::admission::write_admission::users_share;
 use crate::coordination::leadership::{Authority, LeadershipEvent};
@@ -14,9 +14,9 @@
 /// How long the leader's word of its changes counts.
 const LEADER_VIEW_TTL_MS: u64 = 3000;
 
-impl Shared {
+impl Handles {
     pub(super) async fn peers(self) {
-        let peers = self.controller.borrow().settings.platform.peers.clone();
+        let peers = self.state.borrow().settings.platform.peers.clone();
         loop {
             pause(900).await;
             for p in &peers {
@@ -25,13 +25,13 @@
                     p.peer_addr,
                     View {
                         counts: None,
-                        ..self.controller.borrow().own_view()
+                        ..self.state.borrow().own_view()
                     },
                 );
                 actix::spawn(async move {
                     let from = Instant::now();
                     let answer = peers::ask(&me.http, addr, &own).await;
-                    let mut controller = me.controller.borrow_mut();
+                    let mut controller = me.state.borrow_mut();
                     let now = controller.now();
                     match answer {
                         Some(v) => controller.take_view(v),
@@ -53,7 +53,7 @@
             .as_ref()
             .filter(|_| self.authority() != Authority::None)
             .map(Scheduler::all_counts);
-        let (node, revision) = (self.me.node.clone(), self.mirror.revision);
+        let (node, revision) = (self.identity.node.clone(), self.replica.revision);
         let leader_changes_per_s = self.term().map(|_| self.own_changes.per_s(self.now()));
         View {
             node,
@@ -86,12 +86,12 @@
             .counts
             .filter(|_| self.scheduler.is_none() && v.epoch >= self.newest_epoch)
         {
-            self.counts = counts
+            self.reported_task_counts = counts
                 .into_iter()
                 .map(|(id, done, running)| (id, (done, running)))
                 .collect();
         }
-        self.notices.mirrored(&v.node, v.revision);
+        self.cancellation_notices.mirrored(&v.node, v.revision);
         self.peer_health.told(v.node, v.state_ok, now);
     }
 
@@ -113,6 +113,6 @@
             platform.peers.len() + 1,
             leader,
         );
-        self.pacer.set_most(most);
+        self.user_changes.set_most(most);
     }
 }
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -1,6 +1,6 @@
 //! The leader's dealings with the cloud.
 
-use super::handles::{pause, Shared};
+use super::handles::{pause, Handles};
 use super::state::{UnregisteredMachine, CLOUD_SHARE, UNREGISTERED_LIMIT};
 use crate::autoscaler::RentalRequest;
 use crate::clients::cloud::{Rented, RELEASE_MOST};
@@ -26,10 +26,10 @@
 /// Unexpected machines that are asked at a time.
 const CONCURRENT_ADOPTIONS: usize = 16;
 
-impl Shared {
+impl Handles {
     pub(super) async fn fleet(self) {
         let list_ms = {
-            let cloud = &self.controller.borrow().settings.platform.deployment.cloud;
+            let cloud = &self.state.borrow().settings.platform.deployment.cloud;
             millis(cloud.list_lag_s).max(4000)
         };
         let (mut types_at, mut list_at) = (None::<u64>, 0);
@@ -42,14 +42,14 @@
                 pause(FLEET_MS).await;
             }
             rented = false;
-            let now = self.controller.borrow().now();
+            let now = self.state.borrow().now();
             let (leads, typeless) = {
-                let controller = self.controller.borrow();
+                let controller = self.state.borrow();
                 (
                     controller.term().is_some()
                         && controller.authority() == Authority::Full
                         && controller.scheduler.is_some(),
-                    controller.types.is_empty(),
+                    controller.machine_types.is_empty(),
                 )
             };
             if (leads || typeless)
@@ -58,7 +58,7 @@
                 types_at = Some(now);
                 self.await_cloud_call().await;
                 if let Some(types) = self.cloud.catalogue().await {
-                    self.controller.borrow_mut().take_types(&types);
+                    self.state.borrow_mut().take_types(&types);
                     self.store_types(types).await;
                 }
             }
@@ -89,8 +89,11 @@
         if typeless {
             pause(FLEET_MS).await;
         } else {
-            let _ = tokio::time::timeout(Duration::from_millis(AUTHORITY_CHECK_MS), self.elected())
-                .await;
+            let _ = tokio::time::timeout(
+                Duration::from_millis(AUTHORITY_CHECK_MS),
+                self.wait_until_leading(),
+            )
+            .await;
         }
     }
 
@@ -98,7 +101,7 @@
     async fn await_cloud_call(&self) {
         loop {
             let slot = {
-                let mut controller = self.controller.borrow_mut();
+                let mut controller = self.state.borrow_mut();
                 let now = controller.now();
                 controller.cloud_calls.take(now)
             };
@@ -121,7 +124,7 @@
         self.await_cloud_call().await;
         let rental_requests = self.decide();
         let next = {
-            let mut controller = self.controller.borrow_mut();
+            let mut controller = self.state.borrow_mut();
             let now = controller.now();
             let call_ms =
                 1000.0 / (controller.settings.platform.deployment.cloud.rps * CLOUD_SHARE);
@@ -138,7 +141,7 @@
     /// Keeps the machine types in the store, so that a node that starts while the cloud is down knows them.
     pub(super) async fn store_types(&self, types: Vec<MachineType>) {
         let (guards, same) = {
-            let controller = self.controller.borrow();
+            let controller = self.state.borrow();
             let Some(Term {
                 epoch_version: epoch,
                 ..
@@ -146,7 +149,7 @@
             else {
                 return;
             };
-            let old = controller.mirror.catalogue.as_ref();
+            let old = controller.replica.catalogue.as_ref();
             let shape = |l: &[MachineType]| {
                 l.iter()
                     .map(|t| (t.name.clone(), t.cpus as u64, t.zones.clone()))
@@ -164,7 +167,7 @@
         };
         if !same {
             let _ = self
-                .txn(&Txn {
+                .leader_transaction(&Txn {
                     guards,
                     apply: vec![put(store::catalogue_key(), &types, None)],
                 })
@@ -174,7 +177,7 @@
 
     /// What to rent and what to return.
     pub(super) fn decide(&self) -> Vec<RentalRequest> {
-        let mut controller = self.controller.borrow_mut();
+        let mut controller = self.state.borrow_mut();
         // The calls before this one may have taken seconds: a leader cut off meanwhile once gave up machines that its
         // new leader was using.
         if controller.authority() != Authority::Full {
@@ -238,12 +241,12 @@
         if names.is_empty() {
             return;
         }
-        let term = self.controller.borrow().term();
-        let permitted = || self.controller.borrow().may_send(term);
+        let term = self.state.borrow().term();
+        let permitted = || self.state.borrow().may_send(term);
         let ok = while_permitted(permitted, self.cloud.release(&names))
             .await
             .unwrap_or(false);
-        let mut controller = self.controller.borrow_mut();
+        let mut controller = self.state.borrow_mut();
         if ok {
             tracing::info!(machines = ?names, "released");
             let now = controller.now();
@@ -255,7 +258,7 @@
                 }
                 controller.gone.insert(n);
             }
-            self.urgent.notify_one();
+            self.round_requested.notify_one();
         } else {
             tracing::info!(machines = ?names, "release not confirmed");
         }
@@ -263,7 +266,7 @@
 
     /// Machines that this node may release now.
     fn leaving(&self) -> Vec<String> {
-        let controller = self.controller.borrow();
+        let controller = self.state.borrow();
         match controller.scheduler.as_ref() {
             Some(scheduler) if controller.authority() == Authority::Full => {
                 scheduler.leaving(RELEASE_MOST)
@@ -279,7 +282,7 @@
         let room = CONCURRENT_ADOPTIONS.saturating_sub(flying.get());
         let mut some = Vec::new();
         {
-            let mut controller = self.controller.borrow_mut();
+            let mut controller = self.state.borrow_mut();
             while some.len() < room {
                 let Some(next) = controller.unregistered.pop_first() else {
                     break;
@@ -308,7 +311,7 @@
         }: UnregisteredMachine,
     ) {
         let (token, epoch) = {
-            let controller = self.controller.borrow();
+            let controller = self.state.borrow();
             let Some(Term {
                 epoch: number,
                 epoch_version: version,
@@ -317,7 +320,7 @@
             else {
                 return;
             };
-            let open = controller.mirror.rentals.values().any(|h| {
+            let open = controller.replica.rentals.values().any(|h| {
                 h.record.machines.is_none()
                     && h.record.machine_type == machine_type
                     && h.record.zone == zone
@@ -353,14 +356,14 @@
             machines: Some(vec![machine.clone()]),
         };
         let txn = store::rental_txn(&guard(store::epoch_key(), epoch), &name, 0, &record);
-        let known = match self.txn(&txn).await {
+        let known = match self.leader_transaction(&txn).await {
             Ok(Decided::Applied(_)) => true,
             // An earlier try that was not answered went through after all: without this the machine was never used, nor
             // returned, until the next change of leader.
             Ok(Decided::Failed(keys)) if keys == [store::rental_key(&name)] => {
-                let controller = self.controller.borrow();
+                let controller = self.state.borrow();
                 controller
-                    .mirror
+                    .replica
                     .rentals
                     .get(&name)
                     .is_some_and(|h| h.record == record)
@@ -371,7 +374,7 @@
             tracing::info!(%machine, "unexpected machine taken in");
             // Of another epoch this one knows from the store.
             if self
-                .controller
+                .state
                 .borrow()
                 .term()
                 .is_some_and(|term| term.epoch_version == epoch)
@@ -382,7 +385,7 @@
     }
 
     pub(super) fn add_machines(&self, r: &RentalRecord, origin: Origin) {
-        let mut controller = self.controller.borrow_mut();
+        let mut controller = self.state.borrow_mut();
         let now = controller.now();
         let Some(scheduler) = controller.scheduler.as_mut() else {
             return;
@@ -397,14 +400,14 @@
     pub(super) async fn list(&self, after: &str) -> Option<String> {
         self.await_cloud_call().await;
         let (machines, more) = self.cloud.list(after).await?;
-        let mut controller = self.controller.borrow_mut();
+        let mut controller = self.state.borrow_mut();
         let now = controller.now();
         let controller = &mut *controller;
         // The list may still show what an earlier leader has released: a new leader once took such machines in and counted
         // on them for a minute. Workers that report are taken in at once.
         let lag_ms =
             (controller.settings.platform.deployment.cloud.list_lag_s * 2000.0) as u64 + 2000;
-        let settled = now > controller.leads_since + lag_ms;
+        let settled = now > controller.leading_since + lag_ms;
         let scheduler = controller.scheduler.as_mut()?;
         let next = machines.last().map(|m| m.id.clone());
         for m in machines {
@@ -436,9 +439,9 @@
     /// Repeats rental requests whose answer is not known; true while some remain.
     pub(super) async fn settle_rentals(&self) -> bool {
         let open: Vec<(String, RentalRecord, u64)> = {
-            let controller = self.controller.borrow();
+            let controller = self.state.borrow();
             let unknown = controller
-                .mirror
+                .replica
                 .rentals
                 .iter()
                 .filter(|(_, h)| h.record.machines.is_none());
@@ -457,8 +460,8 @@
     /// Rents: the request's name is stored before the call.
     pub(super) async fn rent(&self, offer: Offer, count: u32) -> bool {
         let (name, record, epoch) = {
-            let mut controller = self.controller.borrow_mut();
-            controller.rentals += 1;
+            let mut controller = self.state.borrow_mut();
+            controller.rental_requests_made += 1;
             let Some(Term {
                 epoch_version: epoch,
                 ..
@@ -479,14 +482,16 @@
             (
                 format!(
                     "{}-{:x}-{}",
-                    controller.me.node, controller.me.incarnation, controller.rentals
+                    controller.identity.node,
+                    controller.identity.incarnation,
+                    controller.rental_requests_made
                 ),
                 record,
                 epoch,
             )
         };
         match self
-            .txn(&store::rental_txn(
+            .leader_transaction(&store::rental_txn(
                 &guard(store::epoch_key(), epoch),
                 &name,
                 0,
@@ -509,11 +514,11 @@
         let Some(Term {
             epoch_version: epoch,
             ..
-        }) = self.controller.borrow().term()
+        }) = self.state.borrow().term()
         else {
             return false;
         };
-        if self.controller.borrow().authority() != Authority::Full {
+        if self.state.borrow().authority() != Authority::Full {
             return false;
         }
         let request = RentRequest {
@@ -523,8 +528,8 @@
             spot: record.spot,
             count: record.count,
         };
-        let term = self.controller.borrow().term();
-        let permitted = || self.controller.borrow().may_send(term);
+        let term = self.state.borrow().term();
+        let permitted = || self.state.borrow().may_send(term);
         let rented = while_permitted(permitted, self.cloud.rent(&request))
             .await
             .unwrap_or(Rented::Unknown);
@@ -537,7 +542,7 @@
         self.note_offer(&record, got.len());
         record.machines = Some(got);
         match self
-            .txn(&store::rental_txn(
+            .leader_transaction(&store::rental_txn(
                 &guard(store::epoch_key(), epoch),
                 name,
                 version,
@@ -547,9 +552,9 @@
         {
             Ok(Decided::Applied(version)) => {
                 // Until the watch brings it, the request would be taken for one whose answer is unknown, and called again.
-                self.controller
+                self.state
                     .borrow_mut()
-                    .mirror
+                    .replica
                     .put_rental(name, record.clone(), version);
                 self.add_machines(&record, Origin::Rented);
                 true
@@ -559,7 +564,7 @@
     }
 
     pub(super) fn note_offer(&self, r: &RentalRecord, got: usize) {
-        let mut controller = self.controller.borrow_mut();
+        let mut controller = self.state.borrow_mut();
         let now = controller.now();
         let controller = &mut *controller;
         let Some(scheduler) = controller.scheduler.as_ref() else {
--- a/src/controller/replica.rs
+++ b/src/controller/replica.rs
@@ -10,20 +10,20 @@
 impl ControllerState {
     /// The mirror was read anew. True if the leader's key went away.
     pub(super) fn loaded(&mut self, fresh: Mirror) -> bool {
-        let seen = self.mirror.replace(fresh);
+        let seen = self.replica.replace(fresh);
         self.mirrored(seen)
     }
 
     /// A watch was answered. True if the leader's key went away.
     pub(super) fn watched(&mut self, revision: u64, events: &[wire::Event]) -> bool {
-        let seen = self.mirror.apply(revision, events);
+        let seen = self.replica.apply(revision, events);
         self.mirrored(seen)
     }
 
     fn mirrored(&mut self, seen: Vec<MirrorChange>) -> bool {
         // What has changed is in the scheduler before any authority follows from it.
         let vacant = self.seen(seen);
-        let revision = self.mirror.revision;
+        let revision = self.replica.revision;
         self.lead_event(LeadershipEvent::ReplicaAdvanced { revision });
         vacant
     }
@@ -37,20 +37,20 @@
             match s {
                 MirrorChange::Job(id) => {
                     let (Some(scheduler), Some(v)) =
-                        (self.scheduler.as_mut(), self.mirror.live.get(&id))
+                        (self.scheduler.as_mut(), self.replica.live.get(&id))
                     else {
                         continue;
                     };
                     // Another's word of its cancellation may be here before the mirror has seen it come and go.
-                    if self.mirror.over(&id).is_some() {
+                    if self.replica.over(&id).is_some() {
                         continue;
                     }
                     scheduler.at(now);
-                    let done = done_rows(&self.mirror, &id);
+                    let done = done_rows(&self.replica, &id);
                     scheduler.add_job(v.record.clone(), v.version, &done, wall, false);
                 }
                 MirrorChange::JobGone(id) => {
-                    self.counts.remove(&id);
+                    self.reported_task_counts.remove(&id);
                     if let Some(scheduler) = self.scheduler.as_mut() {
                         scheduler.at(now);
                         scheduler.drop_job(&id);
@@ -58,14 +58,14 @@
                 }
                 MirrorChange::LeaderGone => vacant = true,
                 MirrorChange::Catalogue => {
-                    if let Some(c) = &self.mirror.catalogue {
+                    if let Some(c) = &self.replica.catalogue {
                         let types = c.record.clone();
                         self.take_types(&types);
                     }
                 }
             }
         }
-        let number = self.mirror.epoch.as_ref().map_or(0, |e| e.record.number);
+        let number = self.replica.epoch.as_ref().map_or(0, |e| e.record.number);
         self.newest_epoch = self.newest_epoch.max(number);
         if self
             .term()
@@ -77,7 +77,7 @@
     }
 
     pub(super) fn take_types(&mut self, types: &[MachineType]) {
-        self.types = types.to_vec();
+        self.machine_types = types.to_vec();
         if let Some(p) = &mut self.scheduler {
             p.set_types(types);
         }
--- a/src/controller/scheduling_loop.rs
+++ b/src/controller/scheduling_loop.rs
@@ -1,6 +1,6 @@
 //! The leader's rounds: carries out what each decides to send.
 
-use super::handles::{pause, Shared};
+use super::handles::{pause, Handles};
 use super::scheduling_round::Pass;
 use super::state::PASS_MS;
 use crate::clients::permit::while_permitted;
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-impl Shared {
+impl Handles {
     pub(super) async fn ticks(self) {
         let connections = self
-            .controller
+            .state
             .borrow()
             .settings
             .platform
@@ -22,11 +22,14 @@
         let most = (connections / 16).clamp(8, 64);
         let flying = Rc::new(Cell::new(0usize));
         loop {
-            let wait_ms = self.controller.borrow().next_pass_in_ms();
-            let _ =
-                tokio::time::timeout(Duration::from_millis(wait_ms), self.urgent.notified()).await;
+            let wait_ms = self.state.borrow().next_pass_in_ms();
+            let _ = tokio::time::timeout(
+                Duration::from_millis(wait_ms),
+                self.round_requested.notified(),
+            )
+            .await;
             let pass = self
-                .controller
+                .state
                 .borrow_mut()
                 .pass(most.saturating_sub(flying.get()), most / 4);
             let sends = match pass {
@@ -38,22 +41,22 @@
                     continue;
                 }
             };
-            self.logging.notify_one();
+            self.start_log_requested.notify_one();
             for d in sends {
                 let me = self.clone();
                 let flying = flying.clone();
-                let term = self.controller.borrow().term();
+                let term = self.state.borrow().term();
                 flying.set(flying.get() + 1);
                 actix::spawn(async move {
-                    let permitted = || me.controller.borrow().may_send_direct(term, &d);
+                    let permitted = || me.state.borrow().may_send_direct(term, &d);
                     let answer = while_permitted(permitted, worker::send_direct(&me.http, &d))
                         .await
                         .flatten();
                     flying.set(flying.get() - 1);
-                    me.controller
+                    me.state
                         .borrow_mut()
                         .direct_answer(term, &d, answer.as_ref());
-                    me.urgent.notify_one();
+                    me.round_requested.notify_one();
                 });
             }
             // One round for all the reports of a moment.
--- a/src/controller/scheduling_round.rs
+++ b/src/controller/scheduling_round.rs
@@ -108,7 +108,7 @@
     ) {
         let now = self.now();
         if let Some(scheduler) = self.scheduler.as_mut().filter(|_| term.is_some()) {
-            if self.lead.term() == term {
+            if self.leadership.term() == term {
                 scheduler.at(now);
                 scheduler.direct_answer(sent, answer);
             }
@@ -123,7 +123,7 @@
         if self.passed_at > 0 && gap > PAUSE_MS {
             let pause = gap - TICK_MS;
             tracing::info!(pause, "stood still");
-            self.state_ok_at = (self.state_ok_at + pause).min(now);
+            self.store_answered_at = (self.store_answered_at + pause).min(now);
             self.peer_health.stood_still(pause, now);
         }
         self.passed_at = now;
--- a/src/controller/start_log_loop.rs
+++ b/src/controller/start_log_loop.rs
@@ -1,6 +1,6 @@
 //! Writes the start log.
 
-use super::handles::{pause, Shared};
+use super::handles::{pause, Handles};
 use super::state::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::Txn;
@@ -8,12 +8,12 @@
 use crate::store;
 use crate::store::{guard, Decided, StoreError};
 
-impl Shared {
+impl Handles {
     /// Writes the start log: one append at a time, so that the order of writes is that of the assignments.
     pub(super) async fn start_log(self) {
         let pace = (4000.0
             / self
-                .controller
+                .state
                 .borrow()
                 .settings
                 .platform
@@ -21,27 +21,25 @@
                 .state
                 .write_rps) as u64;
         loop {
-            self.logging.notified().await;
-            let next = self.controller.borrow_mut().next_append();
+            self.start_log_requested.notified().await;
+            let next = self.state.borrow_mut().next_append();
             let Some((append, term, txn)) = next else {
                 continue;
             };
-            let done = self.txn(&txn).await;
+            let done = self.leader_transaction(&txn).await;
             // Without an answer, or if an unanswered earlier one went through: what does the slot hold?
             let found = match done {
                 Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused) => None,
                 _ => self
-                    .noted(
+                    .record_store_answer(
                         self.store
                             .get::<String>(&store::starts_key(append.slot))
                             .await,
                     )
                     .ok(),
             };
-            self.controller
-                .borrow_mut()
-                .logged(term, append, done, found);
-            self.urgent.notify_one();
+            self.state.borrow_mut().logged(term, append, done, found);
+            self.round_requested.notify_one();
             pause(pace).await;
         }
     }
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -54,27 +54,27 @@
 pub(super) struct ControllerState {
     pub(super) settings: Settings,
     pub(super) clock: Clock,
-    pub(super) me: LeaderRecord,
-    pub(super) mirror: Mirror,
-    pub(super) lead: Leadership,
+    pub(super) identity: LeaderRecord,
+    pub(super) replica: Mirror,
+    pub(super) leadership: Leadership,
     pub(super) scheduler: Option<Scheduler>,
     pub(super) fleet: Fleet,
-    pub(super) types: Vec<MachineType>,
-    pub(super) counts: HashMap<String, (u32, u32)>,
+    pub(super) machine_types: Vec<MachineType>,
+    pub(super) reported_task_counts: HashMap<String, (u32, u32)>,
     pub(super) peer_health: PeerHealth,
-    pub(super) notices: CancellationNotices,
+    pub(super) cancellation_notices: CancellationNotices,
     pub(super) newest_epoch: u64,
-    pub(super) state_ok_at: u64,
-    pub(super) no_campaign_until: u64,
-    pub(super) leads_since: u64,
+    pub(super) store_answered_at: u64,
+    pub(super) campaign_backoff_until: u64,
+    pub(super) leading_since: u64,
     /// The epoch before this node's own kept no start log.
-    pub(super) unlogged: bool,
+    pub(super) previous_epoch_without_start_log: bool,
     pub(super) released: HashMap<String, u64>,
     pub(super) gone: HashSet<String>,
     pub(super) unregistered: BTreeMap<String, UnregisteredMachine>,
-    pub(super) rentals: u64,
-    pub(super) readers: Vec<oneshot::Sender<u64>>,
-    pub(super) pacer: Pacer,
+    pub(super) rental_requests_made: u64,
+    pub(super) pending_reads: Vec<oneshot::Sender<u64>>,
+    pub(super) user_changes: Pacer,
     /// How often the cloud may be called.
     pub(super) cloud_calls: TokenBucket,
     /// How often users' questions may cost a read of the store each: those about jobs that are neither unfinished nor known
@@ -92,7 +92,7 @@
 impl ControllerState {
     /// A node that has yet to read the store.
     pub(super) fn new(settings: Settings, incarnation: u64, clock: Clock) -> ControllerState {
-        let me = LeaderRecord {
+        let identity = LeaderRecord {
             node: settings.platform.node.clone(),
             incarnation,
         };
@@ -102,28 +102,28 @@
         let user_reads = state.rps * USER_READS / (settings.platform.peers.len() + 1) as f64;
         let cloud_rps = settings.platform.deployment.cloud.rps * CLOUD_SHARE;
         ControllerState {
-            lead: Leadership::new(lease_ttl, Duration::from_millis(settings.grace_ms())),
+            leadership: Leadership::new(lease_ttl, Duration::from_millis(settings.grace_ms())),
             settings,
             clock,
-            me,
-            mirror: Mirror::default(),
+            identity,
+            replica: Mirror::default(),
             scheduler: None,
             fleet: Fleet::default(),
-            types: Vec::new(),
-            counts: HashMap::new(),
+            machine_types: Vec::new(),
+            reported_task_counts: HashMap::new(),
             peer_health: PeerHealth::default(),
-            notices: CancellationNotices::default(),
+            cancellation_notices: CancellationNotices::default(),
             newest_epoch: 0,
-            state_ok_at: 0,
-            no_campaign_until: 0,
-            leads_since: 0,
-            unlogged: false,
+            store_answered_at: 0,
+            campaign_backoff_until: 0,
+            leading_since: 0,
+            previous_epoch_without_start_log: false,
             released: HashMap::new(),
             gone: HashSet::new(),
             unregistered: BTreeMap::new(),
-            rentals: 0,
-            readers: Vec::new(),
-            pacer: Pacer::new(user_changes),
+            rental_requests_made: 0,
+            pending_reads: Vec::new(),
+            user_changes: Pacer::new(user_changes),
             cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
             user_reads: TokenBucket::new(user_reads, user_reads),
             due: Due::default(),
@@ -154,7 +154,8 @@
     }
 
     pub(super) fn authority(&self) -> Authority {
-        self.lead.authority(Timestamp::from_millis(self.now()))
+        self.leadership
+            .authority(Timestamp::from_millis(self.now()))
     }
 
     /// Whether what was decided in a term may still be sent. Asked again right before each send: the process may have stood
@@ -165,15 +166,15 @@
 
     /// The term, while leading.
     pub(super) fn term(&self) -> Option<Term> {
-        self.lead.term()
+        self.leadership.term()
     }
 
     pub(super) fn free_to_claim(&self) -> bool {
-        self.mirror.free_to_claim(&self.me)
+        self.replica.free_to_claim(&self.identity)
     }
 
     pub(super) fn lead_event(&mut self, event: LeadershipEvent) {
-        if self.lead.apply(event) && self.term().is_none() {
+        if self.leadership.apply(event) && self.term().is_none() {
             self.scheduler = None;
             self.unregistered.clear();
             self.gone.clear();
@@ -181,13 +182,13 @@
     }
 
     pub(super) fn state_ok(&self) -> bool {
-        self.now() < self.state_ok_at + 2500
+        self.now() < self.store_answered_at + 2500
     }
 
     /// Whether this node should get users: it is loaded, and if the state service does not answer it, then not it alone.
     /// A node that had lost the service and the others kept its users, and with its few connections was given more.
     pub(super) fn healthy(&self) -> bool {
         let alone = !self.settings.platform.peers.is_empty() && self.peer_health.alone(self.now());
-        self.mirror.loaded && !self.types.is_empty() && (self.state_ok() || !alone)
+        self.replica.loaded && !self.machine_types.is_empty() && (self.state_ok() || !alone)
     }
 }
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -1,35 +1,42 @@
 //! Calls of the state service, with the retries of the leader's transactions.
 
-use super::handles::{pause, Shared};
+use super::handles::{pause, Handles};
 use crate::protocol::Txn;
 use crate::store::{Decided, StoreError};
 use rand::Rng;
+use std::ops::Range;
 
-impl Shared {
-    /// Notes whether the state service answers.
-    pub(super) fn noted<T>(&self, r: Result<T, StoreError>) -> Result<T, StoreError> {
-        if matches!(r, Ok(_) | Err(StoreError::Gone | StoreError::Busy)) {
-            let mut controller = self.controller.borrow_mut();
-            controller.state_ok_at = controller.now();
+/// Retries of a leader's transaction that exceeds the state service's request rate.
+const RETRY_LIMIT: u32 = 6;
+/// Milliseconds before a retry, drawn at random.
+const RETRY_DELAY_MS: Range<u64> = 40..160;
+
+impl Handles {
+    /// Records that the state service answered, if it did, and passes the result on.
+    pub(super) fn record_store_answer<T>(
+        &self,
+        result: Result<T, StoreError>,
+    ) -> Result<T, StoreError> {
+        if matches!(result, Ok(_) | Err(StoreError::Gone | StoreError::Busy)) {
+            self.with_state(|state| state.store_answered_at = state.now());
         }
-        r
+        result
     }
 
-    /// Runs a transaction of the leader; over the rate, tries again for a moment.
-    pub(super) async fn txn(&self, txn: &Txn) -> Result<Decided, StoreError> {
-        let mut tries = 0;
+    /// Runs a transaction of the leader, with retries while it exceeds the state service's request rate.
+    pub(super) async fn leader_transaction(&self, txn: &Txn) -> Result<Decided, StoreError> {
+        let mut retries = 0;
         loop {
-            {
-                let mut controller = self.controller.borrow_mut();
-                let now = controller.now();
-                controller.own_changes.record(txn.apply.len(), now);
-            }
-            let r = self.noted(self.store.txn(txn).await);
-            if r != Err(StoreError::Busy) || tries == 6 {
-                return r;
+            self.with_state(|state| {
+                let now = state.now();
+                state.own_changes.record(txn.apply.len(), now);
+            });
+            let result = self.record_store_answer(self.store.txn(txn).await);
+            if result != Err(StoreError::Busy) || retries == RETRY_LIMIT {
+                return result;
             }
-            tries += 1;
-            pause(rand::thread_rng().gen_range(40..160)).await;
+            retries += 1;
+            pause(rand::thread_rng().gen_range(RETRY_DELAY_MS)).await;
         }
     }
 }
--- a/src/controller/tests/cancellations.rs
+++ b/src/controller/tests/cancellations.rs
@@ -28,7 +28,7 @@
             .controller
             .as_ref()
             .unwrap()
-            .mirror
+            .replica
             .over("wk-1")
             .is_some(),
         "the leader was not told"
@@ -51,7 +51,7 @@
     let (leader, (_, second)) = (w.leader().unwrap(), followers(&w));
     let name = |node: usize| format!("drover-{node}");
     let controller = w.nodes[second].controller.as_mut().unwrap();
-    let revision = controller.mirror.revision + 1;
+    let revision = controller.replica.revision + 1;
     controller.take_cancelled(&Cancelled {
         jobs: vec![CancelledJob {
             job: "wk-1".into(),
@@ -61,11 +61,14 @@
     });
     assert!(controller.unsettled_cancellation("wk-1").is_some());
     // Its own mirror alone says nothing of the leader.
-    controller.mirror.revision = revision;
+    controller.replica.revision = revision;
     assert!(controller.unsettled_cancellation("wk-1").is_some());
-    let (jobs, last) = controller.notices.unknown_to(&name(leader)).unwrap();
+    let (jobs, last) = controller
+        .cancellation_notices
+        .unknown_to(&name(leader))
+        .unwrap();
     assert_eq!(jobs[0].job, "wk-1");
-    controller.notices.told(&name(leader), last);
+    controller.cancellation_notices.told(&name(leader), last);
     assert!(controller.unsettled_cancellation("wk-1").is_none());
 }
 
@@ -84,14 +87,22 @@
         version,
     };
     // What the leader's mirror is known to hold costs no word.
-    let revision = controller.mirror.revision;
-    controller.notices.mirrored(&leader, revision);
+    let revision = controller.replica.revision;
+    controller.cancellation_notices.mirrored(&leader, revision);
     controller.learn_final_state("wk-8", &cancelled(revision));
-    assert!(controller.notices.unknown_to(&leader).is_none());
+    assert!(controller
+        .cancellation_notices
+        .unknown_to(&leader)
+        .is_none());
     controller.learn_final_state("wk-9", &cancelled(revision + 1));
     assert_eq!(
-        controller.notices.unknown_to(&leader).unwrap().0[0].job,
+        controller
+            .cancellation_notices
+            .unknown_to(&leader)
+            .unwrap()
+            .0[0]
+            .job,
         "wk-9"
     );
-    assert!(controller.mirror.over("wk-8").is_some() && controller.mirror.over("wk-9").is_some());
+    assert!(controller.replica.over("wk-8").is_some() && controller.replica.over("wk-9").is_some());
 }
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -264,7 +264,7 @@
     assert_eq!(controller.view("wk-4").unwrap().state, JobState::Done);
     assert!(controller.view("wk-5").is_none());
     // The request without an answer is still there to be repeated under its name.
-    let open = &controller.mirror.rentals["drover-1-70-2"];
+    let open = &controller.replica.rentals["drover-1-70-2"];
     assert_eq!((open.version, &open.record.machines), (204, &None));
     let scheduler = controller.scheduler.as_ref().unwrap();
     assert!(scheduler.knows("n-1") && scheduler.knows("n-2") && !scheduler.knows("n-9"));
--- a/src/controller/tests/world/controllers.rs
+++ b/src/controller/tests/world/controllers.rs
@@ -46,7 +46,7 @@
             *silent |= !reach;
             let left_behind = now >= *opened + 500
                 && controller
-                    .lead
+                    .leadership
                     .lags_behind_read_sent_before(Timestamp::from_millis(now - 500));
             if (now > *opened + WATCH || (left_behind && reach)) && !(stuck && *silent) {
                 *watch = None;
@@ -56,9 +56,9 @@
             *watch = Some((now, false));
         }
         if watch.is_some_and(|(_, silent)| !silent)
-            && self.service.revision > controller.mirror.revision
+            && self.service.revision > controller.replica.revision
         {
-            let from = controller.mirror.revision;
+            let from = controller.replica.revision;
             let newer = |e: &&Event| match e {
                 Event::Put { version, .. } | Event::Delete { version, .. } => *version > from,
             };
@@ -75,7 +75,7 @@
         let awaits = self.nodes[n].awaits;
         let controller = self.nodes[n].controller.as_mut().unwrap();
         if let Some((epoch, version, sent, until)) = awaits {
-            if controller.mirror.revision >= version && controller.term().is_some() {
+            if controller.replica.revision >= version && controller.term().is_some() {
                 controller.lead_event(LeadershipEvent::RevisionRead {
                     requested_at: Timestamp::from_millis(sent),
                     revision: version,
@@ -117,9 +117,9 @@
             return;
         }
         if reach.is_err()
-            || !controller.mirror.loaded
+            || !controller.replica.loaded
             || !controller.free_to_claim()
-            || now < controller.no_campaign_until
+            || now < controller.campaign_backoff_until
         {
             return;
         }
@@ -147,7 +147,7 @@
             self.nodes[n].awaits = Some((epoch, version, now, now + ttl * 3 / 4));
         } else {
             controller.lead_event(LeadershipEvent::CampaignLost);
-            controller.no_campaign_until = now + 200;
+            controller.campaign_backoff_until = now + 200;
             self.service.end_lease(lease);
         }
     }
@@ -156,7 +156,7 @@
         let now = self.now();
         let controller = self.nodes[n].controller.as_mut().unwrap();
         let lease = controller.term().map(|term| term.lease);
-        controller.no_campaign_until = now + 10_000;
+        controller.campaign_backoff_until = now + 10_000;
         controller.lead_event(LeadershipEvent::TermEnded);
         if self.service.reach(n).is_ok() {
             lease.into_iter().for_each(|h| self.service.end_lease(h));
@@ -427,7 +427,7 @@
             let Some(hint) = self.nodes[a]
                 .controller
                 .as_ref()
-                .map(|c| c.notices.unknown_to(&name))
+                .map(|c| c.cancellation_notices.unknown_to(&name))
             else {
                 continue;
             };
@@ -437,7 +437,11 @@
             if let Some((jobs, last)) = hint {
                 let revision =
                     other.take_cancelled(&crate::coordination::peers::Cancelled { jobs });
-                let notices = &mut self.nodes[a].controller.as_mut().unwrap().notices;
+                let notices = &mut self.nodes[a]
+                    .controller
+                    .as_mut()
+                    .unwrap()
+                    .cancellation_notices;
                 notices.told(&name, last);
                 notices.mirrored(&name, revision);
             }
--- a/src/controller/tests/world/mod.rs
+++ b/src/controller/tests/world/mod.rs
@@ -340,7 +340,7 @@
         let Some(controller) = self.nodes[node].controller.as_mut() else {
             return false;
         };
-        let Some(live) = controller.mirror.live.get(id).cloned() else {
+        let Some(live) = controller.replica.live.get(id).cloned() else {
             return false;
         };
         let Decided::Applied(revision) = self.service.decide(&store::abort_txn(id, &live)) else {
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,6 +1,6 @@
 //! What users ask: submissions, polls, cancellations.
 
-use super::handles::{pause, Shared};
+use super::handles::{pause, Handles};
 use super::job_status::over_view;
 use super::messages::Answer;
 use crate::coordination::leadership::longest_authority;
@@ -13,10 +13,10 @@
 /// Between two looks at whether the leader knows of a cancellation.
 const ACKNOWLEDGEMENT_POLL_MS: u64 = 10;
 
-impl Shared {
+impl Handles {
     /// A final state read from the store; `Gone` if there is none.
     pub(super) async fn read_over(&self, id: &str) -> Result<OverRecord, StoreError> {
-        if let Some(r) = self.controller.borrow().mirror.over(id) {
+        if let Some(r) = self.state.borrow().replica.over(id) {
             return Ok(r);
         }
         Ok(self.final_state(id).await?.record)
@@ -24,34 +24,35 @@
 
     /// A final state as the store has it.
     async fn final_state(&self, id: &str) -> Result<Versioned<OverRecord>, StoreError> {
-        let read = self.noted(self.store.get::<OverRecord>(&store::over_key(id)).await)?;
-        self.controller.borrow_mut().learn_final_state(id, &read);
+        let read =
+            self.record_store_answer(self.store.get::<OverRecord>(&store::over_key(id)).await)?;
+        self.state.borrow_mut().learn_final_state(id, &read);
         Ok(read)
     }
 
     pub(super) async fn poll(self, id: String) -> Answer {
-        if let Some(over) = self.controller.borrow().mirror.over(&id) {
+        if let Some(over) = self.state.borrow().replica.over(&id) {
             return Answer::Job(200, over_view(&id, over));
         }
         if !self.current().await {
             return Answer::Later(1);
         }
-        if let Some(view) = self.controller.borrow().view(&id) {
+        if let Some(view) = self.state.borrow().view(&id) {
             return Answer::Job(200, view);
         }
-        if self.controller.borrow().mirror.absent(&id) {
+        if self.state.borrow().replica.absent(&id) {
             return Answer::Unknown;
         }
         if let Err(later) = self.admit_read() {
             return later;
         }
-        let generation = self.controller.borrow().mirror.generation;
+        let generation = self.state.borrow().replica.generation;
         match self.read_over(&id).await {
             Ok(over) => Answer::Job(200, over_view(&id, over)),
             Err(StoreError::Gone) => {
-                self.controller
+                self.state
                     .borrow_mut()
-                    .mirror
+                    .replica
                     .remember_absent(&id, generation);
                 Answer::Unknown
             }
@@ -61,7 +62,7 @@
 
     /// Whether a user's question may cost a read of its own now.
     fn admit_read(&self) -> Result<(), Answer> {
-        let mut controller = self.controller.borrow_mut();
+        let mut controller = self.state.borrow_mut();
         let now = controller.now();
         controller
             .user_reads
@@ -71,19 +72,22 @@
 
     /// Whether a user may cause a number of changes now.
     fn admit(&self, changes: u32) -> Result<(), Answer> {
-        let mut controller = self.controller.borrow_mut();
+        let mut controller = self.state.borrow_mut();
         let now = controller.now();
         controller.adjust_pace();
-        controller.pacer.take(changes, now).map_err(Answer::Later)
+        controller
+            .user_changes
+            .take(changes, now)
+            .map_err(Answer::Later)
     }
 
     /// A user's transaction: tried once, since the user is told when to come back.
     async fn user_txn(&self, txn: &Txn) -> Result<Decided, StoreError> {
-        let done = self.noted(self.store.txn(txn).await);
-        let mut controller = self.controller.borrow_mut();
+        let done = self.record_store_answer(self.store.txn(txn).await);
+        let mut controller = self.state.borrow_mut();
         match done {
-            Err(StoreError::Busy) => controller.pacer.refused(),
-            Ok(_) => controller.pacer.taken(),
+            Err(StoreError::Busy) => controller.user_changes.refused(),
+            Ok(_) => controller.user_changes.taken(),
             _ => {}
         }
         done
@@ -91,14 +95,14 @@
 
     pub(super) async fn submit(self, spec: JobSpec) -> Answer {
         let id = spec.id.clone();
-        if let Some(over) = self.controller.borrow().mirror.over(&id) {
+        if let Some(over) = self.state.borrow().replica.over(&id) {
             return Answer::Job(200, over_view(&id, over));
         }
         let (known, ready, never, at_ms) = {
-            let controller = self.controller.borrow();
-            let ready = controller.mirror.loaded && !controller.types.is_empty();
+            let controller = self.state.borrow();
+            let ready = controller.replica.loaded && !controller.machine_types.is_empty();
             (
-                controller.mirror.live.contains_key(&id),
+                controller.replica.live.contains_key(&id),
                 ready,
                 controller.impossible(&spec),
                 controller.wall(),
@@ -140,8 +144,8 @@
                 }
             }
             Ok(Decided::Failed(_)) => {
-                let controller = self.controller.borrow();
-                if controller.mirror.live.contains_key(&id) {
+                let controller = self.state.borrow();
+                if controller.replica.live.contains_key(&id) {
                     Answer::Job(200, controller.view(&id).unwrap_or(queued))
                 } else {
                     Answer::Job(200, queued)
@@ -149,7 +153,9 @@
             }
             // Read back what an unanswered transaction did.
             Err(StoreError::Unknown) => {
-                match self.noted(self.store.get::<LiveRecord>(&store::live_key(&id)).await) {
+                match self
+                    .record_store_answer(self.store.get::<LiveRecord>(&store::live_key(&id)).await)
+                {
                     Ok(_) => Answer::Job(200, queued),
                     Err(_) => Answer::Later(1),
                 }
@@ -165,16 +171,16 @@
             tasks: over.tasks,
             revision,
         };
-        self.controller.borrow_mut().note_cancellation(cancelled);
-        self.cancelled.notify_one();
-        self.urgent.notify_one();
+        self.state.borrow_mut().note_cancellation(cancelled);
+        self.cancellation_recorded.notify_one();
+        self.round_requested.notify_one();
         self.answer_final(id, over).await
     }
 
     /// The answer to a request to cancel a job that is final. Of one that is cancelled nothing can start any more by then:
     /// a request that was repeated at another node was once answered before the leader knew.
     async fn answer_final(&self, id: &str, over: OverRecord) -> Answer {
-        let unsettled = self.controller.borrow().unsettled_cancellation(id);
+        let unsettled = self.state.borrow().unsettled_cancellation(id);
         if let Some(notice) = unsettled {
             self.stops_known(notice).await;
         }
@@ -185,7 +191,7 @@
     /// or its authority to start has surely ended without a word.
     async fn stops_known(&self, notice: Notice) {
         let (begun, most) = {
-            let controller = self.controller.borrow();
+            let controller = self.state.borrow();
             (
                 controller.now(),
                 whole_millis(longest_authority(duration(
@@ -195,7 +201,7 @@
         };
         loop {
             {
-                let controller = self.controller.borrow();
+                let controller = self.state.borrow();
                 if controller.stops_known(notice) || controller.now() > begun + most {
                     return;
                 }
@@ -206,11 +212,11 @@
 
     pub(super) async fn abort(self, id: String) -> Answer {
         for _ in 0..3 {
-            let known = self.controller.borrow().mirror.over(&id);
+            let known = self.state.borrow().replica.over(&id);
             if let Some(over) = known {
                 return self.answer_final(&id, over).await;
             }
-            let live = self.controller.borrow().mirror.live.get(&id).cloned();
+            let live = self.state.borrow().replica.live.get(&id).cloned();
             let Some(live) = live else {
                 match self.clone().poll(id.clone()).await {
                     // Unfinished after all, or final, as is known from now on.
--- a/src/controller/watch_loop.rs
+++ b/src/controller/watch_loop.rs
@@ -1,6 +1,6 @@
 //! Keeps the mirror of the store by a watch.
 
-use super::handles::{pause, Shared};
+use super::handles::{pause, Handles};
 use crate::store::StoreError;
 use crate::time::Timestamp;
 use futures_util::future::{select, Either};
@@ -11,10 +11,10 @@
 /// How long the mirror may lag behind a read before its watch is opened anew; doubled while that does not help.
 const SILENT_WATCH_MS: u64 = 500;
 
-impl Shared {
+impl Handles {
     pub(super) async fn sync(self) {
         let (rps, nodes) = {
-            let c = self.controller.borrow();
+            let c = self.state.borrow();
             (
                 c.settings.platform.deployment.state.rps,
                 c.settings.platform.peers.len() + 1,
@@ -25,18 +25,18 @@
         let (mut loaded, mut patience) = (false, SILENT_WATCH_MS);
         loop {
             if !loaded {
-                if let Ok(fresh) = self.noted(self.store.load().await) {
+                if let Ok(fresh) = self.record_store_answer(self.store.load().await) {
                     let revision = fresh.revision;
-                    self.controller.borrow_mut().loaded(fresh);
-                    self.revision.send_replace(revision);
+                    self.state.borrow_mut().loaded(fresh);
+                    self.replica_revision.send_replace(revision);
                     loaded = true;
-                    self.campaign.notify_one();
+                    self.campaign_requested.notify_one();
                 } else {
                     pause(300).await;
                     continue;
                 }
             }
-            let after = self.controller.borrow().mirror.revision;
+            let after = self.state.borrow().replica.revision;
             let watch = Box::pin(self.store.watch(after, WATCH_MS));
             let watched = match select(watch, Box::pin(self.left_behind(patience))).await {
                 Either::Left((watched, _)) => watched,
@@ -46,15 +46,15 @@
                     continue;
                 }
             };
-            match self.noted(watched) {
+            match self.record_store_answer(watched) {
                 Ok(w) => {
                     patience = SILENT_WATCH_MS;
                     let quiet = w.events.is_empty();
-                    if self.controller.borrow_mut().watched(w.revision, &w.events) {
-                        self.campaign.notify_one();
+                    if self.state.borrow_mut().watched(w.revision, &w.events) {
+                        self.campaign_requested.notify_one();
                     }
-                    self.revision.send_replace(w.revision);
-                    self.urgent.notify_one();
+                    self.replica_revision.send_replace(w.revision);
+                    self.round_requested.notify_one();
                     if !quiet {
                         pause(pace).await;
                     }
@@ -75,9 +75,9 @@
     async fn left_behind(&self, patience: u64) {
         loop {
             pause(patience).await;
-            let controller = self.controller.borrow();
+            let controller = self.state.borrow();
             if controller
-                .lead
+                .leadership
                 .lags_behind_read_sent_before(Timestamp::from_millis(
                     controller.now().saturating_sub(patience),
                 ))
