--- a/src/api.rs
+++ b/src/api.rs
@@ -10,8 +10,8 @@
 
 use crate::admission::concurrency_limit::{Limiter, Request};
 use crate::controller::{
-    Abort, Answer, Health, Node, PeerCancelled, PeerView, Poll, Submit, WorkerAnswer, WorkerReport,
-    WorkerResponse,
+    Abort, Health, HeartbeatOutcome, HeartbeatResponse, JobOutcome, Node, PeerCancelled, PeerView,
+    Poll, Submit, WorkerReport,
 };
 use crate::coordination::peers;
 use crate::protocol::{self as wire, decode, encode, JobSpec, Report, BODY_LIMIT};
@@ -21,7 +21,7 @@
 use server::Connections;
 use std::cell::RefCell;
 use std::net::SocketAddr;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// What the handlers share.
 struct Door {
@@ -45,46 +45,53 @@
     )
 }
 
-fn later(status: u16, error: &str, in_s: u32) -> HttpResponse {
-    let mut r = plain(status, error);
-    r.headers_mut().insert(
+/// A response that asks the user to repeat the request, after a time in whole seconds, rounded up.
+fn retry_later(status: u16, error: &str, after: Duration) -> HttpResponse {
+    let whole_seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
+    let mut response = plain(status, error);
+    response.headers_mut().insert(
         actix_web::http::header::RETRY_AFTER,
-        actix_web::http::header::HeaderValue::from(in_s),
+        actix_web::http::header::HeaderValue::from(whole_seconds),
     );
-    r
+    response
 }
 
-fn answer(a: Answer) -> HttpResponse {
-    match a {
-        Answer::Job(status, view) => reply(status, encode(&view)),
-        Answer::Unknown => plain(404, "no such job"),
-        Answer::Never(reason) => plain(422, reason),
-        Answer::Later(s) => {
-            // On its next connection the user may find a node that can: one that had lost the store kept its users.
-            let mut r = later(503, "try again", s);
-            r.head_mut().set_connection_type(ConnectionType::Close);
-            r
+/// The response to a user's request about a job.
+fn job_response(outcome: JobOutcome) -> HttpResponse {
+    match outcome {
+        JobOutcome::Accepted(view) => reply(201, encode(&view)),
+        JobOutcome::Known(view) => reply(200, encode(&view)),
+        JobOutcome::NotFound => plain(404, "no such job"),
+        JobOutcome::Rejected(reason) => plain(422, &reason.to_string()),
+        JobOutcome::RetryAfter(after) => {
+            // The connection is closed, so that the user may reach another controller with the next one. A controller that
+            // had lost the store once kept its users.
+            let mut response = retry_later(503, "try again", after);
+            response
+                .head_mut()
+                .set_connection_type(ConnectionType::Close);
+            response
         }
     }
 }
 
 impl Door {
     /// Runs a user's request under the limit on requests in progress.
-    async fn limited<F: std::future::Future<Output = Option<Answer>>>(
+    async fn limited<F: std::future::Future<Output = Option<JobOutcome>>>(
         &self,
         kind: Request,
         request: F,
     ) -> HttpResponse {
         if !self.limiter.borrow_mut().enter(kind) {
-            return later(429, "too many requests in progress", 1);
+            return retry_later(429, "too many requests in progress", Duration::from_secs(1));
         }
         let from = Instant::now();
-        let a = request.await.unwrap_or(Answer::Later(1));
-        let served = !matches!(a, Answer::Later(_));
+        let outcome = request.await.unwrap_or(JobOutcome::RETRY_SOON);
+        let served = !matches!(outcome, JobOutcome::RetryAfter(_));
         self.limiter
             .borrow_mut()
             .leave(from.elapsed().as_millis() as u64, served);
-        answer(a)
+        job_response(outcome)
     }
 }
 
@@ -130,12 +137,14 @@
 
 /// The response to a report. One that was decided under an authority that has ended since, while the process stood still, is not
 /// sent: it might start what has been cancelled meanwhile, or renew a lease.
-fn worker_response(timed: WorkerResponse, now: Instant) -> HttpResponse {
+fn heartbeat_response(timed: HeartbeatResponse, now: Instant) -> HttpResponse {
     let valid = timed.valid_until.is_some_and(|until| now < until);
-    match timed.answer {
-        WorkerAnswer::Reply(orders) if valid => reply(200, encode(&orders)),
-        WorkerAnswer::Elsewhere(report_to) => reply(421, encode(&wire::Redirect { report_to })),
-        WorkerAnswer::Reply(_) | WorkerAnswer::Later => plain(503, "no authority to act"),
+    match timed.outcome {
+        HeartbeatOutcome::Reply(orders) if valid => reply(200, encode(&orders)),
+        HeartbeatOutcome::Redirect(report_to) => reply(421, encode(&wire::Redirect { report_to })),
+        HeartbeatOutcome::Reply(_) | HeartbeatOutcome::NoLeader => {
+            plain(503, "no authority to act")
+        }
     }
 }
 
@@ -145,7 +154,7 @@
         return plain(400, "malformed");
     };
     let mut r = match door.node.send(WorkerReport(report)).await {
-        Ok(timed) => worker_response(timed, Instant::now()),
+        Ok(timed) => heartbeat_response(timed, Instant::now()),
         Err(_) => plain(503, "stopping"),
     };
     // A worker that is not served here goes on to another node.
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_user_who_is_told_to_come_back_is_told_when_and_may_go_elsewhere() {
-    let r = answer(Answer::Later(7));
+    let r = job_response(JobOutcome::RetryAfter(Duration::from_secs(7)));
     assert_eq!(
         (
             r.status().as_u16(),
@@ -15,7 +15,7 @@
     );
     assert_eq!(r.head().connection_type(), ConnectionType::Close);
     assert_ne!(
-        answer(Answer::Unknown).head().connection_type(),
+        job_response(JobOutcome::NotFound).head().connection_type(),
         ConnectionType::Close
     );
 }
@@ -24,13 +24,13 @@
 fn an_answer_to_a_worker_is_void_once_the_right_behind_it_has_ended() {
     let now = Instant::now();
     let decided = |valid_until| {
-        let answer = WorkerAnswer::Reply(wire::ReportReply {
+        let outcome = HeartbeatOutcome::Reply(wire::ReportReply {
             token: 5,
             orders: Vec::new(),
         });
-        worker_response(
-            WorkerResponse {
-                answer,
+        heartbeat_response(
+            HeartbeatResponse {
+                outcome,
                 valid_until,
             },
             now,
@@ -41,9 +41,9 @@
     assert_eq!(decided(Some(now + Duration::from_millis(1))), 200);
     assert_eq!(decided(Some(now)), 503);
     assert_eq!(decided(None), 503);
-    let elsewhere = WorkerResponse {
-        answer: WorkerAnswer::Elsewhere(None),
+    let elsewhere = HeartbeatResponse {
+        outcome: HeartbeatOutcome::Redirect(None),
         valid_until: Some(now),
     };
-    assert_eq!(worker_response(elsewhere, now).status().as_u16(), 421);
+    assert_eq!(heartbeat_response(elsewhere, now).status().as_u16(), 421);
 }
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -3,7 +3,8 @@
 use super::clock::Clock;
 use super::handles::Handles;
 use super::messages::{
-    Abort, Answer, Health, PeerCancelled, PeerView, Poll, Submit, WorkerReport, WorkerResponse,
+    Abort, Health, HeartbeatResponse, JobOutcome, PeerCancelled, PeerView, Poll, Submit,
+    WorkerReport,
 };
 use super::state::ControllerState;
 use crate::clients::cloud::CloudClient;
@@ -66,21 +67,21 @@
 }
 
 impl Handler<Submit> for Node {
-    type Result = ResponseFuture<Answer>;
+    type Result = ResponseFuture<JobOutcome>;
     fn handle(&mut self, m: Submit, _: &mut Self::Context) -> Self::Result {
         Box::pin(self.shared.clone().submit(m.0))
     }
 }
 
 impl Handler<Poll> for Node {
-    type Result = ResponseFuture<Answer>;
+    type Result = ResponseFuture<JobOutcome>;
     fn handle(&mut self, m: Poll, _: &mut Self::Context) -> Self::Result {
         Box::pin(self.shared.clone().poll(m.0))
     }
 }
 
 impl Handler<Abort> for Node {
-    type Result = ResponseFuture<Answer>;
+    type Result = ResponseFuture<JobOutcome>;
     fn handle(&mut self, m: Abort, _: &mut Self::Context) -> Self::Result {
         Box::pin(self.shared.clone().abort(m.0))
     }
@@ -97,12 +98,12 @@
     type Result = MessageResult<WorkerReport>;
     fn handle(&mut self, m: WorkerReport, _: &mut Self::Context) -> Self::Result {
         let mut controller = self.shared.state.borrow_mut();
-        let answer = controller.report(&m.0);
+        let outcome = controller.report(&m.0);
         if controller.needs_pass() {
             self.shared.round_requested.notify_one();
         }
-        MessageResult(WorkerResponse {
-            answer,
+        MessageResult(HeartbeatResponse {
+            outcome,
             valid_until: controller.answer_valid_until(),
         })
     }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,6 +1,6 @@
 //! The answers to the reports of workers.
 
-use super::messages::WorkerAnswer;
+use super::messages::HeartbeatOutcome;
 use super::state::{ControllerState, UnregisteredMachine, UNREGISTERED_LIMIT};
 use crate::coordination::leadership::{Authority, LeadershipEvent};
 use crate::protocol::Report;
@@ -9,19 +9,19 @@
 use std::time::Instant;
 
 impl ControllerState {
-    pub(super) fn report(&mut self, r: &Report) -> WorkerAnswer {
+    pub(super) fn report(&mut self, r: &Report) -> HeartbeatOutcome {
         let now = self.now();
         let authority = self.authority();
         let leader = self.replica.leader.as_ref().map(|l| l.record.node.clone());
         let elsewhere = |l: Option<String>, me: &str| match l.filter(|l| l != me) {
-            Some(l) => WorkerAnswer::Elsewhere(Some(l)),
-            None => WorkerAnswer::Later,
+            Some(l) => HeartbeatOutcome::Redirect(Some(l)),
+            None => HeartbeatOutcome::NoLeader,
         };
         if authority == Authority::None {
             return elsewhere(leader, &self.identity.node);
         }
         let Some(scheduler) = self.scheduler.as_mut() else {
-            return WorkerAnswer::Later;
+            return HeartbeatOutcome::NoLeader;
         };
         scheduler.at(now);
         match scheduler.report(
@@ -30,10 +30,10 @@
                 may_start: authority == Authority::Full,
             },
         ) {
-            ReportOutcome::Reply(reply) => WorkerAnswer::Reply(reply),
+            ReportOutcome::Reply(reply) => HeartbeatOutcome::Reply(reply),
             ReportOutcome::Superseded => {
                 self.lead_event(LeadershipEvent::TermEnded);
-                WorkerAnswer::Later
+                HeartbeatOutcome::NoLeader
             }
             ReportOutcome::UnregisteredMachine => {
                 if !self.released.contains_key(&r.machine)
@@ -51,7 +51,7 @@
                         },
                     );
                 }
-                WorkerAnswer::Later
+                HeartbeatOutcome::NoLeader
             }
         }
     }
--- a/src/controller/job_status.rs
+++ b/src/controller/job_status.rs
@@ -1,5 +1,6 @@
 //! What users are told of a job, and whether it can run at all.
 
+use super::messages::JobRejection;
 use super::state::ControllerState;
 use crate::protocol::{JobSpec, JobState, JobView, Kind};
 use crate::store::OverRecord;
@@ -30,7 +31,7 @@
     }
 
     /// The checks behind a 422.
-    pub(super) fn impossible(&self, s: &JobSpec) -> Option<&'static str> {
+    pub(super) fn impossible(&self, s: &JobSpec) -> Option<JobRejection> {
         let Some(team) = self
             .settings
             .platform
@@ -39,7 +40,7 @@
             .iter()
             .find(|t| t.name == s.team)
         else {
-            return Some("unknown team");
+            return Some(JobRejection::UnknownTeam);
         };
         let fits = self.machine_types.iter().any(|t| {
             s.types.as_ref().is_none_or(|l| l.contains(&t.name))
@@ -49,7 +50,7 @@
                 && s.memory_gb <= t.memory_gb
         });
         if !fits {
-            return Some("no allowed machine type is large enough");
+            return Some(JobRejection::NoMachineTypeFits);
         }
         let at_once = if s.kind == Kind::Array {
             1.0
@@ -58,7 +59,7 @@
         };
         let over = |each: f64, most: f64| most > 0.0 && each * at_once > most + 1e-9;
         (over(s.cpus, team.cpus_max) || over(s.gpus, team.gpus_max))
-            .then_some("more than the team's limit")
+            .then_some(JobRejection::ExceedsTeamLimit)
     }
 }
 
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -3,21 +3,21 @@
 use crate::coordination::peers::{Cancelled, View};
 use crate::protocol::{JobSpec, JobView, Report, ReportReply};
 use actix::Message;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// A user submits a job.
 #[derive(Message)]
-#[rtype(result = "Answer")]
+#[rtype(result = "JobOutcome")]
 pub struct Submit(pub JobSpec);
 
 /// A user asks about a job.
 #[derive(Message)]
-#[rtype(result = "Answer")]
+#[rtype(result = "JobOutcome")]
 pub struct Poll(pub String);
 
 /// A user cancels a job.
 #[derive(Message)]
-#[rtype(result = "Answer")]
+#[rtype(result = "JobOutcome")]
 pub struct Abort(pub String);
 
 /// A health check.
@@ -27,7 +27,7 @@
 
 /// A worker reports.
 #[derive(Message)]
-#[rtype(result = "WorkerResponse")]
+#[rtype(result = "HeartbeatResponse")]
 pub struct WorkerReport(pub Report);
 
 /// Another controller tells its view.
@@ -40,35 +40,56 @@
 #[rtype(result = "u64")]
 pub struct PeerCancelled(pub Cancelled);
 
-/// What a user is told.
+/// The outcome of a user's request about a job.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
-    /// A job's state, with the status.
-    Job(u16, JobView),
-    /// Never accepted.
-    Unknown,
-    /// Can never run.
-    Never(&'static str),
-    /// Ask again, in so many seconds.
-    Later(u32),
+pub enum JobOutcome {
+    /// The job was accepted by this request.
+    Accepted(JobView),
+    /// The job is known; this is its state.
+    Known(JobView),
+    /// No job of this name was ever accepted.
+    NotFound,
+    /// The job can never run and was not accepted.
+    Rejected(JobRejection),
+    /// The request was not served now; the user may repeat it after this time.
+    RetryAfter(Duration),
 }
 
-/// What a worker is told.
+impl JobOutcome {
+    /// The request was not served, but is likely to be when it is repeated soon.
+    pub const RETRY_SOON: JobOutcome = JobOutcome::RetryAfter(Duration::from_secs(1));
+}
+
+/// Why a job can never run.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum JobRejection {
+    /// The settings have no such team.
+    #[error("unknown team")]
+    UnknownTeam,
+    /// No machine type that the job allows has the resources of one task.
+    #[error("no allowed machine type is large enough")]
+    NoMachineTypeFits,
+    /// The tasks that have to run at the same time exceed the team's quota limit.
+    #[error("more than the team's limit")]
+    ExceedsTeamLimit,
+}
+
+/// The outcome of a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
-pub enum WorkerAnswer {
-    /// Commands.
+pub enum HeartbeatOutcome {
+    /// This controller leads: the commands for the worker.
     Reply(ReportReply),
-    /// Another node is in charge.
-    Elsewhere(Option<String>),
-    /// Nobody is known to be.
-    Later,
+    /// Another controller leads; its name, if it is to be named.
+    Redirect(Option<String>),
+    /// This controller does not lead, and knows no other leader.
+    NoLeader,
 }
 
-/// What a worker is told, and until when that may be sent.
+/// The outcome of a worker's heartbeat, and until when it may be sent.
 #[derive(Debug)]
-pub struct WorkerResponse {
-    /// The answer.
-    pub answer: WorkerAnswer,
+pub struct HeartbeatResponse {
+    /// The outcome.
+    pub outcome: HeartbeatOutcome,
     /// When the authority under which it was decided ends.
     pub valid_until: Option<Instant>,
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -26,6 +26,6 @@
 
 pub use actor::Node;
 pub use messages::{
-    Abort, Answer, Health, PeerCancelled, PeerView, Poll, Submit, WorkerAnswer, WorkerReport,
-    WorkerResponse,
+    Abort, Health, HeartbeatOutcome, HeartbeatResponse, JobOutcome, JobRejection, PeerCancelled,
+    PeerView, Poll, Submit, WorkerReport,
 };
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -5,7 +5,7 @@
 use crate::controller::clock::Clock;
 use crate::controller::scheduling_round::Pass;
 use crate::controller::state::ControllerState;
-use crate::controller::WorkerAnswer;
+use crate::controller::HeartbeatOutcome;
 use crate::coordination::leadership::{LeadershipEvent, Term};
 use crate::protocol::{
     Change, Command, Event, ExitReason, JobState, Report, TaskReport, TaskState,
@@ -183,7 +183,7 @@
         controller.logged(term, append, Ok(Decided::Applied(revision)), None);
     }
     match controller.report(report) {
-        WorkerAnswer::Reply(reply) => {
+        HeartbeatOutcome::Reply(reply) => {
             assert_eq!(
                 reply.token >> 24,
                 7,
--- a/src/controller/tests/world/mod.rs
+++ b/src/controller/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use crate::controller::clock::Clock;
 use crate::controller::scheduling_round::Pass;
 use crate::controller::state::ControllerState;
-use crate::controller::WorkerAnswer;
+use crate::controller::HeartbeatOutcome;
 use crate::coordination::leadership::Term;
 use crate::coordination::leadership::{Authority, LeadershipEvent, Role};
 use crate::coordination::peers::{CancelledJob, Notice};
@@ -100,7 +100,7 @@
         session: u64,
         sent: u64,
         node: usize,
-        answer: WorkerAnswer,
+        answer: HeartbeatOutcome,
     },
     /// Decided, and sent by a controller that stood still in between.
     Decided {
--- a/src/controller/tests/world/workers.rs
+++ b/src/controller/tests/world/workers.rs
@@ -193,7 +193,7 @@
                     return;
                 };
                 let answer = controller.report(&report);
-                if let WorkerAnswer::Reply(ReportReply { orders, .. }) = &answer {
+                if let HeartbeatOutcome::Reply(ReportReply { orders, .. }) = &answer {
                     let orders = orders.clone();
                     if !copy {
                         self.sent(&orders);
@@ -241,7 +241,7 @@
                 }
                 w.waits = None;
                 match answer {
-                    WorkerAnswer::Reply(r) if r.token >= w.token => {
+                    HeartbeatOutcome::Reply(r) if r.token >= w.token => {
                         if r.token > w.token {
                             w.report_at = w.report_at.min(now + 500);
                         }
@@ -249,13 +249,13 @@
                         self.execute(&worker, &r.orders);
                     }
                     // Dropped.
-                    WorkerAnswer::Reply(_) => {}
-                    WorkerAnswer::Elsewhere(to) => {
+                    HeartbeatOutcome::Reply(_) => {}
+                    HeartbeatOutcome::Redirect(to) => {
                         let to = to.and_then(|t| t.strip_prefix("drover-")?.parse::<usize>().ok());
                         w.node = to.unwrap_or((node + 1) % 3);
                         w.report_at = now + if to.is_some() { 300 } else { 1000 };
                     }
-                    WorkerAnswer::Later => {
+                    HeartbeatOutcome::NoLeader => {
                         w.node = (node + 1) % 3;
                         w.report_at = now + 1000;
                     }
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -2,13 +2,14 @@
 
 use super::handles::{pause, Handles};
 use super::job_status::over_view;
-use super::messages::Answer;
+use super::messages::JobOutcome;
 use crate::coordination::leadership::longest_authority;
 use crate::coordination::peers::{CancelledJob, Notice};
 use crate::protocol::{JobSpec, JobState, JobView, Txn};
 use crate::store;
 use crate::store::{Decided, LiveRecord, OverRecord, StoreError, Versioned};
 use crate::time::{duration, whole_millis};
+use std::time::Duration;
 
 /// Between two looks at whether the leader knows of a cancellation.
 const ACKNOWLEDGEMENT_POLL_MS: u64 = 10;
@@ -30,55 +31,55 @@
         Ok(read)
     }
 
-    pub(super) async fn poll(self, id: String) -> Answer {
+    pub(super) async fn poll(self, id: String) -> JobOutcome {
         if let Some(over) = self.state.borrow().replica.over(&id) {
-            return Answer::Job(200, over_view(&id, over));
+            return JobOutcome::Known(over_view(&id, over));
         }
         if !self.current().await {
-            return Answer::Later(1);
+            return JobOutcome::RETRY_SOON;
         }
         if let Some(view) = self.state.borrow().view(&id) {
-            return Answer::Job(200, view);
+            return JobOutcome::Known(view);
         }
         if self.state.borrow().replica.absent(&id) {
-            return Answer::Unknown;
+            return JobOutcome::NotFound;
         }
         if let Err(later) = self.admit_read() {
             return later;
         }
         let generation = self.state.borrow().replica.generation;
         match self.read_over(&id).await {
-            Ok(over) => Answer::Job(200, over_view(&id, over)),
+            Ok(over) => JobOutcome::Known(over_view(&id, over)),
             Err(StoreError::Gone) => {
                 self.state
                     .borrow_mut()
                     .replica
                     .remember_absent(&id, generation);
-                Answer::Unknown
+                JobOutcome::NotFound
             }
-            Err(_) => Answer::Later(1),
+            Err(_) => JobOutcome::RETRY_SOON,
         }
     }
 
     /// Whether a user's question may cost a read of its own now.
-    fn admit_read(&self) -> Result<(), Answer> {
+    fn admit_read(&self) -> Result<(), JobOutcome> {
         let mut controller = self.state.borrow_mut();
         let now = controller.now();
         controller
             .user_reads
             .take(now)
-            .map_err(|wait_ms| Answer::Later(wait_ms.div_ceil(1000) as u32))
+            .map_err(|wait_ms| JobOutcome::RetryAfter(Duration::from_millis(wait_ms)))
     }
 
     /// Whether a user may cause a number of changes now.
-    fn admit(&self, changes: u32) -> Result<(), Answer> {
+    fn admit(&self, changes: u32) -> Result<(), JobOutcome> {
         let mut controller = self.state.borrow_mut();
         let now = controller.now();
         controller.adjust_pace();
         controller
             .user_changes
             .take(changes, now)
-            .map_err(Answer::Later)
+            .map_err(|seconds| JobOutcome::RetryAfter(Duration::from_secs(u64::from(seconds))))
     }
 
     /// A user's transaction: tried once, since the user is told when to come back.
@@ -93,10 +94,10 @@
         done
     }
 
-    pub(super) async fn submit(self, spec: JobSpec) -> Answer {
+    pub(super) async fn submit(self, spec: JobSpec) -> JobOutcome {
         let id = spec.id.clone();
         if let Some(over) = self.state.borrow().replica.over(&id) {
-            return Answer::Job(200, over_view(&id, over));
+            return JobOutcome::Known(over_view(&id, over));
         }
         let (known, ready, never, at_ms) = {
             let controller = self.state.borrow();
@@ -111,17 +112,17 @@
         if known {
             // Repeated: a failed transaction would count as a change, and crowds of repeats would use up the changes.
             return match self.poll(id).await {
-                Answer::Unknown => Answer::Later(1),
+                JobOutcome::NotFound => JobOutcome::RETRY_SOON,
                 known => known,
             };
         }
         if !ready {
-            return Answer::Later(1);
+            return JobOutcome::RETRY_SOON;
         }
         if let Some(reason) = never {
             // A job accepted once stays accepted, whatever the machine types are now.
             return match self.clone().poll(id).await {
-                Answer::Unknown => Answer::Never(reason),
+                JobOutcome::NotFound => JobOutcome::Rejected(reason),
                 other => other,
             };
         }
@@ -136,19 +137,19 @@
             running: Some(0),
         };
         match self.user_txn(&txn).await {
-            Ok(Decided::Applied(_)) => Answer::Job(201, queued),
+            Ok(Decided::Applied(_)) => JobOutcome::Accepted(queued),
             Ok(Decided::Failed(keys)) if keys.contains(&store::over_key(&id)) => {
                 match self.read_over(&id).await {
-                    Ok(over) => Answer::Job(200, over_view(&id, over)),
-                    Err(_) => Answer::Later(1),
+                    Ok(over) => JobOutcome::Known(over_view(&id, over)),
+                    Err(_) => JobOutcome::RETRY_SOON,
                 }
             }
             Ok(Decided::Failed(_)) => {
                 let controller = self.state.borrow();
                 if controller.replica.live.contains_key(&id) {
-                    Answer::Job(200, controller.view(&id).unwrap_or(queued))
+                    JobOutcome::Known(controller.view(&id).unwrap_or(queued))
                 } else {
-                    Answer::Job(200, queued)
+                    JobOutcome::Known(queued)
                 }
             }
             // Read back what an unanswered transaction did.
@@ -156,16 +157,16 @@
                 match self
                     .record_store_answer(self.store.get::<LiveRecord>(&store::live_key(&id)).await)
                 {
-                    Ok(_) => Answer::Job(200, queued),
-                    Err(_) => Answer::Later(1),
+                    Ok(_) => JobOutcome::Known(queued),
+                    Err(_) => JobOutcome::RETRY_SOON,
                 }
             }
-            Err(_) => Answer::Later(1),
+            Err(_) => JobOutcome::RETRY_SOON,
         }
     }
 
     /// Confirms a cancellation that is durable at a revision.
-    async fn confirm(&self, id: &str, over: OverRecord, revision: u64) -> Answer {
+    async fn confirm(&self, id: &str, over: OverRecord, revision: u64) -> JobOutcome {
         let cancelled = CancelledJob {
             job: id.to_string(),
             tasks: over.tasks,
@@ -179,12 +180,12 @@
 
     /// The answer to a request to cancel a job that is final. Of one that is cancelled nothing can start any more by then:
     /// a request that was repeated at another node was once answered before the leader knew.
-    async fn answer_final(&self, id: &str, over: OverRecord) -> Answer {
+    async fn answer_final(&self, id: &str, over: OverRecord) -> JobOutcome {
         let unsettled = self.state.borrow().unsettled_cancellation(id);
         if let Some(notice) = unsettled {
             self.stops_known(notice).await;
         }
-        Answer::Job(200, over_view(id, over))
+        JobOutcome::Known(over_view(id, over))
     }
 
     /// Waits until no start of a cancelled job can be sent any more: until the leader has been told, mostly milliseconds,
@@ -210,7 +211,7 @@
         }
     }
 
-    pub(super) async fn abort(self, id: String) -> Answer {
+    pub(super) async fn abort(self, id: String) -> JobOutcome {
         for _ in 0..3 {
             let known = self.state.borrow().replica.over(&id);
             if let Some(over) = known {
@@ -220,7 +221,7 @@
             let Some(live) = live else {
                 match self.clone().poll(id.clone()).await {
                     // Unfinished after all, or final, as is known from now on.
-                    Answer::Job(..) => continue,
+                    JobOutcome::Known(_) => continue,
                     other => return other,
                 }
             };
@@ -239,14 +240,14 @@
                         Ok(found) if found.record.cancelled => {
                             return self.confirm(&id, found.record, found.version).await
                         }
-                        Ok(found) => return Answer::Job(200, over_view(&id, found.record)),
+                        Ok(found) => return JobOutcome::Known(over_view(&id, found.record)),
                         Err(StoreError::Gone) => pause(100).await,
-                        Err(_) => return Answer::Later(1),
+                        Err(_) => return JobOutcome::RETRY_SOON,
                     }
                 }
-                Err(_) => return Answer::Later(1),
+                Err(_) => return JobOutcome::RETRY_SOON,
             }
         }
-        Answer::Later(1)
+        JobOutcome::RETRY_SOON
     }
 }
