--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -69,21 +69,24 @@
 impl Handler<Submit> for Node {
     type Result = ResponseFuture<JobOutcome>;
     fn handle(&mut self, m: Submit, _: &mut Self::Context) -> Self::Result {
-        Box::pin(self.shared.clone().submit(m.0))
+        let handles = self.shared.clone();
+        Box::pin(async move { handles.submit(m.0).await })
     }
 }
 
 impl Handler<Poll> for Node {
     type Result = ResponseFuture<JobOutcome>;
     fn handle(&mut self, m: Poll, _: &mut Self::Context) -> Self::Result {
-        Box::pin(self.shared.clone().poll(m.0))
+        let handles = self.shared.clone();
+        Box::pin(async move { handles.poll(&m.0).await })
     }
 }
 
 impl Handler<Abort> for Node {
     type Result = ResponseFuture<JobOutcome>;
     fn handle(&mut self, m: Abort, _: &mut Self::Context) -> Self::Result {
-        Box::pin(self.shared.clone().abort(m.0))
+        let handles = self.shared.clone();
+        Box::pin(async move { handles.cancel(&m.0).await })
     }
 }
 
--- a/src/controller/job_status.rs
+++ b/src/controller/job_status.rs
@@ -1,14 +1,16 @@
-//! What users are told of a job, and whether it can run at all.
+//! The state of a job as it is shown to users.
 
-use super::messages::JobRejection;
 use super::state::ControllerState;
-use crate::protocol::{JobSpec, JobState, JobView, Kind};
+use crate::protocol::{JobState, JobView};
 use crate::store::OverRecord;
 
 impl ControllerState {
-    pub(super) fn view(&self, id: &str) -> Option<JobView> {
+    /// The state of a job that is unfinished in the replica or whose final state is remembered.
+    ///
+    /// A follower shows the task counts that the leader sent last.
+    pub(super) fn job_view(&self, id: &str) -> Option<JobView> {
         if let Some(over) = self.replica.over(id) {
-            return Some(over_view(id, over));
+            return Some(final_view(id, over));
         }
         let counts = self
             .scheduler
@@ -29,41 +31,10 @@
             running: Some(running),
         })
     }
-
-    /// The checks behind a 422.
-    pub(super) fn impossible(&self, s: &JobSpec) -> Option<JobRejection> {
-        let Some(team) = self
-            .settings
-            .platform
-            .deployment
-            .teams
-            .iter()
-            .find(|t| t.name == s.team)
-        else {
-            return Some(JobRejection::UnknownTeam);
-        };
-        let fits = self.machine_types.iter().any(|t| {
-            s.types.as_ref().is_none_or(|l| l.contains(&t.name))
-                && s.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-                && s.cpus <= t.cpus
-                && s.gpus <= t.gpus
-                && s.memory_gb <= t.memory_gb
-        });
-        if !fits {
-            return Some(JobRejection::NoMachineTypeFits);
-        }
-        let at_once = if s.kind == Kind::Array {
-            1.0
-        } else {
-            f64::from(s.tasks)
-        };
-        let over = |each: f64, most: f64| most > 0.0 && each * at_once > most + 1e-9;
-        (over(s.cpus, team.cpus_max) || over(s.gpus, team.gpus_max))
-            .then_some(JobRejection::ExceedsTeamLimit)
-    }
 }
 
-pub(super) fn over_view(id: &str, over: OverRecord) -> JobView {
+/// The state of a job that is final.
+pub(super) fn final_view(id: &str, over: OverRecord) -> JobView {
     let (state, done) = if over.cancelled {
         (JobState::Cancelled, 0)
     } else {
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -257,12 +257,15 @@
 #[test]
 fn a_new_leader_forgets_nothing() {
     let mut controller = new_leader(stored());
-    let view = controller.view("wk-1").unwrap();
+    let view = controller.job_view("wk-1").unwrap();
     assert_eq!((view.state, view.done), (JobState::Queued, Some(1)));
-    assert_eq!(controller.view("wk-2").unwrap().state, JobState::Queued);
-    assert_eq!(controller.view("wk-3").unwrap().state, JobState::Cancelled);
-    assert_eq!(controller.view("wk-4").unwrap().state, JobState::Done);
-    assert!(controller.view("wk-5").is_none());
+    assert_eq!(controller.job_view("wk-2").unwrap().state, JobState::Queued);
+    assert_eq!(
+        controller.job_view("wk-3").unwrap().state,
+        JobState::Cancelled
+    );
+    assert_eq!(controller.job_view("wk-4").unwrap().state, JobState::Done);
+    assert!(controller.job_view("wk-5").is_none());
     // The request without an answer is still there to be repeated under its name.
     let open = &controller.replica.rentals["drover-1-70-2"];
     assert_eq!((open.version, &open.record.machines), (204, &None));
@@ -334,5 +337,5 @@
         let orders = answer(&mut controller, &report("n-1", seq, &N1_TASKS));
         assert!(started_and_stopped(&orders).0.is_empty(), "{orders:?}");
     }
-    assert_eq!(controller.view("wk-1").unwrap().running, Some(1));
+    assert_eq!(controller.job_view("wk-1").unwrap().running, Some(1));
 }
--- /dev/null
+++ b/src/controller/user_requests/mod.rs
@@ -0,0 +1,82 @@
+//! Requests of users: submissions, polls and cancellations of jobs, and the steps that they share.
+//!
+//! Any controller serves any user. A request is answered from the replica where that suffices, after a linearizable read where
+//! the answer depends on being up to date, and from the store where the replica does not hold what is asked for. Changes are
+//! compare-and-swap transactions of the store; the leader learns of them from its watch, and of cancellations also from its
+//! peers.
+//!
+//! A request is tried once. When the store is too busy, the user is told when to repeat it: submissions and cancellations are
+//! idempotent.
+
+mod cancellation;
+mod poll;
+mod submission;
+
+use super::handles::Handles;
+use super::job_status::final_view;
+use super::messages::JobOutcome;
+use crate::protocol::Txn;
+use crate::store::{self, Decided, OverRecord, StoreError, Versioned};
+use std::time::Duration;
+
+impl Handles {
+    /// The final state of a job, if this controller remembers it.
+    fn remembered_final_state(&self, id: &str) -> Option<OverRecord> {
+        self.read_state(|state| state.replica.over(id))
+    }
+
+    /// The final state of a job, remembered or read from the store; [`StoreError::Gone`] if it has none.
+    async fn final_state(&self, id: &str) -> Result<OverRecord, StoreError> {
+        if let Some(final_state) = self.remembered_final_state(id) {
+            return Ok(final_state);
+        }
+        Ok(self.read_final_state(id).await?.record)
+    }
+
+    /// Reads the final state of a job from the store and remembers it; [`StoreError::Gone`] if it has none.
+    async fn read_final_state(&self, id: &str) -> Result<Versioned<OverRecord>, StoreError> {
+        let read = self.store.get::<OverRecord>(&store::over_key(id)).await;
+        let found = self.record_store_answer(read)?;
+        self.with_state(|state| state.learn_final_state(id, &found));
+        Ok(found)
+    }
+
+    /// Admits a read of the store on behalf of a user, or tells when to repeat the request.
+    fn admit_read(&self) -> Result<(), JobOutcome> {
+        self.with_state(|state| {
+            let now = state.now();
+            state
+                .user_reads
+                .take(now)
+                .map_err(|wait_ms| JobOutcome::RetryAfter(Duration::from_millis(wait_ms)))
+        })
+    }
+
+    /// Admits a number of changes of the store on behalf of a user, or tells when to repeat the request.
+    fn admit_changes(&self, changes: u32) -> Result<(), JobOutcome> {
+        self.with_state(|state| {
+            let now = state.now();
+            state.adjust_pace();
+            state
+                .user_changes
+                .take(changes, now)
+                .map_err(|seconds| JobOutcome::RetryAfter(Duration::from_secs(u64::from(seconds))))
+        })
+    }
+
+    /// Runs a user's transaction once and adapts the rate of users' changes to the answer.
+    async fn run_user_transaction(&self, transaction: &Txn) -> Result<Decided, StoreError> {
+        let decided = self.record_store_answer(self.store.txn(transaction).await);
+        self.with_state(|state| match decided {
+            Err(StoreError::Busy) => state.user_changes.refused(),
+            Ok(_) => state.user_changes.taken(),
+            Err(_) => {}
+        });
+        decided
+    }
+}
+
+/// The outcome of a request about a job that is final.
+fn final_outcome(id: &str, final_state: OverRecord) -> JobOutcome {
+    JobOutcome::Known(final_view(id, final_state))
+}
--- /dev/null
+++ b/src/controller/user_requests/poll.rs
@@ -0,0 +1,56 @@
+//! A user asks for the state of a job.
+//!
+//! 1. A final state that is remembered is the answer: final states never change.
+//! 2. Otherwise the replica has to be as new as the request. A linearizable read tells which revision that is; many polls
+//!    share one.
+//! 3. An unfinished job is then in the replica. Its counts come from this controller's scheduler, or from the leader.
+//! 4. A job that is not in the replica is either final or was never accepted. Unless it is known to be absent, its final state
+//!    is read from the store. These reads are limited, and absence is remembered.
+
+use super::final_outcome;
+use crate::controller::handles::Handles;
+use crate::controller::messages::JobOutcome;
+use crate::store::StoreError;
+
+impl Handles {
+    /// Answers a poll.
+    pub(in crate::controller) async fn poll(&self, id: &str) -> JobOutcome {
+        if let Some(final_state) = self.remembered_final_state(id) {
+            return final_outcome(id, final_state);
+        }
+        if !self.current().await {
+            return JobOutcome::RETRY_SOON;
+        }
+        if let Some(view) = self.read_state(|state| state.job_view(id)) {
+            return JobOutcome::Known(view);
+        }
+        if self.read_state(|state| state.replica.absent(id)) {
+            return JobOutcome::NotFound;
+        }
+        if let Err(retry) = self.admit_read() {
+            return retry;
+        }
+        self.poll_store(id).await
+    }
+
+    /// Reads the final state of a job that is not in the replica.
+    async fn poll_store(&self, id: &str) -> JobOutcome {
+        let generation = self.read_state(|state| state.replica.generation);
+        match self.final_state(id).await {
+            Ok(final_state) => final_outcome(id, final_state),
+            Err(StoreError::Gone) => {
+                self.with_state(|state| state.replica.remember_absent(id, generation));
+                JobOutcome::NotFound
+            }
+            Err(_) => JobOutcome::RETRY_SOON,
+        }
+    }
+
+    /// Answers a poll; a job that was never accepted has the given outcome.
+    pub(super) async fn poll_or(&self, id: &str, if_not_found: JobOutcome) -> JobOutcome {
+        match self.poll(id).await {
+            JobOutcome::NotFound => if_not_found,
+            outcome => outcome,
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/user_requests/submission.rs
@@ -0,0 +1,166 @@
+//! A user submits a job.
+//!
+//! 1. A submission of a job that is already known is idempotent: it is answered like a poll and changes nothing.
+//! 2. A job that can never run is rejected, unless it was accepted earlier, under other settings or machine types.
+//! 3. Otherwise the job's record is created by a transaction on the condition that the job exists in no state. The job is
+//!    accepted once that transaction is durable. The leader learns of the job from its watch.
+//! 4. If the transaction's conditions fail, the job exists already; if it is not answered, the record is read back.
+
+use super::final_outcome;
+use crate::config::Team;
+use crate::controller::handles::Handles;
+use crate::controller::messages::{JobOutcome, JobRejection};
+use crate::controller::state::ControllerState;
+use crate::protocol::{JobSpec, JobState, JobView, Kind};
+use crate::store::{self, Decided, LiveRecord, StoreError};
+
+/// Number of changes of the store by a submission.
+const SUBMISSION_CHANGES: u32 = 1;
+/// Tolerance for rounding when a job's resources are compared with its team's limit.
+const LIMIT_TOLERANCE: f64 = 1e-9;
+
+/// What is known of a submitted job before the store is asked.
+enum Assessment {
+    /// The job is unfinished.
+    Unfinished,
+    /// This controller has yet to read the store or the machine types.
+    NotReady,
+    /// The job can never run.
+    Rejected(JobRejection),
+    /// The job may be accepted.
+    Acceptable,
+}
+
+impl Handles {
+    /// Answers a submission.
+    pub(in crate::controller) async fn submit(&self, spec: JobSpec) -> JobOutcome {
+        let id = spec.id.as_str();
+        if let Some(final_state) = self.remembered_final_state(id) {
+            return final_outcome(id, final_state);
+        }
+        match self.read_state(|state| state.assess(&spec)) {
+            // A transaction would fail, but count as a change: many repeated submissions would use up the rate of changes.
+            Assessment::Unfinished => self.poll_or(id, JobOutcome::RETRY_SOON).await,
+            Assessment::NotReady => JobOutcome::RETRY_SOON,
+            // A job that was accepted once stays accepted, whatever the settings and machine types are now.
+            Assessment::Rejected(reason) => self.poll_or(id, JobOutcome::Rejected(reason)).await,
+            Assessment::Acceptable => match self.admit_changes(SUBMISSION_CHANGES) {
+                Ok(()) => self.accept(spec).await,
+                Err(retry) => retry,
+            },
+        }
+    }
+
+    /// Makes a submitted job durable.
+    async fn accept(&self, spec: JobSpec) -> JobOutcome {
+        let at_ms = self.read_state(ControllerState::wall);
+        let record = LiveRecord { spec, at_ms };
+        let id = record.spec.id.as_str();
+        match self
+            .run_user_transaction(&store::submit_txn(id, &record))
+            .await
+        {
+            Ok(Decided::Applied(_)) => JobOutcome::Accepted(queued_view(id)),
+            Ok(Decided::Failed(keys)) if keys.contains(&store::over_key(id)) => {
+                match self.final_state(id).await {
+                    Ok(final_state) => final_outcome(id, final_state),
+                    Err(_) => JobOutcome::RETRY_SOON,
+                }
+            }
+            Ok(Decided::Failed(_)) => JobOutcome::Known(self.unfinished_view(id)),
+            Err(StoreError::Unknown) => self.read_back_submission(id).await,
+            Err(_) => JobOutcome::RETRY_SOON,
+        }
+    }
+
+    /// The state of a job that is unfinished in the store, and perhaps not in the replica yet.
+    fn unfinished_view(&self, id: &str) -> JobView {
+        self.read_state(|state| {
+            let in_replica = state.replica.live.contains_key(id);
+            in_replica.then(|| state.job_view(id)).flatten()
+        })
+        .unwrap_or_else(|| queued_view(id))
+    }
+
+    /// Finds out whether a transaction that was not answered has created the job.
+    async fn read_back_submission(&self, id: &str) -> JobOutcome {
+        let read = self.store.get::<LiveRecord>(&store::live_key(id)).await;
+        match self.record_store_answer(read) {
+            Ok(_) => JobOutcome::Known(queued_view(id)),
+            Err(_) => JobOutcome::RETRY_SOON,
+        }
+    }
+}
+
+impl ControllerState {
+    /// What is known of a submitted job without asking the store.
+    fn assess(&self, spec: &JobSpec) -> Assessment {
+        if self.replica.live.contains_key(&spec.id) {
+            Assessment::Unfinished
+        } else if !self.replica.loaded || self.machine_types.is_empty() {
+            Assessment::NotReady
+        } else if let Err(reason) = self.check_runnable(spec) {
+            Assessment::Rejected(reason)
+        } else {
+            Assessment::Acceptable
+        }
+    }
+
+    /// Whether a job can run at all under the settings and with the machine types of now.
+    fn check_runnable(&self, spec: &JobSpec) -> Result<(), JobRejection> {
+        let teams = &self.settings.platform.deployment.teams;
+        let team = teams
+            .iter()
+            .find(|team| team.name == spec.team)
+            .ok_or(JobRejection::UnknownTeam)?;
+        if !self.a_machine_type_fits(spec) {
+            return Err(JobRejection::NoMachineTypeFits);
+        }
+        if exceeds_team_limit(spec, team) {
+            return Err(JobRejection::ExceedsTeamLimit);
+        }
+        Ok(())
+    }
+
+    /// Whether one task fits an empty machine of a type that the job allows.
+    fn a_machine_type_fits(&self, spec: &JobSpec) -> bool {
+        self.machine_types.iter().any(|machine_type| {
+            let type_allowed = spec
+                .types
+                .as_ref()
+                .is_none_or(|types| types.contains(&machine_type.name));
+            let zone_allowed = spec
+                .zone
+                .as_ref()
+                .is_none_or(|zone| machine_type.zones.contains(zone));
+            type_allowed
+                && zone_allowed
+                && spec.cpus <= machine_type.cpus
+                && spec.gpus <= machine_type.gpus
+                && spec.memory_gb <= machine_type.memory_gb
+        })
+    }
+}
+
+/// Whether the tasks of a job that have to run at the same time need more than its team may ever use. Tasks of a job array run
+/// independently; those of any other job run together.
+fn exceeds_team_limit(spec: &JobSpec, team: &Team) -> bool {
+    let simultaneous_tasks = match spec.kind {
+        Kind::Array => 1.0,
+        _ => f64::from(spec.tasks),
+    };
+    // A limit of zero is none.
+    let exceeds =
+        |each: f64, limit: f64| limit > 0.0 && each * simultaneous_tasks > limit + LIMIT_TOLERANCE;
+    exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max)
+}
+
+/// The state of a job that was just accepted.
+fn queued_view(id: &str) -> JobView {
+    JobView {
+        id: id.to_string(),
+        state: JobState::Queued,
+        done: Some(0),
+        running: Some(0),
+    }
+}
