--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -4,7 +4,8 @@
 mod tests;
 
 use crate::clients::cloud::RENT_MOST;
-use crate::scheduler::{Amounts, MachineState, Offer, Scheduler, UnmetDemand, Utilization};
+use crate::resources::Resources;
+use crate::scheduler::{MachineState, Offer, Scheduler, UnmetDemand, Utilization};
 use std::collections::{HashMap, VecDeque};
 
 /// Machines to be rented.
@@ -75,7 +76,7 @@
 ) -> Option<Offer> {
     let mut best: Option<(f64, Offer)> = None;
     for (kind, machine_type) in scheduler.types().iter().enumerate() {
-        let n = demand.fitting(&scheduler.room_of_type(kind));
+        let n = demand.fitting(scheduler.capacity_of_type(kind));
         if n == 0 {
             continue;
         }
@@ -188,21 +189,21 @@
         let unreachable = scheduler.unreachable_zones();
         let available = |offer: &Offer| !unreachable.contains(&offer.zone) && self.open(offer, now);
         // Machines that are to be rented, and what is left of their room.
-        let mut planned: Vec<(Offer, Amounts)> = Vec::new();
+        let mut planned: Vec<(Offer, Resources)> = Vec::new();
         for demand in demands {
             let mut left = demand.tasks;
             for (_, room) in planned.iter_mut().filter(|(offer, _)| demand.allows(offer)) {
-                let n = demand.fitting(room).min(left);
-                *room = demand.rest(room, n);
+                let n = demand.fitting(*room).min(left);
+                *room = demand.rest(*room, n);
                 left -= n;
             }
             while left > 0 && planned.len() < PLANNED_LIMIT {
                 let Some(offer) = best_offer(scheduler, demand, left, &available) else {
                     break;
                 };
-                let whole = scheduler.room_of_type(offer.kind);
-                let n = demand.fitting(&whole).min(left);
-                planned.push((offer, demand.rest(&whole, n)));
+                let whole = scheduler.capacity_of_type(offer.kind);
+                let n = demand.fitting(whole).min(left);
+                planned.push((offer, demand.rest(whole, n)));
                 left -= n;
             }
         }
@@ -323,7 +324,7 @@
         let utilization = scheduler.utilization();
         let wanted = demands
             .iter()
-            .map(|n| n.need[0] * u64::from(n.tasks))
+            .map(|n| n.task_resources.cpu_milli * u64::from(n.tasks))
             .sum::<u64>();
         let (services, placed) = scheduler.service_demand();
         let all = wanted + utilization.iter().map(|l| l.used).sum::<u64>();
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -38,7 +38,11 @@
 
 fn need(tasks: u32) -> UnmetDemand {
     UnmetDemand {
-        need: [8000, 0, 1000],
+        task_resources: Resources {
+            cpu_milli: 8000,
+            accelerator_milli: 0,
+            memory_mb: 1000,
+        },
         tasks,
         spot: false,
         types: None,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -46,6 +46,7 @@
     reason = "this module has yet to be cleaned"
 )]
 pub mod protocol;
+pub mod resources;
 #[allow(
     clippy::assigning_clones,
     clippy::cast_possible_truncation,
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -3,6 +3,7 @@
 #[cfg(test)]
 mod tests;
 
+use crate::resources::Resources;
 use std::collections::{HashMap, HashSet};
 
 /// Number of classes: a job's dominant requested resource.
@@ -12,9 +13,14 @@
 
 /// A job's class: which of CPU, accelerators and memory it takes the largest share of.
 #[must_use]
-pub fn class_of(need: [u64; 3], typical: [u64; 3]) -> usize {
-    let share = |i: usize| need[i] as f64 / typical[i].max(1) as f64;
-    (0..CLASSES).fold(0, |best, i| if share(i) > share(best) { i } else { best })
+pub fn class_of(requested: Resources, largest: Resources) -> usize {
+    let share = |amount: u64, largest: u64| amount as f64 / largest.max(1) as f64;
+    let shares = [
+        share(requested.cpu_milli, largest.cpu_milli),
+        share(requested.accelerator_milli, largest.accelerator_milli),
+        share(requested.memory_mb, largest.memory_mb),
+    ];
+    (0..CLASSES).fold(0, |best, i| if shares[i] > shares[best] { i } else { best })
 }
 
 /// Running means of a machine's task times over their jobs' means, per class.
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -97,5 +97,19 @@
     assert_eq!(c.get(0), Some(0.5));
     c.measure(0, 1.0);
     assert!(c.get(0).unwrap() > 0.5 && c.get(1).is_none());
-    assert_eq!(class_of([4000, 0, 13], [64000, 1, 256]), 0);
+    assert_eq!(
+        class_of(
+            Resources {
+                cpu_milli: 4000,
+                accelerator_milli: 0,
+                memory_mb: 13
+            },
+            Resources {
+                cpu_milli: 64000,
+                accelerator_milli: 1,
+                memory_mb: 256
+            }
+        ),
+        0
+    );
 }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -3,11 +3,11 @@
 use super::jobs::Job;
 use super::machine::{Machine, MachineState, Offer};
 use super::preemption::FailedSearch;
-use super::resources::{fits, less, more, Amounts};
 use super::scheduling_pass::UnplaceableRequests;
 use super::tasks::TaskEvent;
 use super::Scheduler;
 use crate::protocol::Kind;
+use crate::resources::{QuotaResources, Resources};
 use std::collections::HashMap;
 
 /// How much of a machine is used, for the fleet.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub struct UnmetDemand {
     /// What one takes.
-    pub need: Amounts,
+    pub task_resources: Resources,
     /// How many.
     pub tasks: u32,
     /// Whether spot machines are allowed.
@@ -61,31 +61,31 @@
 
     /// How many of the tasks fit into a machine's room.
     #[must_use]
-    pub fn fitting(&self, room: &Amounts) -> u32 {
-        fits(&self.need, room)
+    pub fn fitting(&self, free: Resources) -> u32 {
+        self.task_resources.count_fitting(free)
     }
 
     /// What is left of a machine's room beside a number of the tasks.
     #[must_use]
-    pub fn rest(&self, room: &Amounts, tasks: u32) -> Amounts {
-        less(room, &self.need, u64::from(tasks))
+    pub fn rest(&self, free: Resources, tasks: u32) -> Resources {
+        free.saturating_sub(self.task_resources.saturating_mul(tasks))
     }
 }
 
 /// Machines in the order in which they are filled, spot machines first, and what is left of their room.
 pub(super) struct Pool {
     order: Vec<usize>,
-    room: Vec<Amounts>,
+    room: Vec<Resources>,
 }
 
 impl Pool {
     pub(super) fn new(
         scheduler: &Scheduler,
-        rooms: impl Iterator<Item = (usize, Amounts)>,
+        rooms: impl Iterator<Item = (usize, Resources)>,
     ) -> Pool {
         let mut pool = Pool {
             order: Vec::new(),
-            room: vec![[0; 3]; scheduler.machines.len()],
+            room: vec![Resources::ZERO; scheduler.machines.len()],
         };
         let mut ordinary = Vec::new();
         for (i, room) in rooms {
@@ -114,7 +114,7 @@
             if left == 0 {
                 break;
             }
-            let mut n = fits(&job.need, &self.room[i]).min(left);
+            let mut n = job.task_resources.count_fitting(self.room[i]).min(left);
             let m = scheduler.machine(i);
             if n == 0 || !scheduler.may_host(job, m) {
                 continue;
@@ -127,26 +127,26 @@
                 );
                 *zones.entry(m.zone).or_default() += n;
             }
-            self.room[i] = less(&self.room[i], &job.need, u64::from(n));
+            self.room[i] = self.room[i].saturating_sub(job.task_resources.saturating_mul(n));
             left -= n;
         }
         left
     }
 
     /// What is left of a machine's room.
-    pub(super) fn room_of(&self, machine: usize) -> Amounts {
+    pub(super) fn room_of(&self, machine: usize) -> Resources {
         self.room[machine]
     }
 
     /// Changes what is left of a machine's room.
-    pub(super) fn set_room(&mut self, machine: usize, room: Amounts) {
+    pub(super) fn set_room(&mut self, machine: usize, room: Resources) {
         self.room[machine] = room;
     }
 
     /// No longer looks at what has no room for the least need.
-    fn trim(&mut self, least: &Amounts) {
+    fn trim(&mut self, least: Resources) {
         let room = &self.room;
-        self.order.retain(|i| fits(least, &room[*i]) > 0);
+        self.order.retain(|i| least.fits(room[*i]));
     }
 }
 
@@ -164,21 +164,17 @@
             self,
             self.machines()
                 .filter(|(_, m)| self.on_its_way(m))
-                .map(|(i, m)| (i, m.room)),
+                .map(|(i, m)| (i, m.free)),
         );
-        let mut team_left: Vec<[u64; 2]> = (0..self.params.teams.len())
-            .map(|t| {
-                std::array::from_fn(|r| {
-                    self.params.teams[t].limit[r].saturating_sub(self.team_use[t][r])
-                })
-            })
+        let mut team_left: Vec<QuotaResources> = (0..self.params.teams.len())
+            .map(|t| self.params.teams[t].limit.saturating_sub(self.team_use[t]))
             .collect();
         let queue = self.queue();
         let least = queue
             .iter()
-            .map(|j| self.job(*j).need)
-            .reduce(|a, b| std::array::from_fn(|r| a[r].min(b[r])));
-        let least = least.unwrap_or([1; 3]);
+            .map(|j| self.job(*j).task_resources)
+            .reduce(Resources::min);
+        let least = least.unwrap_or(Resources::ONE);
         let (mut demands, mut unplaceable, mut asked) = (
             Vec::new(),
             UnplaceableRequests::default(),
@@ -187,28 +183,20 @@
         for j in queue {
             let job = self.job(j);
             let Some(team) = job.team else { continue };
-            let quota = (0..2)
-                .map(|r| {
-                    team_left[team][r]
-                        .checked_div(job.need[r])
-                        .unwrap_or(u64::MAX)
-                })
-                .min();
+            let per_task = job.task_resources.quota();
             let mut left = job
                 .wanted(self.now)
-                .min(quota.unwrap_or(0).min(u64::from(u32::MAX)) as u32);
+                .min(per_task.count_fitting(team_left[team]));
             if left == 0 || (job.record.spec.kind == Kind::Gang && left < job.pending()) {
                 continue;
             }
-            let taken = u64::from(left);
-            team_left[team] =
-                std::array::from_fn(|r| team_left[team][r].saturating_sub(job.need[r] * taken));
+            team_left[team] = team_left[team].saturating_sub(per_task.saturating_mul(left));
             let mut zones: HashMap<usize, u32> = HashMap::new();
             if !unplaceable.covers(job) {
                 left = room.take(self, job, left, &mut zones);
                 left = later.take(self, job, left, &mut zones);
-                room.trim(&least);
-                later.trim(&least);
+                room.trim(least);
+                later.trim(least);
                 if left > 0 && !(job.record.spec.scatter || job.record.spec.together) {
                     unplaceable.add(job);
                 }
@@ -216,7 +204,7 @@
             if left == 0 {
                 continue;
             }
-            let (need, spec) = (job.need, &job.record.spec);
+            let (task_resources, spec) = (job.task_resources, &job.record.spec);
             let (types, zone, spot, service) = (
                 job.types.clone(),
                 job.zone,
@@ -233,7 +221,7 @@
             }
             if left > 0 {
                 demands.push(UnmetDemand {
-                    need,
+                    task_resources,
                     tasks: left,
                     spot,
                     types,
@@ -246,15 +234,18 @@
     }
 
     /// Room of a machine, with what is being stopped there.
-    pub(super) fn coming(&self, m: &Machine) -> Amounts {
+    pub(super) fn coming(&self, m: &Machine) -> Resources {
         if m.stopping == 0 {
-            return m.room;
+            return m.free;
         }
         let ending = m.tasks.iter().filter_map(|(j, t)| {
             let job = self.job(*j);
-            job.active.get(t).filter(|a| a.stops()).map(|_| job.need)
+            job.active
+                .get(t)
+                .filter(|a| a.stops())
+                .map(|_| job.task_resources)
         });
-        ending.fold(m.room, |r, need| more(&r, &need, 1))
+        ending.fold(m.free, Resources::saturating_add)
     }
 
     /// CPUs that the services of all unfinished jobs ask for, and those that they hold in each zone.
@@ -266,9 +257,9 @@
             .jobs()
             .filter(|j| j.record.spec.kind == Kind::Service && !j.ended)
         {
-            all += job.need[0] * u64::from(job.tasks());
+            all += job.task_resources.cpu_milli * u64::from(job.tasks());
             for (zone, n) in &job.zone_use {
-                *placed.entry(*zone).or_default() += job.need[0] * u64::from(*n);
+                *placed.entry(*zone).or_default() += job.task_resources.cpu_milli * u64::from(*n);
             }
         }
         (all, placed)
@@ -280,7 +271,7 @@
         let mut out = HashMap::new();
         for (_, m) in self.machines() {
             if !m.spot && self.on_its_way(m) {
-                *out.entry(m.zone).or_default() += m.room[0];
+                *out.entry(m.zone).or_default() += m.free.cpu_milli;
             }
         }
         out
@@ -297,7 +288,7 @@
                 .types
                 .get(m.kind)
                 .map_or(0, |t| (t.cpus * 1000.0) as u64);
-            let used = cpus.saturating_sub(m.room[0]);
+            let used = cpus.saturating_sub(m.free.cpu_milli);
             Utilization {
                 machine,
                 offer: m.offer(),
@@ -353,7 +344,7 @@
                     && self.may_host(job, o)
                     && same_zone
                     && o.images.contains(&job.image)
-                    && fits(&job.need, &o.room) > 0
+                    && job.task_resources.fits(o.free)
             };
             if self.machines().any(|(_, o)| free(o)) {
                 self.apply_event(j, t, TaskEvent::Stop { save: false });
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -1,10 +1,10 @@
 //! Jobs at work: what is done, what is pending, what failed.
 
-use super::resources::{amounts, Amounts};
 use super::tasks::{Phase, TaskAttempt, TaskEvent};
 use super::{Scheduler, FAULTY_JOB_MACHINES, PROVEN_RUN_MS};
 use crate::placement;
 use crate::protocol::Kind;
+use crate::resources::Resources;
 use crate::store::{LiveRecord, CHUNK};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -17,7 +17,7 @@
     pub(super) team: Option<usize>,
     pub(super) image: usize,
     pub(super) class: usize,
-    pub(super) need: Amounts,
+    pub(super) task_resources: Resources,
     pub(super) types: Option<Vec<usize>>,
     pub(super) zone: Option<usize>,
     /// Cancelled: only to be stopped.
@@ -195,15 +195,15 @@
         wall_ms: u64,
     ) -> Job {
         let spec = &record.spec;
-        let need = amounts(spec.cpus, spec.gpus, spec.memory_gb);
+        let task_resources = Resources::requested(spec.cpus, spec.gpus, spec.memory_gb);
         let types = spec.types.as_ref();
         let (bits, done_n) = restore_results(spec.tasks, done);
         let age = wall_ms.saturating_sub(record.at_ms);
         Job {
             team: self.params.teams.iter().position(|t| t.name == spec.team),
             image: self.images.add(&spec.image),
-            class: placement::class_of(need, self.largest_machine()),
-            need,
+            class: placement::class_of(task_resources, self.largest_machine()),
+            task_resources,
             types: types.map(|l| {
                 l.iter()
                     .map(|t| self.type_names.get(t).unwrap_or(usize::MAX))
@@ -235,10 +235,9 @@
     }
 
     /// The most that any machine type has of each resource.
-    fn largest_machine(&self) -> Amounts {
-        self.types.iter().fold([1; 3], |most, t| {
-            let room = amounts(t.cpus, t.gpus, t.memory_gb);
-            std::array::from_fn(|i| most[i].max(room[i]))
+    fn largest_machine(&self) -> Resources {
+        self.types.iter().fold(Resources::ONE, |largest, t| {
+            largest.max(Resources::requested(t.cpus, t.gpus, t.memory_gb))
         })
     }
 
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -1,8 +1,8 @@
 //! What is known of one machine.
 
-use super::resources::Amounts;
 use crate::placement::Capability;
 use crate::protocol::Command;
+use crate::resources::Resources;
 use std::collections::{BTreeSet, VecDeque};
 
 /// Where a machine stands.
@@ -68,7 +68,7 @@
     /// Since when nothing is there.
     pub idle_since: Option<u64>,
     pub(super) address: String,
-    pub(super) room: Amounts,
+    pub(super) free: Resources,
     pub(super) tasks: BTreeSet<(usize, u32)>,
     /// CPUs in use by services.
     pub(super) service_cpus: u64,
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -30,7 +30,7 @@
             return;
         }
         let kind = self.type_names.get(of.machine_type).unwrap_or(usize::MAX);
-        let room = self.room_of_type(kind);
+        let free = self.capacity_of_type(kind);
         let zone = self.zones.add(of.zone);
         let machine = Machine {
             name: name.to_string(),
@@ -41,7 +41,7 @@
             since: self.now,
             idle_since: None,
             address: String::new(),
-            room,
+            free,
             tasks: BTreeSet::new(),
             service_cpus: 0,
             stopping: 0,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -16,7 +16,6 @@
 mod params;
 mod preemption;
 mod reports;
-mod resources;
 mod scheduling_pass;
 mod start_log;
 mod tasks;
@@ -27,11 +26,11 @@
 pub use names::Names;
 pub use params::{Params, TeamQuota};
 pub use reports::Arrival;
-pub use resources::Amounts;
 pub use start_log::Append;
 pub use tasks::{Phase, TaskAttempt};
 
 use crate::protocol::{MachineType, ReportReply};
+use crate::resources::{QuotaResources, Resources};
 use boot_times::BootTimes;
 use start_log::StartLog;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -80,9 +79,9 @@
     /// Indices of machines that are gone, for new ones: what grows with every machine ever rented is gone over at each tick.
     free_machines: Vec<usize>,
     machine_index: HashMap<String, usize>,
-    team_use: Vec<[u64; 2]>,
+    team_use: Vec<QuotaResources>,
     /// What of it is being stopped.
-    team_ending: Vec<[u64; 2]>,
+    team_ending: Vec<QuotaResources>,
     attempts: u64,
     log: StartLog,
     /// Machines with starts or stops to be sent.
@@ -125,8 +124,8 @@
             machines: Vec::new(),
             free_machines: Vec::new(),
             machine_index: HashMap::new(),
-            team_use: vec![[0; 2]; teams],
-            team_ending: vec![[0; 2]; teams],
+            team_use: vec![QuotaResources::ZERO; teams],
+            team_ending: vec![QuotaResources::ZERO; teams],
             attempts: 0,
             log: StartLog::default(),
             outbox: BTreeSet::new(),
@@ -170,11 +169,11 @@
         &self.types
     }
 
-    /// All the room of a machine of a type.
+    /// What a machine of a type has in all.
     #[must_use]
-    pub fn room_of_type(&self, kind: usize) -> Amounts {
-        self.types.get(kind).map_or([0; 3], |t| {
-            [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64)
+    pub fn capacity_of_type(&self, kind: usize) -> Resources {
+        self.types.get(kind).map_or(Resources::ZERO, |t| {
+            Resources::capacity(t.cpus, t.gpus, t.memory_gb)
         })
     }
 
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -1,5 +1,6 @@
 //! Fixed numbers of a scheduler, from the settings.
 
+use crate::resources::QuotaResources;
 use crate::time::millis;
 use std::collections::HashMap;
 
@@ -9,9 +10,9 @@
     /// Name.
     pub name: String,
     /// Guarantee (CPUs, accelerators).
-    pub guarantee: [u64; 2],
+    pub guarantee: QuotaResources,
     /// Limit (CPUs, accelerators).
-    pub limit: [u64; 2],
+    pub limit: QuotaResources,
 }
 
 impl TeamQuota {
@@ -22,8 +23,14 @@
         let limit = |x: f64| if x > 0.0 { floor(x) } else { u64::MAX };
         TeamQuota {
             name: t.name.clone(),
-            guarantee: [floor(t.cpus), floor(t.gpus)],
-            limit: [limit(t.cpus_max), limit(t.gpus_max)],
+            guarantee: QuotaResources {
+                cpu_milli: floor(t.cpus),
+                accelerator_milli: floor(t.gpus),
+            },
+            limit: QuotaResources {
+                cpu_milli: limit(t.cpus_max),
+                accelerator_milli: limit(t.gpus_max),
+            },
         }
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,10 +1,10 @@
 //! Preemption: whose work is stopped to make room, or to let a team at its limit run what matters more.
 
 use super::demand::Pool;
-use super::resources::{fits, less, more, Amounts};
 use super::tasks::TaskEvent;
 use super::Scheduler;
 use crate::protocol::Priority;
+use crate::resources::{QuotaResources, Resources};
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
@@ -17,7 +17,7 @@
     priority: Priority,
     within_guarantee: bool,
     team: Option<usize>,
-    need: Amounts,
+    task_resources: Resources,
 }
 
 /// A task that may be stopped for others; the least is stopped first.
@@ -80,37 +80,31 @@
     }
 
     /// Stops lower work of a job's own team, which is at its limit, for up to `n` of its tasks.
-    fn yield_quota(&mut self, j: usize, n: u32, ending: &mut [[u64; 2]]) {
+    fn yield_quota(&mut self, j: usize, n: u32, ending: &mut [QuotaResources]) {
         let Some(team) = self.job(j).team else { return };
         let mut wanted = self.quota_missing(j, team, n);
-        for r in 0..2 {
-            let used = wanted[r].min(ending[team][r]);
-            wanted[r] -= used;
-            ending[team][r] -= used;
-        }
-        if wanted == [0; 2] {
+        let covered = wanted.min(ending[team]);
+        wanted -= covered;
+        ending[team] -= covered;
+        if wanted == QuotaResources::ZERO {
             return;
         }
         for victim in self.quota_victims(j, team) {
-            if wanted == [0; 2] {
+            if wanted == QuotaResources::ZERO {
                 break;
             }
-            let freed = self.job(victim.job).need;
+            let freed = self.job(victim.job).task_resources.quota();
             self.displace(victim.job, victim.task, j, "preempted for quota");
-            wanted = std::array::from_fn(|r| wanted[r].saturating_sub(freed[r]));
+            wanted = wanted.saturating_sub(freed);
         }
     }
 
     /// What a team would have to free for `n` more tasks of a job. Where limits are lifted or lowered the team may be over them;
     /// then nothing of this helps.
-    fn quota_missing(&self, j: usize, team: usize, n: u32) -> [u64; 2] {
-        let need = self.job(j).need;
-        let limit = self.params.teams[team].limit;
-        std::array::from_fn(|r| {
-            let with_them =
-                self.team_use[team][r].saturating_add(need[r].saturating_mul(u64::from(n)));
-            with_them.saturating_sub(limit[r])
-        })
+    fn quota_missing(&self, j: usize, team: usize, n: u32) -> QuotaResources {
+        let more = self.job(j).task_resources.quota().saturating_mul(n);
+        let with_them = self.team_use[team].saturating_add(more);
+        with_them.saturating_sub(self.params.teams[team].limit)
     }
 
     /// Lower work of a team, in the order in which it is stopped for a job of the same team.
@@ -162,7 +156,7 @@
             priority: job.record.spec.priority,
             within_guarantee: job.within,
             team: job.team,
-            need: job.need,
+            task_resources: job.task_resources,
         };
         if failed.contains(&search) {
             return 0;
@@ -203,24 +197,24 @@
         zones: &mut HashMap<usize, u32>,
     ) -> u32 {
         let zone = self.machine(i).zone;
-        let need = self.job(j).need;
+        let task_resources = self.job(j).task_resources;
         let mut victims = self.victims_on(i, j).into_iter();
         let mut won = 0;
         while won < n && self.zone_cap(self.job(j), zone) > zones.get(&zone).copied().unwrap_or(0) {
             let mut free = room.room_of(i);
             let mut chosen = Vec::new();
-            while fits(&need, &free) == 0 {
+            while !task_resources.fits(free) {
                 let Some(victim) = victims.next() else { break };
-                free = more(&free, &self.job(victim.job).need, 1);
+                free = free.saturating_add(self.job(victim.job).task_resources);
                 chosen.push(victim);
             }
-            if fits(&need, &free) == 0 {
+            if !task_resources.fits(free) {
                 break;
             }
             for victim in chosen {
                 self.displace(victim.job, victim.task, j, "preempted");
             }
-            room.set_room(i, less(&free, &need, 1));
+            room.set_room(i, free.saturating_sub(task_resources));
             *zones.entry(zone).or_default() += 1;
             won += 1;
         }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -2,12 +2,12 @@
 
 use super::jobs::Job;
 use super::machine::{Machine, MachineState};
-use super::resources::{fits, Amounts};
 use super::tasks::{Phase, TaskEvent};
 use super::{Scheduler, TOKEN_BITS};
 use crate::placement;
 use crate::placement::{Ask, Candidate, CLASSES};
 use crate::protocol::{Kind, Priority};
+use crate::resources::{QuotaResources, Resources};
 use crate::time::millis;
 use std::collections::{BTreeMap, HashMap};
 
@@ -25,7 +25,7 @@
 pub(super) struct UnplaceableRequests(Vec<FailedSearch>);
 
 struct FailedSearch {
-    need: Amounts,
+    task_resources: Resources,
     spot: bool,
     types: Option<Vec<usize>>,
     zone: Option<usize>,
@@ -34,7 +34,7 @@
 impl UnplaceableRequests {
     pub(super) fn covers(&self, j: &Job) -> bool {
         self.0.iter().any(|a| {
-            (0..3).all(|r| j.need[r] >= a.need[r])
+            j.task_resources.covers(a.task_resources)
                 && (a.spot || !j.record.spec.spot)
                 && (a.types.is_none() || a.types == j.types)
                 && (a.zone.is_none() || a.zone == j.zone)
@@ -44,7 +44,7 @@
     pub(super) fn add(&mut self, j: &Job) {
         if self.0.len() < 64 {
             self.0.push(FailedSearch {
-                need: j.need,
+                task_resources: j.task_resources,
                 spot: j.record.spec.spot,
                 types: j.types.clone(),
                 zone: j.zone,
@@ -67,18 +67,21 @@
 impl Scheduler {
     /// Jobs with tasks to place, in the order in which they are served.
     pub(super) fn queue(&mut self) -> Vec<usize> {
-        let mut asked = vec![[0u64; 2]; self.params.teams.len()];
+        let mut asked = vec![QuotaResources::ZERO; self.params.teams.len()];
         let mut out = Vec::new();
         let now = self.now;
         for n in 0..self.by_age.len() {
             let i = self.by_age[n];
             let job = self.job(i);
-            let left = u64::from(job.tasks() - job.done_n);
+            let left = job.tasks() - job.done_n;
             let within = job.team.is_some_and(|t| {
                 let g = self.params.teams[t].guarantee;
                 let a = &mut asked[t];
-                *a = [a[0] + left * job.need[0], a[1] + left * job.need[1]];
-                !job.ended && a[0] <= g[0] && (job.need[1] == 0 || a[1] <= g[1])
+                *a = a.saturating_add(job.task_resources.quota().saturating_mul(left));
+                !job.ended
+                    && a.cpu_milli <= g.cpu_milli
+                    && (job.task_resources.accelerator_milli == 0
+                        || a.accelerator_milli <= g.accelerator_milli)
             });
             let job = self.job_mut(i);
             job.within = within;
@@ -130,13 +133,8 @@
     /// How many tasks of a job may be added for its team's limit.
     pub(super) fn quota_room(&self, j: &Job) -> u32 {
         let Some(t) = j.team else { return 0 };
-        let room = |r: usize| {
-            self.params.teams[t].limit[r]
-                .saturating_sub(self.team_use[t][r])
-                .checked_div(j.need[r])
-                .unwrap_or(u64::MAX)
-        };
-        room(0).min(room(1)).min(u64::from(u32::MAX)) as u32
+        let available = self.params.teams[t].limit.saturating_sub(self.team_use[t]);
+        j.task_resources.quota().count_fitting(available)
     }
 
     pub(super) fn may_host(&self, j: &Job, m: &Machine) -> bool {
@@ -179,9 +177,9 @@
         }
         let least = queue
             .iter()
-            .map(|j| self.job(*j).need)
-            .reduce(|a, b| std::array::from_fn(|r| a[r].min(b[r])));
-        let least = least.unwrap_or([1; 3]);
+            .map(|j| self.job(*j).task_resources)
+            .reduce(Resources::min);
+        let least = least.unwrap_or(Resources::ONE);
         let mut pass = Pass {
             open: Vec::new(),
             mean: [1.0; CLASSES],
@@ -198,7 +196,7 @@
                     *sum = (sum.0 + c, sum.1 + 1);
                 }
             }
-            if fits(&least, &m.room) > 0 {
+            if least.fits(m.free) {
                 pass.open.push(i);
             }
         }
@@ -221,11 +219,8 @@
             }
             // What has filled up meanwhile is not looked at again.
             let machines = &self.machines;
-            pass.open.retain(|i| {
-                machines[*i]
-                    .as_ref()
-                    .is_some_and(|m| fits(&least, &m.room) > 0)
-            });
+            pass.open
+                .retain(|i| machines[*i].as_ref().is_some_and(|m| least.fits(m.free)));
         }
         true
     }
@@ -244,7 +239,7 @@
             let spare = if service {
                 self.without_services(m)
             } else {
-                m.room[0]
+                m.free.cpu_milli
             };
             let order =
                 (u64::from(!m.spot) << 40) + (u64::from(job.failed_on.contains(&i)) << 41) + spare;
@@ -267,7 +262,7 @@
         let mut out = Vec::new();
         for &i in &pass.open {
             let m = self.machine(i);
-            let room = fits(&job.need, &m.room);
+            let room = job.task_resources.count_fitting(m.free);
             if room > 0 && self.may_host(job, m) {
                 out.push(candidate(
                     i,
@@ -286,7 +281,7 @@
         }
         for &i in holders.into_iter().flatten() {
             let m = self.machine(i);
-            if fits(&job.need, &m.room) == 0 && self.open(m) && self.may_host(job, m) {
+            if !job.task_resources.fits(m.free) && self.open(m) && self.may_host(job, m) {
                 out.push(candidate(i, m, 0, true));
             }
         }
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -1,9 +1,9 @@
 //! Tasks that are or may be on a machine, and the one function for every change of them.
 
 use super::jobs::bit;
-use super::resources::less;
 use super::Scheduler;
 use crate::protocol::Kind;
+use crate::resources::Resources;
 
 /// Where an active task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -230,16 +230,14 @@
         let stops = |a: Option<TaskAttempt>| a.is_some_and(|a| a.stops());
         let job = self.job_mut(j);
         job.running = job.running + u32::from(runs(next)) - u32::from(runs(old));
-        let need = job.need;
+        let freed = job.task_resources.quota();
         if let Some(team) = job.team.filter(|_| stops(next) != stops(old)) {
             let ending = &mut self.team_ending[team];
-            *ending = std::array::from_fn(|r| {
-                if stops(next) {
-                    ending[r] + need[r]
-                } else {
-                    ending[r] - need[r]
-                }
-            });
+            if stops(next) {
+                *ending += freed;
+            } else {
+                *ending -= freed;
+            }
         }
         if let Some(at) = next.or(old).map(|a| a.machine) {
             let m = self.machine_mut(at);
@@ -283,33 +281,33 @@
         if enter {
             m.tasks.insert((j, t));
             m.service_cpus += if job.record.spec.kind == Kind::Service {
-                job.need[0]
+                job.task_resources.cpu_milli
             } else {
                 0
             };
-            m.room = less(&m.room, &job.need, 1);
+            m.free = m.free.saturating_sub(job.task_resources);
             *zone += 1;
             if let Some(u) = team {
-                *u = [u[0] + job.need[0], u[1] + job.need[1]];
+                *u += job.task_resources.quota();
             }
             m.idle_since = None;
         } else {
             m.tasks.remove(&(j, t));
             m.service_cpus -= if job.record.spec.kind == Kind::Service {
-                job.need[0]
+                job.task_resources.cpu_milli
             } else {
                 0
             };
             *zone -= 1;
             if let Some(u) = team {
-                *u = [u[0] - job.need[0], u[1] - job.need[1]];
+                *u -= job.task_resources.quota();
             }
-            m.room = self.types.get(m.kind).map_or([0; 3], |t| {
-                let all = [t.cpus, t.gpus, t.memory_gb].map(|x| (x * 1000.0) as u64);
+            m.free = self.types.get(m.kind).map_or(Resources::ZERO, |t| {
+                let all = Resources::capacity(t.cpus, t.gpus, t.memory_gb);
                 m.tasks
                     .iter()
                     .filter_map(|(j, _)| self.jobs[*j].as_ref())
-                    .fold(all, |r, j| less(&r, &j.need, 1))
+                    .fold(all, |r, j| r.saturating_sub(j.task_resources))
             });
             if m.tasks.is_empty() {
                 m.idle_since = Some(self.now);
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -57,8 +57,14 @@
     fn with(limit: u64) -> World {
         let team = |name: &str, guarantee| TeamQuota {
             name: name.into(),
-            guarantee: [guarantee, 0],
-            limit: [limit, u64::MAX],
+            guarantee: QuotaResources {
+                cpu_milli: guarantee,
+                accelerator_milli: 0,
+            },
+            limit: QuotaResources {
+                cpu_milli: limit,
+                ..QuotaResources::UNLIMITED
+            },
         };
         let params = Params {
             lease_ms: LEASE,
@@ -269,7 +275,7 @@
                 m.last_heard,
                 m.last_answer,
                 m.direct,
-                m.room,
+                m.free,
                 m.tasks,
                 m.not_before
             )
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -396,7 +396,7 @@
         },
         102,
     );
-    let ending = |w: &World| w.scheduler.team_ending[0][0];
+    let ending = |w: &World| w.scheduler.team_ending[0].cpu_milli;
     for _ in 0..3 {
         w.tick(1200);
         w.scheduler.make_room();
@@ -440,7 +440,7 @@
     );
     w.tick(1200);
     w.scheduler.make_room();
-    assert_eq!(w.scheduler.team_ending[0][0], 4000);
+    assert_eq!(w.scheduler.team_ending[0].cpu_milli, 4000);
 }
 
 #[test]
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -2,6 +2,7 @@
 
 use super::{bytes, job_spec, machine_type};
 use hollowswitch::protocol::{encode, Command, JobSpec, Report, TaskReport, TaskState};
+use hollowswitch::resources::QuotaResources;
 use hollowswitch::scheduler::{
     Arrival, Hardware, Origin, Params, ReportOutcome, Scheduler, TeamQuota,
 };
@@ -19,8 +20,8 @@
         transfer_test: true,
         teams: vec![TeamQuota {
             name: "red".into(),
-            guarantee: [0, 0],
-            limit: [u64::MAX, u64::MAX],
+            guarantee: QuotaResources::ZERO,
+            limit: QuotaResources::UNLIMITED,
         }],
         finish_ms: HashMap::new(),
     };
