--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -5,7 +5,7 @@
 
 use crate::clients::cloud::RENT_MOST;
 use crate::resources::Resources;
-use crate::scheduler::{MachineState, Offer, Scheduler, UnmetDemand, Utilization};
+use crate::scheduler::{MachineIndex, MachineState, Offer, Scheduler, UnmetDemand, Utilization};
 use std::collections::{HashMap, VecDeque};
 
 /// Machines to be rented.
@@ -386,7 +386,7 @@
         let (mut go, mut overdue) = (Vec::new(), Vec::new());
         let reserves = self.reserves(rise_ms);
         let mut free: HashMap<usize, u64> = HashMap::new();
-        let mut cpus: HashMap<usize, u64> = HashMap::new();
+        let mut cpus: HashMap<MachineIndex, u64> = HashMap::new();
         for l in scheduler.utilization() {
             cpus.insert(l.machine, l.cpus);
             *free.entry(l.offer.zone).or_default() +=
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,5 +1,6 @@
 //! Demand: what finds no room, how much of each machine is used, and which machines are more than is needed.
 
+use super::index::{MachineIndex, Table};
 use super::jobs::Job;
 use super::machine::{Machine, MachineState, Offer};
 use super::preemption::FailedSearch;
@@ -14,7 +15,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Utilization {
     /// Index.
-    pub machine: usize,
+    pub machine: MachineIndex,
     /// The offer that it was rented from.
     pub offer: Offer,
     /// Since when it is known.
@@ -74,18 +75,18 @@
 
 /// Machines in the order in which they are filled, spot machines first, and what is left of their room.
 pub(super) struct Pool {
-    order: Vec<usize>,
-    room: Vec<Resources>,
+    order: Vec<MachineIndex>,
+    room: Table<MachineIndex, Resources>,
 }
 
 impl Pool {
     pub(super) fn new(
         scheduler: &Scheduler,
-        rooms: impl Iterator<Item = (usize, Resources)>,
+        rooms: impl Iterator<Item = (MachineIndex, Resources)>,
     ) -> Pool {
         let mut pool = Pool {
             order: Vec::new(),
-            room: vec![Resources::ZERO; scheduler.machines.len()],
+            room: Table::filled(Resources::ZERO, scheduler.machines.len()),
         };
         let mut ordinary = Vec::new();
         for (i, room) in rooms {
@@ -134,12 +135,12 @@
     }
 
     /// What is left of a machine's room.
-    pub(super) fn room_of(&self, machine: usize) -> Resources {
+    pub(super) fn room_of(&self, machine: MachineIndex) -> Resources {
         self.room[machine]
     }
 
     /// Changes what is left of a machine's room.
-    pub(super) fn set_room(&mut self, machine: usize, room: Resources) {
+    pub(super) fn set_room(&mut self, machine: MachineIndex, room: Resources) {
         self.room[machine] = room;
     }
 
@@ -302,14 +303,14 @@
     }
 
     /// Takes a machine out of use because there is more room than is needed.
-    pub fn spare_machine(&mut self, i: usize) {
+    pub fn spare_machine(&mut self, i: MachineIndex) {
         self.enter(i, MachineState::Draining, "surplus");
         self.machine_mut(i).surplus = true;
     }
 
     /// Takes surplus machines back into use.
     pub fn use_surplus(&mut self) {
-        for i in 0..self.machines.len() {
+        for i in self.machines.indices() {
             let back = |m: &Machine| {
                 m.surplus && m.state == MachineState::Draining && m.notice_at.is_none()
             };
@@ -322,7 +323,7 @@
 
     /// Moves one replica off a surplus machine on which nothing else is left, if a holder has room for it.
     pub fn move_replica(&mut self) {
-        for i in 0..self.machines.len() {
+        for i in self.machines.indices() {
             let Some(m) = self.machines[i]
                 .as_ref()
                 .filter(|m| m.surplus && m.state == MachineState::Draining)
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -1,5 +1,6 @@
 //! Jobs at work: what is done, what is pending, what failed.
 
+use super::index::MachineIndex;
 use super::tasks::{Phase, TaskAttempt, TaskEvent};
 use super::{Scheduler, FAULTY_JOB_MACHINES, PROVEN_RUN_MS};
 use crate::placement;
@@ -33,7 +34,7 @@
     pub(super) running: u32,
     pub(super) finished_n: u32,
     pub(super) mean_ms: f64,
-    pub(super) failed_on: HashSet<usize>,
+    pub(super) failed_on: HashSet<MachineIndex>,
     pub(super) failures: u32,
     pub(super) not_before: u64,
     /// When a task of it last found a place, or it became known here.
@@ -273,7 +274,7 @@
                 self.free_jobs.push(i);
                 self.dirty.retain(|(j, _), _| *j != i);
                 self.machines
-                    .iter_mut()
+                    .values_mut()
                     .flatten()
                     .for_each(|m| m.errors.retain(|e| *e != i));
                 self.job_index.remove(&job.record.spec.id);
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -1,5 +1,6 @@
 //! Machines: what becomes of them, what is sent to them, what time alone brings.
 
+use super::index::MachineIndex;
 use super::machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
 use super::reports::Arrival;
 use super::start_log::plain;
@@ -68,17 +69,17 @@
             probe_at: 0,
             surplus: false,
         };
-        let index = self.free_machines.pop().unwrap_or_else(|| {
-            self.machines.push(None);
-            self.machines.len() - 1
-        });
+        let index = self
+            .free_machines
+            .pop()
+            .unwrap_or_else(|| self.machines.push(None));
         self.machines[index] = Some(machine);
         self.machine_index.insert(name.to_string(), index);
         self.changed = true;
     }
 
     /// The one place where a machine's state changes.
-    pub fn enter(&mut self, i: usize, next: MachineState, reason: &str) {
+    pub fn enter(&mut self, i: MachineIndex, next: MachineState, reason: &str) {
         let m = self.machine_mut(i);
         // A release may have been sent: it may execute at any later time, so there is no way back.
         if m.state == next || m.state == MachineState::Releasing {
@@ -133,7 +134,7 @@
 
     /// The cloud lists a machine. If it is running, it should be heard from now on. If it starts, its age tells how long it has
     /// been on its way: without it, each new leader would wait anew for machines that never come up.
-    pub fn listed(&mut self, i: usize, running: bool, address: &str, age_ms: u64) {
+    pub fn listed(&mut self, i: MachineIndex, running: bool, address: &str, age_ms: u64) {
         let now = self.now;
         let m = self.machine_mut(i);
         m.listed = true;
@@ -178,7 +179,7 @@
 
     /// Gives up a machine that has not come up. If its offer is in doubt, tells for how long to ask others: as long as it took
     /// to learn this.
-    pub fn give_up_boot(&mut self, i: usize) -> Option<(Offer, u64)> {
+    pub fn give_up_boot(&mut self, i: MachineIndex) -> Option<(Offer, u64)> {
         let m = self.machine(i);
         let (offer, nominal_ms, age_ms) =
             (m.offer(), self.nominal_boot_ms(m.kind), self.boot_age_ms(m));
@@ -191,7 +192,7 @@
     }
 
     /// A machine that was rented in this epoch has come up.
-    pub(super) fn measure_boot(&mut self, i: usize) {
+    pub(super) fn measure_boot(&mut self, i: MachineIndex) {
         let m = self.machine(i);
         if m.origin == Origin::Rented {
             let (offer, since, nominal_ms) = (m.offer(), m.since, self.nominal_boot_ms(m.kind));
@@ -228,7 +229,7 @@
     ///
     /// Those of a zone that is back have the time of a silence from then on: those not heard in its first moments were once
     /// given up at once.
-    pub fn silent(&mut self, silent_ms: u64, lost_ms: u64) -> Vec<usize> {
+    pub fn silent(&mut self, silent_ms: u64, lost_ms: u64) -> Vec<MachineIndex> {
         for zone in self.zones_out() {
             self.out_at.insert(zone, self.now);
         }
@@ -244,7 +245,7 @@
     }
 
     /// Machines that should be heard from. Those being released already are left out.
-    fn expected(&self) -> impl Iterator<Item = (usize, &Machine)> {
+    fn expected(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
         self.machines()
             .filter(|(_, m)| m.contacted && m.state != MachineState::Releasing)
     }
@@ -308,7 +309,7 @@
 
     /// This node stood still for a time, or had no processor: what it has not heard meanwhile says nothing of the machines.
     pub fn stood_still(&mut self, for_ms: u64) {
-        for m in self.machines.iter_mut().flatten() {
+        for m in self.machines.values_mut().flatten() {
             m.last_heard += for_ms;
             m.reported_at = m.reported_at.map(|at| at + for_ms);
         }
@@ -449,7 +450,7 @@
 
     /// Raises a machine's token: what was sent under the old one is void once the worker has seen the new one. Until it
     /// shows it, it gets no work; if it never does, though it reports, it is replaced like a silent one.
-    pub(super) fn raise(&mut self, i: usize, reason: &str) {
+    pub(super) fn raise(&mut self, i: MachineIndex, reason: &str) {
         let m = self.machine_mut(i);
         m.counter += 1;
         m.direct_starts = false;
@@ -465,7 +466,7 @@
         }
         self.ticked = now;
         self.at(now);
-        for i in 0..self.machines.len() {
+        for i in self.machines.indices() {
             let Some(m) = self.machines[i].as_ref() else {
                 continue;
             };
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -9,6 +9,7 @@
 
 mod boot_times;
 mod demand;
+mod index;
 mod jobs;
 mod machine;
 mod machines;
@@ -21,6 +22,7 @@
 mod tasks;
 
 pub use demand::{UnmetDemand, Utilization};
+pub use index::{DenseIndex, MachineIndex};
 pub use jobs::{DoneChunk, Job};
 pub use machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
 pub use names::Names;
@@ -32,6 +34,7 @@
 use crate::protocol::{MachineType, ReportReply};
 use crate::resources::{QuotaResources, Resources};
 use boot_times::BootTimes;
+use index::Table;
 use start_log::StartLog;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -75,19 +78,19 @@
     jobs: Vec<Option<Job>>,
     free_jobs: Vec<usize>,
     job_index: HashMap<String, usize>,
-    machines: Vec<Option<Machine>>,
+    machines: Table<MachineIndex, Option<Machine>>,
     /// Indices of machines that are gone, for new ones: what grows with every machine ever rented is gone over at each tick.
-    free_machines: Vec<usize>,
-    machine_index: HashMap<String, usize>,
+    free_machines: Vec<MachineIndex>,
+    machine_index: HashMap<String, MachineIndex>,
     team_use: Vec<QuotaResources>,
     /// What of it is being stopped.
     team_ending: Vec<QuotaResources>,
     attempts: u64,
     log: StartLog,
     /// Machines with starts or stops to be sent.
-    outbox: BTreeSet<usize>,
+    outbox: BTreeSet<MachineIndex>,
     /// Machines that hold or are fetching an image.
-    holders: HashMap<usize, BTreeSet<usize>>,
+    holders: HashMap<usize, BTreeSet<MachineIndex>>,
     /// Nothing is placed before.
     place_from: u64,
     /// The last tick.
@@ -121,7 +124,7 @@
             jobs: Vec::new(),
             free_jobs: Vec::new(),
             job_index: HashMap::new(),
-            machines: Vec::new(),
+            machines: Table::default(),
             free_machines: Vec::new(),
             machine_index: HashMap::new(),
             team_use: vec![QuotaResources::ZERO; teams],
@@ -190,16 +193,15 @@
     }
 
     /// Machines present, with their index.
-    pub fn machines(&self) -> impl Iterator<Item = (usize, &Machine)> {
+    pub fn machines(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
         self.machines
             .iter()
-            .enumerate()
             .filter_map(|(i, m)| Some((i, m.as_ref()?)))
     }
 
     /// A machine's index.
     #[must_use]
-    pub fn index(&self, machine: &str) -> Option<usize> {
+    pub fn index(&self, machine: &str) -> Option<MachineIndex> {
         self.machine_index.get(machine).copied()
     }
 
@@ -238,13 +240,13 @@
         self.jobs.iter().flatten()
     }
 
-    fn machine(&self, i: usize) -> &Machine {
+    fn machine(&self, i: MachineIndex) -> &Machine {
         self.machines[i]
             .as_ref()
             .expect("indices of machines are only kept while the machine is present")
     }
 
-    fn machine_mut(&mut self, i: usize) -> &mut Machine {
+    fn machine_mut(&mut self, i: MachineIndex) -> &mut Machine {
         self.machines[i]
             .as_mut()
             .expect("indices of machines are only kept while the machine is present")
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,6 +1,7 @@
 //! Preemption: whose work is stopped to make room, or to let a team at its limit run what matters more.
 
 use super::demand::Pool;
+use super::index::MachineIndex;
 use super::tasks::TaskEvent;
 use super::Scheduler;
 use crate::protocol::Priority;
@@ -175,10 +176,10 @@
     }
 
     /// Machines on which a job might win room: holders first, so that the room won is used at once.
-    fn preemption_hosts(&self, j: usize) -> Vec<usize> {
+    fn preemption_hosts(&self, j: usize) -> Vec<MachineIndex> {
         let job = self.job(j);
         let holders = self.holders.get(&job.image);
-        let mut hosts: Vec<(bool, usize)> = self
+        let mut hosts: Vec<(bool, MachineIndex)> = self
             .machines()
             .filter(|(_, m)| self.open(m) && !m.tasks.is_empty() && self.may_host(job, m))
             .map(|(i, _)| (!holders.is_some_and(|h| h.contains(&i)), i))
@@ -190,7 +191,7 @@
     /// Stops lower work on one machine for up to `n` tasks of a job; returns for how many.
     fn preempt_on(
         &mut self,
-        i: usize,
+        i: MachineIndex,
         j: usize,
         n: u32,
         room: &mut Pool,
@@ -222,7 +223,7 @@
     }
 
     /// Tasks on a machine that a job may displace, in the order in which they are stopped.
-    fn victims_on(&self, i: usize, j: usize) -> Vec<Victim> {
+    fn victims_on(&self, i: MachineIndex, j: usize) -> Vec<Victim> {
         let job = self.job(j);
         let priority = job.record.spec.priority;
         let mut victims = Vec::new();
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -1,5 +1,6 @@
 //! Reports: what workers say of their machines, and what follows from it.
 
+use super::index::MachineIndex;
 use super::jobs::{bit, set_bit};
 use super::machine::MachineState;
 use super::tasks::{Phase, TaskAttempt, TaskEvent};
@@ -88,7 +89,7 @@
     /// Held back by the network or a late copy, an old report is as old as its task list: nothing follows from it for its
     /// tasks. A worker has one report in flight, so that of one older than the last it awaits no answer either. One that was
     /// overtaken by the answer to a direct order counts, since its worker still waits for us.
-    fn renew_lease(&mut self, i: usize, r: &Report) {
+    fn renew_lease(&mut self, i: MachineIndex, r: &Report) {
         let now = self.now;
         let m = self.machine_mut(i);
         if (r.session, r.seq) > m.last_live {
@@ -99,7 +100,7 @@
 
     /// Notes what the newest report tells of its machine, whatever its token. True if the worker is in another session than
     /// before.
-    fn note_contact(&mut self, i: usize, r: &Report) -> bool {
+    fn note_contact(&mut self, i: MachineIndex, r: &Report) -> bool {
         let now = self.now;
         let m = self.machine_mut(i);
         let another_session = m.last.0 != 0 && r.session > m.last.0;
@@ -126,7 +127,7 @@
     /// Takes in the newest report under the current token.
     fn take_current_report(
         &mut self,
-        i: usize,
+        i: MachineIndex,
         r: &Report,
         arrival: Arrival,
         another_session: bool,
@@ -167,7 +168,7 @@
     }
 
     /// The answer to a report.
-    fn reply(&mut self, i: usize, mut orders: Vec<Command>) -> ReportReply {
+    fn reply(&mut self, i: MachineIndex, mut orders: Vec<Command>) -> ReportReply {
         // Stops first: where there are more orders than fit, the rest is told next time.
         orders.sort_by_key(|o| !matches!(o, Command::Stop { .. }));
         orders.truncate(COMMANDS_PER_MESSAGE);
@@ -200,7 +201,7 @@
     /// True if a start in an answer to a report was not executed.
     fn reconcile(
         &mut self,
-        i: usize,
+        i: MachineIndex,
         r: &Report,
         arrival: Arrival,
         orders: &mut Vec<Command>,
@@ -232,14 +233,20 @@
     }
 
     /// The attempt that a line of a machine's report is about, if it is the one that is known to be there.
-    fn attempt_here(&self, i: usize, j: usize, t: u32, line: &TaskReport) -> Option<TaskAttempt> {
+    fn attempt_here(
+        &self,
+        i: MachineIndex,
+        j: usize,
+        t: u32,
+        line: &TaskReport,
+    ) -> Option<TaskAttempt> {
         let attempt = self.job(j).active.get(&t).copied();
         attempt.filter(|a| a.machine == i && a.attempt == line.attempt)
     }
 
     /// A live line of another attempt than the one that was sent here, which is not under way any more: that one is what is
     /// here. Taken for a stray, it was once stopped and its task started elsewhere before it had ended.
-    fn drop_replaced_attempts(&mut self, i: usize, r: &Report, arrival: Arrival) {
+    fn drop_replaced_attempts(&mut self, i: MachineIndex, r: &Report, arrival: Arrival) {
         for line in r.tasks.iter().filter(|l| l.state != TaskState::Exited) {
             let Some((j, t)) = self.find_task(line) else {
                 continue;
@@ -263,7 +270,7 @@
     /// A task that has ended on a machine.
     fn reconcile_ended(
         &mut self,
-        i: usize,
+        i: MachineIndex,
         line: &TaskReport,
         listed: &mut HashSet<(usize, u32)>,
         orders: &mut Vec<Command>,
@@ -291,7 +298,7 @@
     /// A task that is on a machine and has not ended.
     fn reconcile_live(
         &mut self,
-        i: usize,
+        i: MachineIndex,
         line: &TaskReport,
         listed: &mut HashSet<(usize, u32)>,
         orders: &mut Vec<Command>,
@@ -353,7 +360,7 @@
     /// report was not executed.
     fn drop_unlisted(
         &mut self,
-        i: usize,
+        i: MachineIndex,
         r: &Report,
         arrival: Arrival,
         listed: &HashSet<(usize, u32)>,
@@ -382,7 +389,7 @@
 
     /// Whether a start may still be on its way to a worker that has sent this report. One sent under an older token is
     /// void: the worker has seen this one.
-    fn under_way(&self, i: usize, a: &TaskAttempt, r: &Report, arrival: Arrival) -> bool {
+    fn under_way(&self, i: MachineIndex, a: &TaskAttempt, r: &Report, arrival: Arrival) -> bool {
         !a.shown
             && a.token == r.token
             && if a.direct {
@@ -393,7 +400,7 @@
     }
 
     /// A live task's state as its worker tells it.
-    fn show(&mut self, i: usize, j: usize, t: u32, a: TaskAttempt, phase: Phase) {
+    fn show(&mut self, i: MachineIndex, j: usize, t: u32, a: TaskAttempt, phase: Phase) {
         let image = self.job(j).image;
         if phase == Phase::Running && a.phase != Phase::Running {
             let size = self.job(j).record.spec.image_gb;
@@ -419,7 +426,7 @@
     }
 
     /// Remembers which images a machine holds, the latest used last.
-    pub(super) fn hold_image(&mut self, i: usize, image: usize) {
+    pub(super) fn hold_image(&mut self, i: MachineIndex, image: usize) {
         let m = self.machine_mut(i);
         if m.images.back() == Some(&image) {
             return;
@@ -437,7 +444,7 @@
         }
     }
 
-    pub(super) fn let_image_go(&mut self, i: usize, image: usize) {
+    pub(super) fn let_image_go(&mut self, i: MachineIndex, image: usize) {
         if let Some(h) = self.holders.get_mut(&image) {
             h.remove(&i);
             if h.is_empty() {
@@ -449,7 +456,7 @@
     /// A task has ended on a machine. True if its line may be forgotten.
     fn exited(
         &mut self,
-        i: usize,
+        i: MachineIndex,
         j: usize,
         t: u32,
         reason: Option<ExitReason>,
@@ -481,7 +488,7 @@
         true
     }
 
-    fn finish(&mut self, i: usize, j: usize, t: u32, active: Option<TaskAttempt>) {
+    fn finish(&mut self, i: MachineIndex, j: usize, t: u32, active: Option<TaskAttempt>) {
         let now = self.now;
         let job = self.job_mut(j);
         set_bit(&mut job.done, t);
@@ -509,7 +516,7 @@
     /// A task failed: its machine is faulty, or its job has a mistake. A machine that fails tasks of several jobs is given
     /// up. A job of which nothing has finished and that fails elsewhere too says nothing of machines, and what was thought
     /// of them for its sake is taken back; once it has failed on several it is tried rarely, one task at a time.
-    fn failed(&mut self, i: usize, j: usize) {
+    fn failed(&mut self, i: MachineIndex, j: usize) {
         let now = self.now;
         let job = self.job_mut(j);
         job.failures += 1;
@@ -544,7 +551,7 @@
 
     /// The failures of a job say nothing of machines: those given up for its sake are used again.
     fn clear_suspicion(&mut self, j: usize) {
-        for i in 0..self.machines.len() {
+        for i in self.machines.indices() {
             let Some(m) = self.machines[i].as_mut().filter(|m| m.errors.contains(&j)) else {
                 continue;
             };
@@ -556,7 +563,12 @@
     }
 
     /// Moves assigned tasks of a machine into orders.
-    pub(super) fn collect_starts(&mut self, i: usize, direct: bool, orders: &mut Vec<Command>) {
+    pub(super) fn collect_starts(
+        &mut self,
+        i: MachineIndex,
+        direct: bool,
+        orders: &mut Vec<Command>,
+    ) {
         for (j, t) in self.machine(i).tasks.clone() {
             if orders.len() >= COMMANDS_PER_MESSAGE {
                 self.outbox.insert(i);
@@ -580,7 +592,7 @@
     }
 
     /// Stops of a machine that were not sent yet. A late one does no harm: it names its attempt.
-    pub(super) fn collect_stops(&mut self, i: usize, orders: &mut Vec<Command>) {
+    pub(super) fn collect_stops(&mut self, i: MachineIndex, orders: &mut Vec<Command>) {
         for (j, t) in self.machine(i).tasks.clone() {
             if orders.len() >= COMMANDS_PER_MESSAGE {
                 self.outbox.insert(i);
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -1,5 +1,6 @@
 //! Where tasks go: the order of jobs, what may host them, and one pass over both.
 
+use super::index::{DenseIndex, MachineIndex};
 use super::jobs::Job;
 use super::machine::{Machine, MachineState};
 use super::tasks::{Phase, TaskEvent};
@@ -56,11 +57,11 @@
 /// What a pass looks up once.
 struct Pass {
     /// Open machines that may have room.
-    open: Vec<usize>,
+    open: Vec<MachineIndex>,
     /// Mean c of the measured machines, by class; 1 without any.
     mean: [f64; CLASSES],
     /// Places on full holders that tasks wait for already.
-    waited: HashMap<usize, u32>,
+    waited: HashMap<MachineIndex, u32>,
     unplaceable: UnplaceableRequests,
 }
 
@@ -233,7 +234,7 @@
     /// Machines with room for a job's tasks, and full ones that hold its image.
     fn candidates(&self, job: &Job, pass: &Pass) -> Vec<Candidate> {
         let service = job.record.spec.kind == Kind::Service;
-        let candidate = |i: usize, m: &Machine, room: u32, holder: bool| {
+        let candidate = |i: MachineIndex, m: &Machine, room: u32, holder: bool| {
             // Spot machines first where allowed. Services go together, since only they keep a machine from being
             // returned; other tasks fill the fullest machine.
             let spare = if service {
@@ -250,7 +251,7 @@
             };
             let c = m.c.get(job.class).unwrap_or(pass.mean[job.class]);
             Candidate {
-                machine: i,
+                machine: i.position(),
                 c,
                 holder,
                 room,
@@ -303,7 +304,7 @@
     }
 
     /// When a machine's tasks are expected to end, less what others wait for already.
-    fn ends_s(&self, i: usize, m: &Machine, job: &Job, pass: &Pass) -> Vec<f64> {
+    fn ends_s(&self, i: MachineIndex, m: &Machine, job: &Job, pass: &Pass) -> Vec<f64> {
         let c = m.c.get(job.class).unwrap_or(1.0);
         let rest = m.tasks.iter().filter_map(|(j, t)| {
             let other = self.jobs[*j].as_ref()?;
@@ -351,15 +352,20 @@
             // The zone with the most room is chosen with the first task.
             let mut by_zone: BTreeMap<usize, u64> = BTreeMap::new();
             for c in &candidates {
-                *by_zone.entry(self.machine(c.machine).zone).or_default() += u64::from(c.room);
+                *by_zone
+                    .entry(self.machine(MachineIndex::from_position(c.machine)).zone)
+                    .or_default() += u64::from(c.room);
             }
             let best = by_zone
                 .iter()
                 .max_by_key(|(_, room)| **room)
                 .map(|(z, _)| *z);
-            candidates.retain(|c| Some(self.machine(c.machine).zone) == best);
+            candidates.retain(|c| {
+                Some(self.machine(MachineIndex::from_position(c.machine)).zone) == best
+            });
         }
-        let kind = self.machine(candidates[0].machine).kind;
+        let fastest = MachineIndex::from_position(candidates[0].machine);
+        let kind = self.machine(fastest).kind;
         let rate = self
             .fetch_rate
             .get(&kind)
@@ -395,9 +401,13 @@
         // A gang's tasks share an attempt.
         self.attempts += u64::from(whole);
         for (machine, n) in plan.later {
-            *pass.waited.entry(machine).or_default() += n;
+            *pass
+                .waited
+                .entry(MachineIndex::from_position(machine))
+                .or_default() += n;
         }
         for (machine, n) in plan.now {
+            let machine = MachineIndex::from_position(machine);
             let zone = self.machine(machine).zone;
             for _ in 0..n {
                 if left == 0 {
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -6,6 +6,7 @@
 //! a task that has ended since stays until its slot is taken; of two lines for one task the larger attempt is the later
 //! one, and it was written after the earlier one had been proven gone.
 
+use super::index::MachineIndex;
 use super::jobs::bit;
 use super::tasks::{Phase, TaskEvent};
 use super::Scheduler;
@@ -17,7 +18,15 @@
 pub(super) struct Line {
     job: usize,
     task: u32,
-    machine: usize,
+    machine: MachineIndex,
+    attempt: u64,
+}
+
+/// The latest start of a task in the log.
+#[derive(Debug, Clone, Copy)]
+struct LatestStart {
+    /// None if the machine is no longer known.
+    machine: Option<MachineIndex>,
     attempt: u64,
 }
 
@@ -37,7 +46,7 @@
 
 impl StartLog {
     /// An assigned start needs its line.
-    pub(super) fn wants(&mut self, job: usize, task: u32, machine: usize, attempt: u64) {
+    pub(super) fn wants(&mut self, job: usize, task: u32, machine: MachineIndex, attempt: u64) {
         self.wanted.push_back(Line {
             job,
             task,
@@ -266,17 +275,15 @@
     /// Takes in the log of earlier epochs, after the machines and jobs: each task's last line says where it may be.
     /// Machines that no rental names any more were released, and lines of jobs that are over are of no interest.
     pub fn inherit<'a>(&mut self, slots: impl Iterator<Item = (u32, u64, &'a str)>) {
-        let mut last: BTreeMap<(usize, u32), Line> = BTreeMap::new();
+        let mut last: BTreeMap<(usize, u32), LatestStart> = BTreeMap::new();
         for (slot, version, text) in slots {
             let mut lines = Vec::new();
             for read in parse(text) {
                 let Some(line) = self.line(read) else {
                     // Of its machine nothing is left, but the line may be the last word on its task.
                     if let (Some(&job), false) = (self.job_index.get(read.2), self.knows(read.0)) {
-                        let gone = Line {
-                            job,
-                            task: read.3,
-                            machine: usize::MAX,
+                        let gone = LatestStart {
+                            machine: None,
                             attempt: read.4,
                         };
                         let known = last.entry((job, read.3)).or_insert(gone);
@@ -295,24 +302,31 @@
                 // machines that it had heard, and when a cut zone was back, all of it fetched anew.
                 let image = self.job(line.job).image;
                 self.hold_image(line.machine, image);
-                let known = last.entry((line.job, line.task)).or_insert(line);
-                if known.attempt < line.attempt {
-                    *known = line;
+                let start = LatestStart {
+                    machine: Some(line.machine),
+                    attempt: line.attempt,
+                };
+                let known = last.entry((line.job, line.task)).or_insert(start);
+                if known.attempt < start.attempt {
+                    *known = start;
                 }
             }
             self.log.slots.insert(slot, Slot { version, lines });
         }
-        for ((j, t), l) in last {
+        for ((j, t), start) in last {
+            let Some(machine) = start.machine else {
+                continue;
+            };
             // A stored result was reported by the task's last attempt: nothing of it runs any more.
-            if l.machine == usize::MAX || bit(&self.job(j).done, t) {
+            if bit(&self.job(j).done, t) {
                 continue;
             }
             self.apply_event(
                 j,
                 t,
                 TaskEvent::Adopt {
-                    machine: l.machine,
-                    attempt: l.attempt,
+                    machine,
+                    attempt: start.attempt,
                     phase: Phase::Sent,
                 },
             );
@@ -321,7 +335,7 @@
             }
             // An earlier leader may have renewed its lease until its authority to do so ended.
             let until = self.now + self.params.grace_ms + self.params.grace_ms / 500;
-            let m = self.machine_mut(l.machine);
+            let m = self.machine_mut(machine);
             m.contacted = true;
             m.last_answer = until;
         }
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -1,5 +1,6 @@
 //! Tasks that are or may be on a machine, and the one function for every change of them.
 
+use super::index::MachineIndex;
 use super::jobs::bit;
 use super::Scheduler;
 use crate::protocol::Kind;
@@ -26,7 +27,7 @@
 /// A task that is or may be on a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskAttempt {
-    pub(super) machine: usize,
+    pub(super) machine: MachineIndex,
     pub(super) attempt: u64,
     pub(super) phase: Phase,
     pub(super) since: u64,
@@ -44,11 +45,11 @@
 /// Everything that can happen to a task.
 pub(super) enum TaskEvent {
     Assign {
-        machine: usize,
+        machine: MachineIndex,
         attempt: u64,
     },
     Adopt {
-        machine: usize,
+        machine: MachineIndex,
         attempt: u64,
         phase: Phase,
     },
@@ -67,7 +68,7 @@
 
 impl TaskAttempt {
     /// An attempt that is assigned to a machine.
-    fn assigned(machine: usize, attempt: u64, now: u64) -> TaskAttempt {
+    fn assigned(machine: MachineIndex, attempt: u64, now: u64) -> TaskAttempt {
         TaskAttempt {
             machine,
             attempt,
@@ -269,7 +270,7 @@
         }
     }
 
-    pub(super) fn account(&mut self, j: usize, t: u32, machine: usize, enter: bool) {
+    pub(super) fn account(&mut self, j: usize, t: u32, machine: MachineIndex, enter: bool) {
         let job = self.jobs[j]
             .as_mut()
             .expect("accounted tasks belong to a present job");
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -29,7 +29,7 @@
         .map(|d| d.machine)
         .collect();
     assert_eq!(asked, vec!["n-3", "n-2"]);
-    for i in 0..3 {
+    for i in (0..3).map(MachineIndex::from_position) {
         w.scheduler.enter(i, MachineState::Releasing, "silent");
     }
     assert_eq!(w.scheduler.leaving(2), vec!["n-3", "n-2"]);
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -60,8 +60,9 @@
     w.tell("n-1", &lines(&start));
     w.scheduler.machine_gone("n-1");
     w.machine("n-2", "b");
-    assert_eq!(w.scheduler.index("n-2"), Some(0));
-    let machine = w.scheduler.machine(0);
+    let first = MachineIndex::from_position(0);
+    assert_eq!(w.scheduler.index("n-2"), Some(first));
+    let machine = w.scheduler.machine(first);
     assert!(machine.images.is_empty() && machine.name == "n-2" && machine.last_live.0 == 1);
     // The task is started anew, with an attempt of its own.
     let again = starts(&w.tell("n-2", &[]));
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -265,9 +265,10 @@
     /// What a test wants to see of a scheduler that does not do what it should.
     #[must_use]
     pub fn describe(&self) -> String {
-        let machine = |(i, m): (usize, &Machine)| {
+        let machine = |(i, m): (MachineIndex, &Machine)| {
             format!(
-                "{i} {} {:?} zone {} current {} heard {} answer {} direct {} room {:?} tasks {:?} before {}\n",
+                "{} {} {:?} zone {} current {} heard {} answer {} direct {} room {:?} tasks {:?} before {}\n",
+                i.position(),
                 m.name,
                 m.state,
                 m.zone,
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -288,7 +288,7 @@
     for i in [late, up] {
         w.scheduler.listed(i, false, "", 74_000);
     }
-    let never = |w: &World, i: usize| w.scheduler.never_came_up(w.scheduler.machine(i));
+    let never = |w: &World, i: MachineIndex| w.scheduler.never_came_up(w.scheduler.machine(i));
     // Past the time in which it was expected, it counts no more as room to come.
     assert_eq!(
         w.scheduler
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -351,7 +351,8 @@
     // The holder is full and a little faster than the machine that has room.
     let holder = w.scheduler.machine_index[&got.machine];
     w.scheduler.machine_mut(holder).c.measure(0, 0.95);
-    w.scheduler.machine_mut(1 - holder).c.measure(0, 1.0);
+    let other = MachineIndex::from_position(1 - holder.position());
+    w.scheduler.machine_mut(other).c.measure(0, 1.0);
     w.job(
         JobSpec {
             kind: Kind::Service,
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -364,7 +364,8 @@
     w.scheduler.direct_answer(&sent[0], Some(&r));
     // The task is there until the lease of the second session has surely run out.
     w.pass_to(at + LEASE);
-    assert_eq!(w.scheduler.machine(0).tasks.len(), 1);
+    let first = MachineIndex::from_position(0);
+    assert_eq!(w.scheduler.machine(first).tasks.len(), 1);
     w.pass_to(at + LEASE + 1000);
-    assert!(w.scheduler.machine(0).tasks.is_empty());
+    assert!(w.scheduler.machine(first).tasks.is_empty());
 }
