--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -5,7 +5,9 @@
 
 use crate::clients::cloud::RENT_MOST;
 use crate::resources::Resources;
-use crate::scheduler::{MachineIndex, MachineState, Offer, Scheduler, UnmetDemand, Utilization};
+use crate::scheduler::{
+    MachineIndex, MachineState, Offer, Scheduler, UnmetDemand, Utilization, ZoneIndex,
+};
 use std::collections::{HashMap, VecDeque};
 
 /// Machines to be rented.
@@ -41,7 +43,7 @@
     /// Of the services of all unfinished jobs.
     services: u64,
     /// What services hold in each zone.
-    placed: HashMap<usize, u64>,
+    placed: HashMap<ZoneIndex, u64>,
 }
 
 impl Demand {
@@ -75,8 +77,8 @@
     available: &impl Fn(&Offer) -> bool,
 ) -> Option<Offer> {
     let mut best: Option<(f64, Offer)> = None;
-    for (kind, machine_type) in scheduler.types().iter().enumerate() {
-        let n = demand.fitting(scheduler.capacity_of_type(kind));
+    for (index, machine_type) in scheduler.machine_types() {
+        let n = demand.fitting(scheduler.capacity_of_type(index));
         if n == 0 {
             continue;
         }
@@ -91,7 +93,11 @@
             .filter_map(|z| scheduler.zone_index(z))
         {
             for spot in [true, false] {
-                let offer = Offer { kind, zone, spot };
+                let offer = Offer {
+                    machine_type: index,
+                    zone,
+                    spot,
+                };
                 if !demand.allows(&offer) || !available(&offer) {
                     continue;
                 }
@@ -201,7 +207,7 @@
                 let Some(offer) = best_offer(scheduler, demand, left, &available) else {
                     break;
                 };
-                let whole = scheduler.capacity_of_type(offer.kind);
+                let whole = scheduler.capacity_of_type(offer.machine_type);
                 let n = demand.fitting(whole).min(left);
                 planned.push((offer, demand.rest(whole, n)));
                 left -= n;
@@ -215,10 +221,10 @@
     ///
     /// What counts is what jobs ask for, not what machines show: after a change of leader, or when a zone was back, the
     /// replicas that showed again were once taken for new ones, and room for as many more was rented.
-    fn reserves(&self, rise_ms: u64) -> HashMap<usize, u64> {
+    fn reserves(&self, rise_ms: u64) -> HashMap<ZoneIndex, u64> {
         let mut rise = 0;
         let mut lows: VecDeque<(u64, u64)> = VecDeque::new();
-        let mut shares: HashMap<usize, u64> = HashMap::new();
+        let mut shares: HashMap<ZoneIndex, u64> = HashMap::new();
         for d in &self.demand {
             while lows.back().is_some_and(|(_, v)| *v >= d.services) {
                 lows.pop_back();
@@ -259,13 +265,14 @@
                 .map(|l| l.cpus - l.used)
                 .sum();
             let short = reserve.saturating_sub(free + coming.get(&zone).copied().unwrap_or(0));
-            let offers = scheduler.types().iter().enumerate().filter(|(t, kind)| {
-                kind.zones
+            let offers = scheduler.machine_types().filter(|(index, machine_type)| {
+                machine_type
+                    .zones
                     .iter()
                     .any(|z| scheduler.zone_index(z) == Some(zone))
                     && self.open(
                         &Offer {
-                            kind: *t,
+                            machine_type: *index,
                             zone,
                             spot: false,
                         },
@@ -274,13 +281,13 @@
             });
             let best =
                 offers.min_by(|(_, a), (_, b)| (a.price / a.cpus).total_cmp(&(b.price / b.cpus)));
-            if let Some((t, kind)) = best.filter(|_| short > 0) {
-                let count = (short as f64 / (kind.cpus * 1000.0))
+            if let Some((index, machine_type)) = best.filter(|_| short > 0) {
+                let count = (short as f64 / (machine_type.cpus * 1000.0))
                     .ceil()
                     .min(f64::from(RENT_MOST)) as u32;
                 out.push(RentalRequest {
                     offer: Offer {
-                        kind: t,
+                        machine_type: index,
                         zone,
                         spot: false,
                     },
@@ -356,10 +363,10 @@
             *free.entry(l.offer.zone).or_insert(0) += l.cpus - l.used;
             *steady.entry(l.offer.zone).or_insert(0) += l.cpus;
         }
-        let of = |by: &HashMap<usize, u64>, zone: usize| by.get(&zone).copied().unwrap_or(0);
-        let types = scheduler.types();
+        let of =
+            |by: &HashMap<ZoneIndex, u64>, zone: ZoneIndex| by.get(&zone).copied().unwrap_or(0);
         let idle_price = |l: &Utilization| {
-            let t = &types[l.offer.kind];
+            let t = scheduler.machine_type(l.offer.machine_type);
             (if l.offer.spot { t.spot_price } else { t.price })
                 * (1.0 - l.used as f64 / l.cpus.max(1) as f64)
         };
@@ -385,7 +392,7 @@
     pub fn returns(&mut self, scheduler: &mut Scheduler, idle_ms: u64, rise_ms: u64, now: u64) {
         let (mut go, mut overdue) = (Vec::new(), Vec::new());
         let reserves = self.reserves(rise_ms);
-        let mut free: HashMap<usize, u64> = HashMap::new();
+        let mut free: HashMap<ZoneIndex, u64> = HashMap::new();
         let mut cpus: HashMap<MachineIndex, u64> = HashMap::new();
         for l in scheduler.utilization() {
             cpus.insert(l.machine, l.cpus);
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::protocol::MachineType;
-use crate::scheduler::{Hardware, Origin, Params};
+use crate::scheduler::{DenseIndex, Hardware, MachineTypeIndex, Origin, Params};
 use std::collections::HashMap;
 
 const BOOT_S: f64 = 20.0;
@@ -59,8 +59,8 @@
 fn an_offer_rests_after_a_request_while_others_are_wanted() {
     let mut fleet = Fleet::default();
     let urgent = Offer {
-        kind: 0,
-        zone: 0,
+        machine_type: MachineTypeIndex::from_position(0),
+        zone: ZoneIndex::from_position(0),
         spot: false,
     };
     let other = Offer {
@@ -97,11 +97,14 @@
 fn an_offer_whose_machines_never_come_up_is_left_for_a_while_if_another_fits() {
     let (mut scheduler, mut fleet) = (scheduler(), Fleet::default());
     let cheap = Offer {
-        kind: 0,
-        zone: 0,
+        machine_type: MachineTypeIndex::from_position(0),
+        zone: ZoneIndex::from_position(0),
         spot: false,
     };
-    let dear = Offer { kind: 1, ..cheap };
+    let dear = Offer {
+        machine_type: MachineTypeIndex::from_position(1),
+        ..cheap
+    };
     let hardware = Hardware {
         machine_type: "cheap",
         zone: "a",
@@ -121,7 +124,7 @@
     // Asked for again at once, it once cost a boot time again and again.
     assert_eq!(wanted(&fleet, &scheduler, 62_000), vec![request(dear, 3)]);
     let only_cheap = UnmetDemand {
-        types: Some(vec![0]),
+        types: Some(vec![MachineTypeIndex::from_position(0)]),
         ..need(1)
     };
     assert!(fleet
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -215,9 +215,8 @@
             tracing::debug!(pending, wanted, machines_cpus_used_services = ?by_offer, "look ahead");
         }
         let boot_s = scheduler
-            .types()
-            .iter()
-            .map(|t| t.boot_s)
+            .machine_types()
+            .map(|(_, t)| t.boot_s)
             .fold(f64::INFINITY, f64::min)
             .min(600.0);
         // Until a machine that is rented now is up, with some room for slow ones.
@@ -473,7 +472,7 @@
                 return false;
             };
             let record = RentalRecord {
-                machine_type: scheduler.types()[offer.kind].name.clone(),
+                machine_type: scheduler.machine_type(offer.machine_type).name.clone(),
                 zone: scheduler.zone_name(offer.zone).to_string(),
                 spot: offer.spot,
                 count,
@@ -570,15 +569,14 @@
         let Some(scheduler) = controller.scheduler.as_ref() else {
             return;
         };
-        let kind = scheduler
-            .types()
-            .iter()
-            .position(|t| t.name == r.machine_type);
-        let (Some(kind), Some(zone)) = (kind, scheduler.zone_index(&r.zone)) else {
+        let (Some(machine_type), Some(zone)) = (
+            scheduler.machine_type_index(&r.machine_type),
+            scheduler.zone_index(&r.zone),
+        ) else {
             return;
         };
         let offer = Offer {
-            kind,
+            machine_type,
             zone,
             spot: r.spot,
         };
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,6 +1,6 @@
 //! Demand: what finds no room, how much of each machine is used, and which machines are more than is needed.
 
-use super::index::{MachineIndex, Table};
+use super::index::{MachineIndex, MachineTypeIndex, Table, ZoneIndex};
 use super::jobs::Job;
 use super::machine::{Machine, MachineState, Offer};
 use super::preemption::FailedSearch;
@@ -38,9 +38,9 @@
     /// Whether spot machines are allowed.
     pub spot: bool,
     /// Allowed types.
-    pub types: Option<Vec<usize>>,
+    pub types: Option<Vec<MachineTypeIndex>>,
     /// Allowed zones; none: any.
-    pub zones: Option<Vec<usize>>,
+    pub zones: Option<Vec<ZoneIndex>>,
     /// A service's tasks never end.
     pub service: bool,
 }
@@ -53,7 +53,7 @@
             && self
                 .types
                 .as_ref()
-                .is_none_or(|types| types.contains(&offer.kind))
+                .is_none_or(|types| types.contains(&offer.machine_type))
             && self
                 .zones
                 .as_ref()
@@ -108,7 +108,7 @@
         scheduler: &Scheduler,
         job: &Job,
         mut left: u32,
-        zones: &mut HashMap<usize, u32>,
+        zones: &mut HashMap<ZoneIndex, u32>,
     ) -> u32 {
         let bound = job.record.spec.scatter || job.record.spec.together;
         for &i in &self.order {
@@ -192,7 +192,7 @@
                 continue;
             }
             team_left[team] = team_left[team].saturating_sub(per_task.saturating_mul(left));
-            let mut zones: HashMap<usize, u32> = HashMap::new();
+            let mut zones: HashMap<ZoneIndex, u32> = HashMap::new();
             if !unplaceable.covers(job) {
                 left = room.take(self, job, left, &mut zones);
                 left = later.take(self, job, left, &mut zones);
@@ -212,8 +212,9 @@
                 spec.spot,
                 spec.kind == Kind::Service,
             );
-            let capped: Option<Vec<usize>> = (spec.scatter || spec.together).then(|| {
-                (0..self.zones.count())
+            let capped: Option<Vec<ZoneIndex>> = (spec.scatter || spec.together).then(|| {
+                self.zones
+                    .indices()
                     .filter(|z| self.zone_cap(job, *z) > zones.get(z).copied().unwrap_or(0))
                     .collect()
             });
@@ -251,9 +252,9 @@
 
     /// CPUs that the services of all unfinished jobs ask for, and those that they hold in each zone.
     #[must_use]
-    pub fn service_demand(&self) -> (u64, HashMap<usize, u64>) {
+    pub fn service_demand(&self) -> (u64, HashMap<ZoneIndex, u64>) {
         let mut all = 0;
-        let mut placed: HashMap<usize, u64> = HashMap::new();
+        let mut placed: HashMap<ZoneIndex, u64> = HashMap::new();
         for job in self
             .jobs()
             .filter(|j| j.record.spec.kind == Kind::Service && !j.ended)
@@ -268,7 +269,7 @@
 
     /// CPUs of ordinary machines that are coming up, by zone.
     #[must_use]
-    pub fn coming_up(&self) -> HashMap<usize, u64> {
+    pub fn coming_up(&self) -> HashMap<ZoneIndex, u64> {
         let mut out = HashMap::new();
         for (_, m) in self.machines() {
             if !m.spot && self.on_its_way(m) {
@@ -285,10 +286,7 @@
             .machines()
             .filter(|(_, m)| m.state == MachineState::Up && m.notice_at.is_none());
         open.map(|(machine, m)| {
-            let cpus = self
-                .types
-                .get(m.kind)
-                .map_or(0, |t| (t.cpus * 1000.0) as u64);
+            let cpus = self.machine_types.capacity(m.machine_type).cpu_milli;
             let used = cpus.saturating_sub(m.free.cpu_milli);
             Utilization {
                 machine,
--- a/src/scheduler/index.rs
+++ b/src/scheduler/index.rs
@@ -38,6 +38,32 @@
     MachineIndex
 }
 
+dense_index! {
+    /// Index of a zone.
+    ZoneIndex
+}
+
+dense_index! {
+    /// Index of a machine type.
+    MachineTypeIndex
+}
+
+impl MachineTypeIndex {
+    /// Stands for a type that the cloud's catalogue does not list.
+    pub(super) const UNKNOWN: MachineTypeIndex = MachineTypeIndex(usize::MAX);
+}
+
+/// Images and jobs have no index type of their own yet.
+impl DenseIndex for usize {
+    fn from_position(position: usize) -> Self {
+        position
+    }
+
+    fn position(self) -> usize {
+        self
+    }
+}
+
 /// A vector that is read by one type of index.
 #[derive(Debug)]
 pub(super) struct Table<I, T> {
@@ -77,6 +103,11 @@
         I::from_position(self.rows.len() - 1)
     }
 
+    /// A row, if there is one.
+    pub(super) fn get(&self, index: I) -> Option<&T> {
+        self.rows.get(index.position())
+    }
+
     /// All indices in ascending order. The table may be changed meanwhile.
     pub(super) fn indices(&self) -> impl Iterator<Item = I> {
         (0..self.rows.len()).map(I::from_position)
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs at work: what is done, what is pending, what failed.
 
-use super::index::MachineIndex;
+use super::index::{MachineIndex, MachineTypeIndex, ZoneIndex};
 use super::tasks::{Phase, TaskAttempt, TaskEvent};
 use super::{Scheduler, FAULTY_JOB_MACHINES, PROVEN_RUN_MS};
 use crate::placement;
@@ -19,8 +19,8 @@
     pub(super) image: usize,
     pub(super) class: usize,
     pub(super) task_resources: Resources,
-    pub(super) types: Option<Vec<usize>>,
-    pub(super) zone: Option<usize>,
+    pub(super) types: Option<Vec<MachineTypeIndex>>,
+    pub(super) zone: Option<ZoneIndex>,
     /// Cancelled: only to be stopped.
     pub(super) ended: bool,
     pub(super) done: Vec<u8>,
@@ -30,7 +30,7 @@
     pub(super) active: BTreeMap<u32, TaskAttempt>,
     pub(super) cursor: u32,
     pub(super) returned: BTreeSet<u32>,
-    pub(super) zone_use: HashMap<usize, u32>,
+    pub(super) zone_use: HashMap<ZoneIndex, u32>,
     pub(super) running: u32,
     pub(super) finished_n: u32,
     pub(super) mean_ms: f64,
@@ -207,7 +207,11 @@
             task_resources,
             types: types.map(|l| {
                 l.iter()
-                    .map(|t| self.type_names.get(t).unwrap_or(usize::MAX))
+                    .map(|t| {
+                        self.machine_types
+                            .index(t)
+                            .unwrap_or(MachineTypeIndex::UNKNOWN)
+                    })
                     .collect()
             }),
             zone: spec.zone.as_ref().map(|z| self.zones.add(z)),
@@ -237,9 +241,11 @@
 
     /// The most that any machine type has of each resource.
     fn largest_machine(&self) -> Resources {
-        self.types.iter().fold(Resources::ONE, |largest, t| {
-            largest.max(Resources::requested(t.cpus, t.gpus, t.memory_gb))
-        })
+        self.machine_types
+            .iter()
+            .fold(Resources::ONE, |largest, (_, t)| {
+                largest.max(Resources::requested(t.cpus, t.gpus, t.memory_gb))
+            })
     }
 
     /// A job is no longer unfinished: what runs of it is stopped, and counts until it is proven gone.
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -1,5 +1,6 @@
 //! What is known of one machine.
 
+use super::index::{MachineTypeIndex, ZoneIndex};
 use crate::placement::Capability;
 use crate::protocol::Command;
 use crate::resources::Resources;
@@ -22,9 +23,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Offer {
     /// Index of the machine type.
-    pub kind: usize,
+    pub machine_type: MachineTypeIndex,
     /// Index of the zone.
-    pub zone: usize,
+    pub zone: ZoneIndex,
     /// Spot machines.
     pub spot: bool,
 }
@@ -58,9 +59,9 @@
     /// State.
     pub state: MachineState,
     /// Type.
-    pub kind: usize,
+    pub machine_type: MachineTypeIndex,
     /// Zone.
-    pub zone: usize,
+    pub zone: ZoneIndex,
     /// Spot machine.
     pub spot: bool,
     /// When it became known here.
@@ -131,7 +132,7 @@
     #[must_use]
     pub fn offer(&self) -> Offer {
         Offer {
-            kind: self.kind,
+            machine_type: self.machine_type,
             zone: self.zone,
             spot: self.spot,
         }
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -1,6 +1,6 @@
 //! Machines: what becomes of them, what is sent to them, what time alone brings.
 
-use super::index::MachineIndex;
+use super::index::{MachineIndex, MachineTypeIndex, ZoneIndex};
 use super::machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
 use super::reports::Arrival;
 use super::start_log::plain;
@@ -18,8 +18,6 @@
 const ISOLATION_MARGIN_MS: u64 = 500;
 /// Two probes that all go unanswered, and their way.
 const UNANSWERED_MS: u64 = 5000;
-/// Boot time of a machine type that the cloud does not tell of any more.
-const UNKNOWN_BOOT_MS: f64 = 60_000.0;
 /// Between two ticks of a node that has its processor.
 const TICK_GAP_MS: u64 = 1000;
 
@@ -30,13 +28,16 @@
         if self.knows(name) || !plain(name) {
             return;
         }
-        let kind = self.type_names.get(of.machine_type).unwrap_or(usize::MAX);
-        let free = self.capacity_of_type(kind);
+        let machine_type = self
+            .machine_types
+            .index(of.machine_type)
+            .unwrap_or(MachineTypeIndex::UNKNOWN);
+        let free = self.machine_types.capacity(machine_type);
         let zone = self.zones.add(of.zone);
         let machine = Machine {
             name: name.to_string(),
             state: MachineState::Waiting,
-            kind,
+            machine_type,
             zone,
             spot: of.spot,
             since: self.now,
@@ -151,13 +152,6 @@
         }
     }
 
-    /// The boot time that the cloud tells for a machine type.
-    fn nominal_boot_ms(&self, kind: usize) -> f64 {
-        self.types
-            .get(kind)
-            .map_or(UNKNOWN_BOOT_MS, |t| t.boot_s * 1000.0)
-    }
-
     /// For how long a machine has been on its way.
     fn boot_age_ms(&self, m: &Machine) -> u64 {
         self.now
@@ -172,17 +166,21 @@
         m.state == MachineState::Waiting
             && !m.contacted
             && self.boot_age_ms(m)
-                > self
-                    .boot_times
-                    .give_up_ms(m.offer(), self.nominal_boot_ms(m.kind))
+                > self.boot_times.give_up_ms(
+                    m.offer(),
+                    self.machine_types.nominal_boot_ms(m.machine_type),
+                )
     }
 
     /// Gives up a machine that has not come up. If its offer is in doubt, tells for how long to ask others: as long as it took
     /// to learn this.
     pub fn give_up_boot(&mut self, i: MachineIndex) -> Option<(Offer, u64)> {
         let m = self.machine(i);
-        let (offer, nominal_ms, age_ms) =
-            (m.offer(), self.nominal_boot_ms(m.kind), self.boot_age_ms(m));
+        let (offer, nominal_ms, age_ms) = (
+            m.offer(),
+            self.machine_types.nominal_boot_ms(m.machine_type),
+            self.boot_age_ms(m),
+        );
         let rented_at = m.since.saturating_sub(m.rented_before_ms);
         let in_doubt = self
             .boot_times
@@ -195,7 +193,11 @@
     pub(super) fn measure_boot(&mut self, i: MachineIndex) {
         let m = self.machine(i);
         if m.origin == Origin::Rented {
-            let (offer, since, nominal_ms) = (m.offer(), m.since, self.nominal_boot_ms(m.kind));
+            let (offer, since, nominal_ms) = (
+                m.offer(),
+                m.since,
+                self.machine_types.nominal_boot_ms(m.machine_type),
+            );
             self.boot_times
                 .came_up(offer, nominal_ms, since, self.now.saturating_sub(since));
         }
@@ -205,9 +207,10 @@
     pub(super) fn on_its_way(&self, m: &Machine) -> bool {
         let certain = m.origin != Origin::Inherited || m.listed;
         let late = self.boot_age_ms(m)
-            > self
-                .boot_times
-                .expected_ms(m.offer(), self.nominal_boot_ms(m.kind));
+            > self.boot_times.expected_ms(
+                m.offer(),
+                self.machine_types.nominal_boot_ms(m.machine_type),
+            );
         m.state == MachineState::Waiting && certain && m.tasks.is_empty() && !late
     }
 
@@ -256,8 +259,8 @@
     }
 
     /// How many of each zone's machines are quiet, and how many there are.
-    fn quiet_by_zone(&self) -> HashMap<usize, (usize, usize)> {
-        let mut zones: HashMap<usize, (usize, usize)> = HashMap::new();
+    fn quiet_by_zone(&self) -> HashMap<ZoneIndex, (usize, usize)> {
+        let mut zones: HashMap<ZoneIndex, (usize, usize)> = HashMap::new();
         for (_, m) in self.expected() {
             let (quiet, all) = zones.entry(m.zone).or_default();
             *quiet += usize::from(self.now > m.last_heard + self.quiet_ms());
@@ -267,7 +270,7 @@
     }
 
     /// Zones of which most machines are quiet.
-    fn zones_out(&self) -> HashSet<usize> {
+    fn zones_out(&self) -> HashSet<ZoneIndex> {
         let out = self
             .quiet_by_zone()
             .into_iter()
@@ -277,7 +280,7 @@
 
     /// Zones of which nothing is heard: whatever came up there would be out of reach.
     #[must_use]
-    pub fn unreachable_zones(&self) -> HashSet<usize> {
+    pub fn unreachable_zones(&self) -> HashSet<ZoneIndex> {
         let unreachable = self
             .quiet_by_zone()
             .into_iter()
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -12,6 +12,7 @@
 mod index;
 mod jobs;
 mod machine;
+mod machine_types;
 mod machines;
 mod names;
 mod params;
@@ -22,10 +23,9 @@
 mod tasks;
 
 pub use demand::{UnmetDemand, Utilization};
-pub use index::{DenseIndex, MachineIndex};
+pub use index::{DenseIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
 pub use jobs::{DoneChunk, Job};
 pub use machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
-pub use names::Names;
 pub use params::{Params, TeamQuota};
 pub use reports::Arrival;
 pub use start_log::Append;
@@ -35,6 +35,8 @@
 use crate::resources::{QuotaResources, Resources};
 use boot_times::BootTimes;
 use index::Table;
+use machine_types::MachineTypes;
+use names::Names;
 use start_log::StartLog;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -71,10 +73,9 @@
     params: Params,
     epoch: u64,
     now: u64,
-    types: Vec<MachineType>,
-    type_names: Names,
-    zones: Names,
-    images: Names,
+    machine_types: MachineTypes,
+    zones: Names<ZoneIndex>,
+    images: Names<usize>,
     jobs: Vec<Option<Job>>,
     free_jobs: Vec<usize>,
     job_index: HashMap<String, usize>,
@@ -96,12 +97,12 @@
     /// The last tick.
     ticked: u64,
     /// When most of a zone was last quiet.
-    out_at: HashMap<usize, u64>,
+    out_at: HashMap<ZoneIndex, u64>,
     /// Jobs, the oldest submission first.
     by_age: Vec<usize>,
     /// Finished ranges that are not stored yet, and since when.
     dirty: BTreeMap<(usize, u32), u64>,
-    fetch_rate: HashMap<usize, f64>,
+    fetch_rate: HashMap<MachineTypeIndex, f64>,
     boot_times: BootTimes,
     /// Production jobs that the last pass has left with tasks to place, in their order.
     urgent: Vec<usize>,
@@ -117,8 +118,7 @@
             params,
             epoch,
             now,
-            types: Vec::new(),
-            type_names: Names::default(),
+            machine_types: MachineTypes::default(),
             zones: Names::default(),
             images: Names::default(),
             jobs: Vec::new(),
@@ -150,45 +150,55 @@
         self.now = self.now.max(now);
     }
 
-    /// Takes in the machine types.
+    /// Adds or updates the machine types that the cloud's catalogue lists, and their zones.
     pub fn set_types(&mut self, types: &[MachineType]) {
-        for t in types {
-            let i = self.type_names.add(&t.name);
-            if i == self.types.len() {
-                self.types.push(t.clone());
-            } else {
-                self.types[i] = t.clone();
+        for machine_type in types {
+            self.machine_types.update(machine_type);
+            for zone in &machine_type.zones {
+                self.zones.add(zone);
             }
-            t.zones.iter().for_each(|z| {
-                self.zones.add(z);
-            });
         }
         self.changed = true;
     }
 
-    /// The machine types by index.
+    /// The machine types with their indices.
+    pub fn machine_types(&self) -> impl Iterator<Item = (MachineTypeIndex, &MachineType)> {
+        self.machine_types.iter()
+    }
+
+    /// The machine type with an index.
+    ///
+    /// # Panics
+    ///
+    /// If it is the index of a machine whose type the catalogue does not list.
+    #[must_use]
+    pub fn machine_type(&self, index: MachineTypeIndex) -> &MachineType {
+        self.machine_types
+            .get(index)
+            .expect("the catalogue lists the type")
+    }
+
+    /// The index of the machine type with a name.
     #[must_use]
-    pub fn types(&self) -> &[MachineType] {
-        &self.types
+    pub fn machine_type_index(&self, name: &str) -> Option<MachineTypeIndex> {
+        self.machine_types.index(name)
     }
 
-    /// What a machine of a type has in all.
+    /// All resources of a machine of a type.
     #[must_use]
-    pub fn capacity_of_type(&self, kind: usize) -> Resources {
-        self.types.get(kind).map_or(Resources::ZERO, |t| {
-            Resources::capacity(t.cpus, t.gpus, t.memory_gb)
-        })
+    pub fn capacity_of_type(&self, machine_type: MachineTypeIndex) -> Resources {
+        self.machine_types.capacity(machine_type)
     }
 
-    /// A zone's index.
+    /// The index of the zone with a name.
     #[must_use]
-    pub fn zone_index(&self, name: &str) -> Option<usize> {
+    pub fn zone_index(&self, name: &str) -> Option<ZoneIndex> {
         self.zones.get(name)
     }
 
     /// A zone's name.
     #[must_use]
-    pub fn zone_name(&self, zone: usize) -> &str {
+    pub fn zone_name(&self, zone: ZoneIndex) -> &str {
         self.zones.name(zone)
     }
 
--- a/src/scheduler/names.rs
+++ b/src/scheduler/names.rs
@@ -1,37 +1,46 @@
 //! Names mapped to dense indices.
 
+use super::index::{DenseIndex, Table};
 use std::collections::HashMap;
 
-/// Names mapped to dense indices.
-#[derive(Default)]
-pub struct Names {
-    index: HashMap<String, usize>,
-    names: Vec<String>,
+/// Names mapped to dense indices of one type. A name keeps its index for good.
+pub(super) struct Names<I> {
+    indices: HashMap<String, I>,
+    names: Table<I, String>,
 }
 
-impl Names {
-    /// The index of a name, new or not.
-    pub fn add(&mut self, name: &str) -> usize {
-        if let Some(i) = self.index.get(name) {
-            return *i;
+impl<I> Default for Names<I> {
+    fn default() -> Self {
+        Names {
+            indices: HashMap::new(),
+            names: Table::default(),
         }
-        self.names.push(name.to_string());
-        self.index.insert(name.to_string(), self.names.len() - 1);
-        self.names.len() - 1
     }
+}
+
+impl<I: DenseIndex> Names<I> {
+    /// The index of a name, which is added if it is new.
+    pub(super) fn add(&mut self, name: &str) -> I {
+        if let Some(index) = self.indices.get(name) {
+            return *index;
+        }
+        let index = self.names.push(name.to_string());
+        self.indices.insert(name.to_string(), index);
+        index
+    }
+
     /// The index of a known name.
-    #[must_use]
-    pub fn get(&self, name: &str) -> Option<usize> {
-        self.index.get(name).copied()
+    pub(super) fn get(&self, name: &str) -> Option<I> {
+        self.indices.get(name).copied()
     }
-    /// How many names there are; their indices are below it.
-    #[must_use]
-    pub fn count(&self) -> usize {
-        self.names.len()
+
+    /// The indices of all names, in the order in which they were added.
+    pub(super) fn indices(&self) -> impl Iterator<Item = I> {
+        self.names.indices()
     }
-    /// The name.
-    #[must_use]
-    pub fn name(&self, i: usize) -> &str {
-        &self.names[i]
+
+    /// The name with an index.
+    pub(super) fn name(&self, index: I) -> &str {
+        &self.names[index]
     }
 }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,7 +1,7 @@
 //! Preemption: whose work is stopped to make room, or to let a team at its limit run what matters more.
 
 use super::demand::Pool;
-use super::index::MachineIndex;
+use super::index::{MachineIndex, ZoneIndex};
 use super::tasks::TaskEvent;
 use super::Scheduler;
 use crate::protocol::Priority;
@@ -149,7 +149,7 @@
         j: usize,
         n: u32,
         room: &mut Pool,
-        zones: &mut HashMap<usize, u32>,
+        zones: &mut HashMap<ZoneIndex, u32>,
         failed: &mut Vec<FailedSearch>,
     ) -> u32 {
         let job = self.job(j);
@@ -195,7 +195,7 @@
         j: usize,
         n: u32,
         room: &mut Pool,
-        zones: &mut HashMap<usize, u32>,
+        zones: &mut HashMap<ZoneIndex, u32>,
     ) -> u32 {
         let zone = self.machine(i).zone;
         let task_resources = self.job(j).task_resources;
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -406,12 +406,11 @@
             let size = self.job(j).record.spec.image_gb;
             let took = self.now.saturating_sub(a.since) as f64 / 1000.0;
             if a.phase == Phase::Fetching && took > 0.5 && size > 0.0 {
-                let kind = self.machine(i).kind;
-                let first = self
-                    .types
-                    .get(kind)
-                    .map_or(self.params.fetch_gb_per_s, |_| self.params.fetch_gb_per_s);
-                let rate = self.fetch_rate.entry(kind).or_insert(first);
+                let machine_type = self.machine(i).machine_type;
+                let rate = self
+                    .fetch_rate
+                    .entry(machine_type)
+                    .or_insert(self.params.fetch_gb_per_s);
                 *rate += 0.1 * (size / took - *rate);
             }
         }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -1,6 +1,6 @@
 //! Where tasks go: the order of jobs, what may host them, and one pass over both.
 
-use super::index::{DenseIndex, MachineIndex};
+use super::index::{DenseIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
 use super::jobs::Job;
 use super::machine::{Machine, MachineState};
 use super::tasks::{Phase, TaskEvent};
@@ -28,8 +28,8 @@
 struct FailedSearch {
     task_resources: Resources,
     spot: bool,
-    types: Option<Vec<usize>>,
-    zone: Option<usize>,
+    types: Option<Vec<MachineTypeIndex>>,
+    zone: Option<ZoneIndex>,
 }
 
 impl UnplaceableRequests {
@@ -140,7 +140,7 @@
 
     pub(super) fn may_host(&self, j: &Job, m: &Machine) -> bool {
         (j.record.spec.spot || !m.spot)
-            && j.types.as_ref().is_none_or(|t| t.contains(&m.kind))
+            && j.types.as_ref().is_none_or(|t| t.contains(&m.machine_type))
             && j.zone.is_none_or(|z| z == m.zone)
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// How many more tasks of a job its zone rules allow in a zone.
-    pub(super) fn zone_cap(&self, j: &Job, zone: usize) -> u32 {
+    pub(super) fn zone_cap(&self, j: &Job, zone: ZoneIndex) -> u32 {
         let used = j.zone_use.get(&zone).copied().unwrap_or(0);
         if j.record.spec.together && j.zone_use.iter().any(|(z, n)| *n > 0 && *z != zone) {
             return 0;
@@ -297,9 +297,9 @@
 
     /// CPUs of a machine that no service uses.
     pub(super) fn without_services(&self, m: &Machine) -> u64 {
-        self.types
-            .get(m.kind)
-            .map_or(0, |t| (t.cpus * 1000.0) as u64)
+        self.machine_types
+            .capacity(m.machine_type)
+            .cpu_milli
             .saturating_sub(m.service_cpus)
     }
 
@@ -350,7 +350,7 @@
         }
         if job.record.spec.together && job.zone_use.values().all(|n| *n == 0) {
             // The zone with the most room is chosen with the first task.
-            let mut by_zone: BTreeMap<usize, u64> = BTreeMap::new();
+            let mut by_zone: BTreeMap<ZoneIndex, u64> = BTreeMap::new();
             for c in &candidates {
                 *by_zone
                     .entry(self.machine(MachineIndex::from_position(c.machine)).zone)
@@ -365,10 +365,10 @@
             });
         }
         let fastest = MachineIndex::from_position(candidates[0].machine);
-        let kind = self.machine(fastest).kind;
+        let machine_type = self.machine(fastest).machine_type;
         let rate = self
             .fetch_rate
-            .get(&kind)
+            .get(&machine_type)
             .copied()
             .unwrap_or(self.params.fetch_gb_per_s)
             .max(0.001);
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -4,7 +4,6 @@
 use super::jobs::bit;
 use super::Scheduler;
 use crate::protocol::Kind;
-use crate::resources::Resources;
 
 /// Where an active task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -303,13 +302,12 @@
             if let Some(u) = team {
                 *u -= job.task_resources.quota();
             }
-            m.free = self.types.get(m.kind).map_or(Resources::ZERO, |t| {
-                let all = Resources::capacity(t.cpus, t.gpus, t.memory_gb);
-                m.tasks
-                    .iter()
-                    .filter_map(|(j, _)| self.jobs[*j].as_ref())
-                    .fold(all, |r, j| r.saturating_sub(j.task_resources))
-            });
+            let capacity = self.machine_types.capacity(m.machine_type);
+            m.free = m
+                .tasks
+                .iter()
+                .filter_map(|(j, _)| self.jobs[*j].as_ref())
+                .fold(capacity, |r, j| r.saturating_sub(j.task_resources));
             if m.tasks.is_empty() {
                 m.idle_since = Some(self.now);
             }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -271,7 +271,7 @@
                 i.position(),
                 m.name,
                 m.state,
-                m.zone,
+                m.zone.position(),
                 m.current,
                 m.last_heard,
                 m.last_answer,
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -311,8 +311,8 @@
         (offer, pause_ms),
         (
             Offer {
-                kind: 0,
-                zone: 0,
+                machine_type: MachineTypeIndex::from_position(0),
+                zone: ZoneIndex::from_position(0),
                 spot: false
             },
             91_000
