--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -240,10 +240,10 @@
         if m.stopping == 0 {
             return m.free;
         }
-        let ending = m.tasks.iter().filter_map(|(j, t)| {
-            let job = self.job(*j);
+        let ending = m.tasks.iter().filter_map(|task| {
+            let job = self.job(task.job);
             job.active
-                .get(t)
+                .get(&task.number)
                 .filter(|a| a.stops())
                 .map(|_| job.task_resources)
         });
@@ -331,11 +331,11 @@
             let services = m
                 .tasks
                 .iter()
-                .all(|(j, _)| self.job(*j).record.spec.kind == Kind::Service);
-            let Some(&(j, t)) = m.tasks.iter().next().filter(|_| services) else {
+                .all(|task| self.job(task.job).record.spec.kind == Kind::Service);
+            let Some(&task) = m.tasks.iter().next().filter(|_| services) else {
                 continue;
             };
-            let job = self.job(j);
+            let job = self.job(task.job);
             let free = |o: &Machine| {
                 let same_zone =
                     o.zone == m.zone || !(job.record.spec.scatter || job.record.spec.together);
@@ -346,7 +346,7 @@
                     && job.task_resources.fits(o.free)
             };
             if self.machines().any(|(_, o)| free(o)) {
-                self.apply_event(j, t, TaskEvent::Stop { save: false });
+                self.apply_event(task, TaskEvent::Stop { save: false });
                 return;
             }
         }
--- a/src/scheduler/index.rs
+++ b/src/scheduler/index.rs
@@ -53,15 +53,14 @@
     pub(super) const UNKNOWN: MachineTypeIndex = MachineTypeIndex(usize::MAX);
 }
 
-/// Images and jobs have no index type of their own yet.
-impl DenseIndex for usize {
-    fn from_position(position: usize) -> Self {
-        position
-    }
+dense_index! {
+    /// Index of a job, valid while the job is present; a later job may get the same one.
+    JobIndex
+}
 
-    fn position(self) -> usize {
-        self
-    }
+dense_index! {
+    /// Index of an image.
+    ImageIndex
 }
 
 /// A vector that is read by one type of index.
@@ -121,6 +120,11 @@
             .map(|(position, row)| (I::from_position(position), row))
     }
 
+    /// All rows in ascending order of their indices.
+    pub(super) fn values(&self) -> impl Iterator<Item = &T> {
+        self.rows.iter()
+    }
+
     /// All rows, to be changed, in ascending order of their indices.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.rows.iter_mut()
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs at work: what is done, what is pending, what failed.
 
-use super::index::{MachineIndex, MachineTypeIndex, ZoneIndex};
-use super::tasks::{Phase, TaskAttempt, TaskEvent};
+use super::index::{ImageIndex, JobIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
+use super::tasks::{Phase, TaskAttempt, TaskEvent, TaskId};
 use super::{Scheduler, FAULTY_JOB_MACHINES, PROVEN_RUN_MS};
 use crate::placement;
 use crate::protocol::Kind;
@@ -16,7 +16,7 @@
     pub(super) version: u64,
     pub(super) submitted: u64,
     pub(super) team: Option<usize>,
-    pub(super) image: usize,
+    pub(super) image: ImageIndex,
     pub(super) class: usize,
     pub(super) task_resources: Resources,
     pub(super) types: Option<Vec<MachineTypeIndex>>,
@@ -170,10 +170,7 @@
         }
         let id = spec.id.clone();
         let job = self.new_job(record, version, done, wall_ms);
-        let i = self.free_jobs.pop().unwrap_or_else(|| {
-            self.jobs.push(None);
-            self.jobs.len() - 1
-        });
+        let i = self.free_jobs.pop().unwrap_or_else(|| self.jobs.push(None));
         let submitted = job.submitted;
         self.jobs[i] = Some(job);
         let at = self
@@ -255,17 +252,22 @@
         }
     }
 
-    pub(super) fn end_job(&mut self, i: usize) {
+    pub(super) fn end_job(&mut self, i: JobIndex) {
         self.job_mut(i).ended = true;
         for t in self.job(i).active.keys().copied().collect::<Vec<_>>() {
-            self.apply_event(i, t, TaskEvent::Stop { save: false });
+            self.apply_event(
+                TaskId { job: i, number: t },
+                TaskEvent::Stop { save: false },
+            );
         }
         self.changed = true;
     }
 
     /// Cancelled jobs of which nothing can run any more. Those still listed in the store may be dropped there.
     pub fn stopped_jobs(&mut self) -> Vec<String> {
-        let over: Vec<usize> = (0..self.jobs.len())
+        let over: Vec<JobIndex> = self
+            .jobs
+            .indices()
             .filter(|&i| {
                 self.jobs[i]
                     .as_ref()
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -1,6 +1,7 @@
 //! What is known of one machine.
 
-use super::index::{MachineTypeIndex, ZoneIndex};
+use super::index::{ImageIndex, JobIndex, MachineTypeIndex, ZoneIndex};
+use super::tasks::TaskId;
 use crate::placement::Capability;
 use crate::protocol::Command;
 use crate::resources::Resources;
@@ -70,7 +71,7 @@
     pub idle_since: Option<u64>,
     pub(super) address: String,
     pub(super) free: Resources,
-    pub(super) tasks: BTreeSet<(usize, u32)>,
+    pub(super) tasks: BTreeSet<TaskId>,
     /// CPUs in use by services.
     pub(super) service_cpus: u64,
     /// Tasks being stopped there.
@@ -98,9 +99,9 @@
     /// When its present session became known here: it may have begun only just before, with its full lease.
     pub(super) session_seen: u64,
     pub(super) notice_at: Option<u64>,
-    pub(super) images: VecDeque<usize>,
+    pub(super) images: VecDeque<ImageIndex>,
     pub(super) c: Capability,
-    pub(super) errors: Vec<usize>,
+    pub(super) errors: Vec<JobIndex>,
     /// Draining because of them.
     pub(super) faulty: bool,
     pub(super) not_before: u64,
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -7,7 +7,7 @@
 use super::tasks::{Phase, TaskEvent};
 use super::Scheduler;
 use crate::placement::Capability;
-use crate::protocol::{split_task, Report};
+use crate::protocol::Report;
 use crate::protocol::{Command, Kind};
 use crate::time::millis;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -91,14 +91,12 @@
         // A release executes late or not at all: what of ours has not been sent yet must not be any more.
         if next != MachineState::Up {
             let unsent: Vec<_> = self.machine(i).tasks.iter().copied().collect();
-            for (j, t) in unsent {
+            for task in unsent {
                 if self
-                    .job(j)
-                    .active
-                    .get(&t)
+                    .attempt(task)
                     .is_some_and(|a| a.phase == Phase::Assigned)
                 {
-                    self.apply_event(j, t, TaskEvent::Gone);
+                    self.apply_event(task, TaskEvent::Gone);
                 }
             }
         }
@@ -110,8 +108,8 @@
         let Some(i) = self.machine_index.remove(name) else {
             return;
         };
-        for (j, t) in self.machine(i).tasks.clone() {
-            self.apply_event(j, t, TaskEvent::Gone);
+        for task in self.machine(i).tasks.clone() {
+            self.apply_event(task, TaskEvent::Gone);
         }
         for image in self.machine(i).images.clone() {
             self.let_image_go(i, image);
@@ -119,7 +117,7 @@
         self.outbox.remove(&i);
         self.machines[i] = None;
         self.free_machines.push(i);
-        self.jobs.iter_mut().flatten().for_each(|j| {
+        self.jobs.values_mut().flatten().for_each(|j| {
             j.failed_on.remove(&i);
         });
         self.changed = true;
@@ -369,9 +367,9 @@
     }
 
     fn is_to_run(&self, task: &str, attempt: u64) -> bool {
-        let found = split_task(task).and_then(|(job, t)| Some((self.job_index.get(job)?, t)));
-        let active = found.and_then(|(j, t)| self.job(*j).active.get(&t));
-        active.is_some_and(|a| a.attempt == attempt && !a.stops())
+        self.find_task(task)
+            .and_then(|task| self.attempt(task))
+            .is_some_and(|a| a.attempt == attempt && !a.stops())
     }
 
     /// How much waits for a machine to be heard or proven gone, the most first: replicas, other tasks, nothing.
@@ -475,8 +473,8 @@
             };
             if !m.tasks.is_empty() && self.lease_over(m) {
                 tracing::info!(machine = %m.name, tasks = m.tasks.len(), "lease has run out");
-                for (j, t) in m.tasks.clone() {
-                    self.apply_event(j, t, TaskEvent::Gone);
+                for task in m.tasks.clone() {
+                    self.apply_event(task, TaskEvent::Gone);
                 }
                 // A worker that comes back is in its next session; nothing meant for the last one may reach it.
                 self.raise(i, "lease has run out");
@@ -486,14 +484,13 @@
             };
             let Some(at) = m.notice_at else { continue };
             self.enter(i, MachineState::Draining, "notice");
-            for (j, t) in self.machine(i).tasks.clone() {
-                let spec = &self.job(j).record.spec;
+            for task in self.machine(i).tasks.clone() {
+                let spec = &self.job(task.job).record.spec;
                 // Work that saves is stopped just in time to save; the rest may still finish.
                 let lead = millis(spec.save_s) + 2 * self.params.report_ms + 2000;
                 if spec.kind == Kind::Service || (spec.checkpoint_s > 0.0 && now + lead >= at) {
                     self.apply_event(
-                        j,
-                        t,
+                        task,
                         TaskEvent::Stop {
                             save: spec.checkpoint_s > 0.0,
                         },
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -23,13 +23,13 @@
 mod tasks;
 
 pub use demand::{UnmetDemand, Utilization};
-pub use index::{DenseIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
+pub use index::{DenseIndex, ImageIndex, JobIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
 pub use jobs::{DoneChunk, Job};
 pub use machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
 pub use params::{Params, TeamQuota};
 pub use reports::Arrival;
 pub use start_log::Append;
-pub use tasks::{Phase, TaskAttempt};
+pub use tasks::{Phase, TaskAttempt, TaskId};
 
 use crate::protocol::{MachineType, ReportReply};
 use crate::resources::{QuotaResources, Resources};
@@ -75,10 +75,10 @@
     now: u64,
     machine_types: MachineTypes,
     zones: Names<ZoneIndex>,
-    images: Names<usize>,
-    jobs: Vec<Option<Job>>,
-    free_jobs: Vec<usize>,
-    job_index: HashMap<String, usize>,
+    images: Names<ImageIndex>,
+    jobs: Table<JobIndex, Option<Job>>,
+    free_jobs: Vec<JobIndex>,
+    job_index: HashMap<String, JobIndex>,
     machines: Table<MachineIndex, Option<Machine>>,
     /// Indices of machines that are gone, for new ones: what grows with every machine ever rented is gone over at each tick.
     free_machines: Vec<MachineIndex>,
@@ -91,7 +91,7 @@
     /// Machines with starts or stops to be sent.
     outbox: BTreeSet<MachineIndex>,
     /// Machines that hold or are fetching an image.
-    holders: HashMap<usize, BTreeSet<MachineIndex>>,
+    holders: HashMap<ImageIndex, BTreeSet<MachineIndex>>,
     /// Nothing is placed before.
     place_from: u64,
     /// The last tick.
@@ -99,13 +99,13 @@
     /// When most of a zone was last quiet.
     out_at: HashMap<ZoneIndex, u64>,
     /// Jobs, the oldest submission first.
-    by_age: Vec<usize>,
+    by_age: Vec<JobIndex>,
     /// Finished ranges that are not stored yet, and since when.
-    dirty: BTreeMap<(usize, u32), u64>,
+    dirty: BTreeMap<(JobIndex, u32), u64>,
     fetch_rate: HashMap<MachineTypeIndex, f64>,
     boot_times: BootTimes,
     /// Production jobs that the last pass has left with tasks to place, in their order.
-    urgent: Vec<usize>,
+    urgent: Vec<JobIndex>,
     changed: bool,
 }
 
@@ -121,7 +121,7 @@
             machine_types: MachineTypes::default(),
             zones: Names::default(),
             images: Names::default(),
-            jobs: Vec::new(),
+            jobs: Table::default(),
             free_jobs: Vec::new(),
             job_index: HashMap::new(),
             machines: Table::default(),
@@ -247,7 +247,7 @@
 
     /// Jobs at work.
     pub fn jobs(&self) -> impl Iterator<Item = &Job> {
-        self.jobs.iter().flatten()
+        self.jobs.values().flatten()
     }
 
     fn machine(&self, i: MachineIndex) -> &Machine {
@@ -262,13 +262,13 @@
             .expect("indices of machines are only kept while the machine is present")
     }
 
-    fn job(&self, i: usize) -> &Job {
+    fn job(&self, i: JobIndex) -> &Job {
         self.jobs[i]
             .as_ref()
             .expect("indices of jobs are only kept while the job is present")
     }
 
-    fn job_mut(&mut self, i: usize) -> &mut Job {
+    fn job_mut(&mut self, i: JobIndex) -> &mut Job {
         self.jobs[i]
             .as_mut()
             .expect("indices of jobs are only kept while the job is present")
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,8 +1,8 @@
 //! Preemption: whose work is stopped to make room, or to let a team at its limit run what matters more.
 
 use super::demand::Pool;
-use super::index::{MachineIndex, ZoneIndex};
-use super::tasks::TaskEvent;
+use super::index::{JobIndex, MachineIndex, ZoneIndex};
+use super::tasks::{TaskEvent, TaskId};
 use super::Scheduler;
 use crate::protocol::Priority;
 use crate::resources::{QuotaResources, Resources};
@@ -30,8 +30,7 @@
     displaced: u32,
     /// The one that loses the least first.
     since: Reverse<u64>,
-    job: usize,
-    task: u32,
+    task: TaskId,
 }
 
 /// A task of a team at its limit that may be stopped for another one of the team; the least is stopped first.
@@ -44,8 +43,7 @@
     /// The room that comes free is of no use for the other job.
     elsewhere: bool,
     lost_ms: u64,
-    job: usize,
-    task: u32,
+    task: TaskId,
 }
 
 impl Scheduler {
@@ -81,7 +79,7 @@
     }
 
     /// Stops lower work of a job's own team, which is at its limit, for up to `n` of its tasks.
-    fn yield_quota(&mut self, j: usize, n: u32, ending: &mut [QuotaResources]) {
+    fn yield_quota(&mut self, j: JobIndex, n: u32, ending: &mut [QuotaResources]) {
         let Some(team) = self.job(j).team else { return };
         let mut wanted = self.quota_missing(j, team, n);
         let covered = wanted.min(ending[team]);
@@ -94,22 +92,22 @@
             if wanted == QuotaResources::ZERO {
                 break;
             }
-            let freed = self.job(victim.job).task_resources.quota();
-            self.displace(victim.job, victim.task, j, "preempted for quota");
+            let freed = self.job(victim.task.job).task_resources.quota();
+            self.displace(victim.task, j, "preempted for quota");
             wanted = wanted.saturating_sub(freed);
         }
     }
 
     /// What a team would have to free for `n` more tasks of a job. Where limits are lifted or lowered the team may be over them;
     /// then nothing of this helps.
-    fn quota_missing(&self, j: usize, team: usize, n: u32) -> QuotaResources {
+    fn quota_missing(&self, j: JobIndex, team: usize, n: u32) -> QuotaResources {
         let more = self.job(j).task_resources.quota().saturating_mul(n);
         let with_them = self.team_use[team].saturating_add(more);
         with_them.saturating_sub(self.params.teams[team].limit)
     }
 
     /// Lower work of a team, in the order in which it is stopped for a job of the same team.
-    fn quota_victims(&self, j: usize, team: usize) -> Vec<QuotaVictim> {
+    fn quota_victims(&self, j: JobIndex, team: usize) -> Vec<QuotaVictim> {
         let job = self.job(j);
         let holders = self.holders.get(&job.image);
         let mut victims = Vec::new();
@@ -133,8 +131,10 @@
                     } else {
                         self.now.saturating_sub(a.since)
                     },
-                    job: lower,
-                    task,
+                    task: TaskId {
+                        job: lower,
+                        number: task,
+                    },
                 });
             }
         }
@@ -146,7 +146,7 @@
     /// `zones`: what was found or won for the job in each zone already.
     pub(super) fn preempt(
         &mut self,
-        j: usize,
+        j: JobIndex,
         n: u32,
         room: &mut Pool,
         zones: &mut HashMap<ZoneIndex, u32>,
@@ -176,7 +176,7 @@
     }
 
     /// Machines on which a job might win room: holders first, so that the room won is used at once.
-    fn preemption_hosts(&self, j: usize) -> Vec<MachineIndex> {
+    fn preemption_hosts(&self, j: JobIndex) -> Vec<MachineIndex> {
         let job = self.job(j);
         let holders = self.holders.get(&job.image);
         let mut hosts: Vec<(bool, MachineIndex)> = self
@@ -192,7 +192,7 @@
     fn preempt_on(
         &mut self,
         i: MachineIndex,
-        j: usize,
+        j: JobIndex,
         n: u32,
         room: &mut Pool,
         zones: &mut HashMap<ZoneIndex, u32>,
@@ -206,14 +206,14 @@
             let mut chosen = Vec::new();
             while !task_resources.fits(free) {
                 let Some(victim) = victims.next() else { break };
-                free = free.saturating_add(self.job(victim.job).task_resources);
+                free = free.saturating_add(self.job(victim.task.job).task_resources);
                 chosen.push(victim);
             }
             if !task_resources.fits(free) {
                 break;
             }
             for victim in chosen {
-                self.displace(victim.job, victim.task, j, "preempted");
+                self.displace(victim.task, j, "preempted");
             }
             room.set_room(i, free.saturating_sub(task_resources));
             *zones.entry(zone).or_default() += 1;
@@ -223,13 +223,13 @@
     }
 
     /// Tasks on a machine that a job may displace, in the order in which they are stopped.
-    fn victims_on(&self, i: MachineIndex, j: usize) -> Vec<Victim> {
+    fn victims_on(&self, i: MachineIndex, j: JobIndex) -> Vec<Victim> {
         let job = self.job(j);
         let priority = job.record.spec.priority;
         let mut victims = Vec::new();
-        for &(other, task) in &self.machine(i).tasks {
-            let victim = self.job(other);
-            let Some(a) = victim.active.get(&task).filter(|a| !a.stops()) else {
+        for &task in &self.machine(i).tasks {
+            let victim = self.job(task.job);
+            let Some(a) = victim.active.get(&task.number).filter(|a| !a.stops()) else {
                 continue;
             };
             let spec = &victim.record.spec;
@@ -240,13 +240,12 @@
                 && victim.team != job.team
                 && spec.priority != Priority::Production;
             if lower || borrowed {
-                let displaced = victim.displaced.get(&task).copied().unwrap_or(0);
+                let displaced = victim.displaced.get(&task.number).copied().unwrap_or(0);
                 let (priority, since) = (Reverse(spec.priority), Reverse(a.since));
                 victims.push(Victim {
                     priority,
                     displaced,
                     since,
-                    job: other,
                     task,
                 });
             }
@@ -256,12 +255,16 @@
     }
 
     /// Stops a task to make room for a job.
-    fn displace(&mut self, victim: usize, task: u32, for_job: usize, reason: &'static str) {
-        let other = self.job(victim);
+    fn displace(&mut self, victim: TaskId, for_job: JobIndex, reason: &'static str) {
+        let other = self.job(victim.job);
         let save = other.record.spec.checkpoint_s > 0.0;
         let (id, for_id) = (&other.record.spec.id, &self.job(for_job).record.spec.id);
-        tracing::info!(job = %id, task, for_job = %for_id, "{reason}");
-        *self.job_mut(victim).displaced.entry(task).or_default() += 1;
-        self.apply_event(victim, task, TaskEvent::Stop { save });
+        tracing::info!(job = %id, task = victim.number, for_job = %for_id, "{reason}");
+        *self
+            .job_mut(victim.job)
+            .displaced
+            .entry(victim.number)
+            .or_default() += 1;
+        self.apply_event(victim, TaskEvent::Stop { save });
     }
 }
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -1,9 +1,9 @@
 //! Reports: what workers say of their machines, and what follows from it.
 
-use super::index::MachineIndex;
+use super::index::{ImageIndex, JobIndex, MachineIndex};
 use super::jobs::{bit, set_bit};
 use super::machine::MachineState;
-use super::tasks::{Phase, TaskAttempt, TaskEvent};
+use super::tasks::{Phase, TaskAttempt, TaskEvent, TaskId};
 use super::{ReportOutcome, Scheduler, TOKEN_BITS};
 use crate::protocol::{split_task, ExitReason, Report, TaskReport, TaskState};
 use crate::protocol::{Command, Kind, ReportReply};
@@ -220,27 +220,32 @@
         self.drop_unlisted(i, r, arrival, &listed)
     }
 
-    /// The job and the number of a task that a report names, if the job is known here.
-    fn find_task(&self, line: &TaskReport) -> Option<(usize, u32)> {
-        let (job, t) = split_task(&line.task)?;
-        Some((*self.job_index.get(job)?, t))
+    /// The task that a worker names, if its job is known here.
+    pub(super) fn find_task(&self, name: &str) -> Option<TaskId> {
+        let (job, number) = split_task(name)?;
+        let job = *self.job_index.get(job)?;
+        Some(TaskId { job, number })
+    }
+
+    /// The name of a task on the wire.
+    fn task_name(&self, task: TaskId) -> String {
+        format!("{}/{}", self.job(task.job).record.spec.id, task.number)
     }
 
     /// The same for a task that its job has.
-    fn known_task(&self, line: &TaskReport) -> Option<(usize, u32)> {
-        self.find_task(line)
-            .filter(|(j, t)| *t < self.job(*j).tasks())
+    fn known_task(&self, line: &TaskReport) -> Option<TaskId> {
+        self.find_task(&line.task)
+            .filter(|task| task.number < self.job(task.job).tasks())
     }
 
     /// The attempt that a line of a machine's report is about, if it is the one that is known to be there.
     fn attempt_here(
         &self,
         i: MachineIndex,
-        j: usize,
-        t: u32,
+        task: TaskId,
         line: &TaskReport,
     ) -> Option<TaskAttempt> {
-        let attempt = self.job(j).active.get(&t).copied();
+        let attempt = self.attempt(task).copied();
         attempt.filter(|a| a.machine == i && a.attempt == line.attempt)
     }
 
@@ -248,10 +253,10 @@
     /// here. Taken for a stray, it was once stopped and its task started elsewhere before it had ended.
     fn drop_replaced_attempts(&mut self, i: MachineIndex, r: &Report, arrival: Arrival) {
         for line in r.tasks.iter().filter(|l| l.state != TaskState::Exited) {
-            let Some((j, t)) = self.find_task(line) else {
+            let Some(task) = self.find_task(&line.task) else {
                 continue;
             };
-            let Some(a) = self.job(j).active.get(&t).copied() else {
+            let Some(a) = self.attempt(task).copied() else {
                 continue;
             };
             if a.machine != i || a.attempt == line.attempt || self.under_way(i, &a, r, arrival) {
@@ -262,7 +267,7 @@
                 .iter()
                 .any(|l| l.task == line.task && l.attempt == a.attempt);
             if a.phase != Phase::Assigned && !listed {
-                self.apply_event(j, t, TaskEvent::Gone);
+                self.apply_event(task, TaskEvent::Gone);
             }
         }
     }
@@ -272,25 +277,25 @@
         &mut self,
         i: MachineIndex,
         line: &TaskReport,
-        listed: &mut HashSet<(usize, u32)>,
+        listed: &mut HashSet<TaskId>,
         orders: &mut Vec<Command>,
     ) {
         let forget = Command::Forget {
             task: line.task.clone(),
             attempt: line.attempt,
         };
-        let Some((j, t)) = self.known_task(line) else {
+        let Some(task) = self.known_task(line) else {
             orders.push(forget);
             return;
         };
-        let attempt = self.attempt_here(i, j, t, line);
+        let attempt = self.attempt_here(i, task, line);
         if attempt.is_some_and(|a| a.phase == Phase::Assigned) {
             return;
         }
         if attempt.is_some() {
-            listed.insert((j, t));
+            listed.insert(task);
         }
-        if self.exited(i, j, t, line.reason, attempt) {
+        if self.exited(i, task, line.reason, attempt) {
             orders.push(forget);
         }
     }
@@ -300,7 +305,7 @@
         &mut self,
         i: MachineIndex,
         line: &TaskReport,
-        listed: &mut HashSet<(usize, u32)>,
+        listed: &mut HashSet<TaskId>,
         orders: &mut Vec<Command>,
     ) {
         let stop = |grace_s: f64| Command::Stop {
@@ -308,7 +313,7 @@
             attempt: line.attempt,
             grace_s,
         };
-        let Some((j, t)) = self.known_task(line) else {
+        let Some(task) = self.known_task(line) else {
             orders.push(stop(0.0));
             return;
         };
@@ -318,11 +323,10 @@
         } else {
             Phase::Running
         };
-        let job = self.job(j);
-        if !job.active.contains_key(&t) && !bit(&job.done, t) {
+        let job = self.job(task.job);
+        if !job.active.contains_key(&task.number) && !bit(&job.done, task.number) {
             self.apply_event(
-                j,
-                t,
+                task,
                 TaskEvent::Adopt {
                     machine: i,
                     attempt: line.attempt,
@@ -330,30 +334,30 @@
                 },
             );
             // Its line may have left the log.
-            self.log.wants(j, t, i, line.attempt);
-            if self.job(j).ended {
-                self.apply_event(j, t, TaskEvent::Stop { save: false });
+            self.log.wants(task, i, line.attempt);
+            if self.job(task.job).ended {
+                self.apply_event(task, TaskEvent::Stop { save: false });
             }
         }
-        let Some(a) = self.attempt_here(i, j, t, line) else {
+        let Some(a) = self.attempt_here(i, task, line) else {
             orders.push(stop(0.0));
             return;
         };
-        listed.insert((j, t));
-        if let Some(a) = self.job_mut(j).active.get_mut(&t) {
+        listed.insert(task);
+        if let Some(a) = self.job_mut(task.job).active.get_mut(&task.number) {
             a.shown = true;
         }
         if let Phase::Stopping { save } = a.phase {
             if !(save && line.state == TaskState::Saving) {
                 orders.push(stop(if save {
-                    self.job(j).record.spec.save_s
+                    self.job(task.job).record.spec.save_s
                 } else {
                     0.0
                 }));
             }
             return;
         }
-        self.show(i, j, t, a, phase);
+        self.show(i, task, a, phase);
     }
 
     /// What a machine does not list is not there, unless its start is still under way. True if a start in an answer to a
@@ -363,7 +367,7 @@
         i: MachineIndex,
         r: &Report,
         arrival: Arrival,
-        listed: &HashSet<(usize, u32)>,
+        listed: &HashSet<TaskId>,
     ) -> bool {
         let absent: Vec<_> = self
             .machine(i)
@@ -373,16 +377,16 @@
             .filter(|k| !listed.contains(k))
             .collect();
         let mut lost = false;
-        for (j, t) in absent {
-            let Some(a) = self.job(j).active.get(&t).copied() else {
+        for task in absent {
+            let Some(a) = self.attempt(task).copied() else {
                 continue;
             };
             if a.phase == Phase::Assigned || self.under_way(i, &a, r, arrival) {
                 continue;
             }
-            tracing::info!(job = %self.job(j).record.spec.id, task = t, machine = %self.machine(i).name, "task gone");
+            tracing::info!(job = %self.job(task.job).record.spec.id, task = task.number, machine = %self.machine(i).name, "task gone");
             lost |= !a.shown && !a.direct && a.token == r.token;
-            self.apply_event(j, t, TaskEvent::Gone);
+            self.apply_event(task, TaskEvent::Gone);
         }
         lost
     }
@@ -400,10 +404,10 @@
     }
 
     /// A live task's state as its worker tells it.
-    fn show(&mut self, i: MachineIndex, j: usize, t: u32, a: TaskAttempt, phase: Phase) {
-        let image = self.job(j).image;
+    fn show(&mut self, i: MachineIndex, task: TaskId, a: TaskAttempt, phase: Phase) {
+        let image = self.job(task.job).image;
         if phase == Phase::Running && a.phase != Phase::Running {
-            let size = self.job(j).record.spec.image_gb;
+            let size = self.job(task.job).record.spec.image_gb;
             let took = self.now.saturating_sub(a.since) as f64 / 1000.0;
             if a.phase == Phase::Fetching && took > 0.5 && size > 0.0 {
                 let machine_type = self.machine(i).machine_type;
@@ -415,17 +419,17 @@
             }
         }
         if a.phase != phase {
-            let (job, machine) = (self.job(j), self.machine(i));
+            let (job, machine) = (self.job(task.job), self.machine(i));
             let age_ms = self.now.saturating_sub(job.submitted);
             let held = machine.images.contains(&image);
-            tracing::info!(job = %job.record.spec.id, task = t, machine = %machine.name, ?phase, held, age_ms, "task");
+            tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name, ?phase, held, age_ms, "task");
         }
         self.hold_image(i, image);
-        self.apply_event(j, t, TaskEvent::Show(phase));
+        self.apply_event(task, TaskEvent::Show(phase));
     }
 
     /// Remembers which images a machine holds, the latest used last.
-    pub(super) fn hold_image(&mut self, i: MachineIndex, image: usize) {
+    pub(super) fn hold_image(&mut self, i: MachineIndex, image: ImageIndex) {
         let m = self.machine_mut(i);
         if m.images.back() == Some(&image) {
             return;
@@ -443,7 +447,7 @@
         }
     }
 
-    pub(super) fn let_image_go(&mut self, i: MachineIndex, image: usize) {
+    pub(super) fn let_image_go(&mut self, i: MachineIndex, image: ImageIndex) {
         if let Some(h) = self.holders.get_mut(&image) {
             h.remove(&i);
             if h.is_empty() {
@@ -456,49 +460,50 @@
     fn exited(
         &mut self,
         i: MachineIndex,
-        j: usize,
-        t: u32,
+        task: TaskId,
         reason: Option<ExitReason>,
         active: Option<TaskAttempt>,
     ) -> bool {
-        let job = self.job(j);
+        let job = self.job(task.job);
         if reason == Some(ExitReason::Done) && job.record.spec.kind != Kind::Service && !job.ended {
-            if !bit(&job.done, t) {
-                if job.active.contains_key(&t) && active.is_none() {
+            if !bit(&job.done, task.number) {
+                if job.active.contains_key(&task.number) && active.is_none() {
                     // The same task is at work elsewhere; this result is kept until that has ended.
                     return false;
                 }
-                self.finish(i, j, t, active);
+                self.finish(i, task, active);
             }
-            return bit(&self.job(j).saved, t);
+            return bit(&self.job(task.job).saved, task.number);
         }
         let Some(a) = active else { return true };
-        self.apply_event(j, t, TaskEvent::Gone);
+        self.apply_event(task, TaskEvent::Gone);
         if a.stops() {
             return true;
         }
         let now = self.now;
         match reason {
-            Some(ExitReason::Error) => self.failed(i, j),
+            Some(ExitReason::Error) => self.failed(i, task.job),
             Some(ExitReason::NoRoom) => self.machine_mut(i).not_before = now + 3000,
-            Some(ExitReason::Unknown) => self.job_mut(j).not_before = now + 2000,
+            Some(ExitReason::Unknown) => self.job_mut(task.job).not_before = now + 2000,
             _ => {}
         }
         true
     }
 
-    fn finish(&mut self, i: MachineIndex, j: usize, t: u32, active: Option<TaskAttempt>) {
+    fn finish(&mut self, i: MachineIndex, task: TaskId, active: Option<TaskAttempt>) {
         let now = self.now;
-        let job = self.job_mut(j);
-        set_bit(&mut job.done, t);
+        let job = self.job_mut(task.job);
+        set_bit(&mut job.done, task.number);
         job.done_n += 1;
-        job.returned.remove(&t);
+        job.returned.remove(&task.number);
         job.failures = 0;
-        self.dirty.entry((j, t / CHUNK)).or_insert(now);
+        self.dirty
+            .entry((task.job, task.number / CHUNK))
+            .or_insert(now);
         if let Some(a) = active {
             if a.phase == Phase::Running {
                 let took = now.saturating_sub(a.since) as f64;
-                let job = self.job_mut(j);
+                let job = self.job_mut(task.job);
                 job.finished_n += 1;
                 job.mean_ms += (took - job.mean_ms) / f64::from(job.finished_n);
                 let (class, mean, n) = (job.class, job.mean_ms, job.finished_n);
@@ -507,7 +512,7 @@
                 }
             }
             self.machine_mut(i).errors.clear();
-            self.apply_event(j, t, TaskEvent::Finished);
+            self.apply_event(task, TaskEvent::Finished);
         }
         self.changed = true;
     }
@@ -515,7 +520,7 @@
     /// A task failed: its machine is faulty, or its job has a mistake. A machine that fails tasks of several jobs is given
     /// up. A job of which nothing has finished and that fails elsewhere too says nothing of machines, and what was thought
     /// of them for its sake is taken back; once it has failed on several it is tried rarely, one task at a time.
-    fn failed(&mut self, i: MachineIndex, j: usize) {
+    fn failed(&mut self, i: MachineIndex, j: JobIndex) {
         let now = self.now;
         let job = self.job_mut(j);
         job.failures += 1;
@@ -536,12 +541,11 @@
         if m.errors.len() >= 2 {
             m.faulty = m.state == MachineState::Up;
             self.enter(i, MachineState::Draining, "fails tasks of several jobs");
-            for (j, t) in self.machine(i).tasks.clone() {
+            for task in self.machine(i).tasks.clone() {
                 self.apply_event(
-                    j,
-                    t,
+                    task,
                     TaskEvent::Stop {
-                        save: self.job(j).record.spec.checkpoint_s > 0.0,
+                        save: self.job(task.job).record.spec.checkpoint_s > 0.0,
                     },
                 );
             }
@@ -549,7 +553,7 @@
     }
 
     /// The failures of a job say nothing of machines: those given up for its sake are used again.
-    fn clear_suspicion(&mut self, j: usize) {
+    fn clear_suspicion(&mut self, j: JobIndex) {
         for i in self.machines.indices() {
             let Some(m) = self.machines[i].as_mut().filter(|m| m.errors.contains(&j)) else {
                 continue;
@@ -568,47 +572,47 @@
         direct: bool,
         orders: &mut Vec<Command>,
     ) {
-        for (j, t) in self.machine(i).tasks.clone() {
+        for task in self.machine(i).tasks.clone() {
             if orders.len() >= COMMANDS_PER_MESSAGE {
                 self.outbox.insert(i);
                 return;
             }
-            let Some(a) = self.job(j).active.get(&t).copied() else {
+            let Some(a) = self.attempt(task).copied() else {
                 continue;
             };
             if a.phase == Phase::Assigned && a.logged {
-                let task = format!("{}/{t}", self.job(j).record.spec.id);
+                let name = self.task_name(task);
                 let (machine, epoch) = (&self.machine(i).name, self.epoch);
                 let token = self.token(self.machine(i));
-                tracing::info!(job = %self.job(j).record.spec.id, task = t, %machine, epoch, direct, "start");
+                tracing::info!(job = %self.job(task.job).record.spec.id, task = task.number, %machine, epoch, direct, "start");
                 orders.push(Command::Start {
-                    task,
+                    task: name,
                     attempt: a.attempt,
                 });
-                self.apply_event(j, t, TaskEvent::Send { direct, token });
+                self.apply_event(task, TaskEvent::Send { direct, token });
             }
         }
     }
 
     /// Stops of a machine that were not sent yet. A late one does no harm: it names its attempt.
     pub(super) fn collect_stops(&mut self, i: MachineIndex, orders: &mut Vec<Command>) {
-        for (j, t) in self.machine(i).tasks.clone() {
+        for task in self.machine(i).tasks.clone() {
             if orders.len() >= COMMANDS_PER_MESSAGE {
                 self.outbox.insert(i);
                 return;
             }
-            let job = self.jobs[j]
+            let job = self.jobs[task.job]
                 .as_mut()
                 .expect("accounted tasks belong to a present job");
-            let Some(a) = job.active.get_mut(&t) else {
+            let Some(a) = job.active.get_mut(&task.number) else {
                 continue;
             };
             if let (Phase::Stopping { save }, false) = (a.phase, a.stop_sent) {
                 a.stop_sent = true;
                 let grace_s = if save { job.record.spec.save_s } else { 0.0 };
-                let task = format!("{}/{t}", job.record.spec.id);
+                let name = format!("{}/{}", job.record.spec.id, task.number);
                 orders.push(Command::Stop {
-                    task,
+                    task: name,
                     attempt: a.attempt,
                     grace_s,
                 });
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -1,9 +1,9 @@
 //! Where tasks go: the order of jobs, what may host them, and one pass over both.
 
-use super::index::{DenseIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
+use super::index::{DenseIndex, JobIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
 use super::jobs::Job;
 use super::machine::{Machine, MachineState};
-use super::tasks::{Phase, TaskEvent};
+use super::tasks::{Phase, TaskEvent, TaskId};
 use super::{Scheduler, TOKEN_BITS};
 use crate::placement;
 use crate::placement::{Ask, Candidate, CLASSES};
@@ -67,7 +67,7 @@
 
 impl Scheduler {
     /// Jobs with tasks to place, in the order in which they are served.
-    pub(super) fn queue(&mut self) -> Vec<usize> {
+    pub(super) fn queue(&mut self) -> Vec<JobIndex> {
         let mut asked = vec![QuotaResources::ZERO; self.params.teams.len()];
         let mut out = Vec::new();
         let now = self.now;
@@ -306,9 +306,9 @@
     /// When a machine's tasks are expected to end, less what others wait for already.
     fn ends_s(&self, i: MachineIndex, m: &Machine, job: &Job, pass: &Pass) -> Vec<f64> {
         let c = m.c.get(job.class).unwrap_or(1.0);
-        let rest = m.tasks.iter().filter_map(|(j, t)| {
-            let other = self.jobs[*j].as_ref()?;
-            let a = other.active.get(t)?;
+        let rest = m.tasks.iter().filter_map(|task| {
+            let other = self.jobs[task.job].as_ref()?;
+            let a = other.active.get(&task.number)?;
             let spent = if a.phase == Phase::Running {
                 self.now.saturating_sub(a.since)
             } else {
@@ -329,7 +329,7 @@
         )
     }
 
-    fn place_job(&mut self, j: usize, pass: &mut Pass) {
+    fn place_job(&mut self, j: JobIndex, pass: &mut Pass) {
         let job = self.job(j);
         let whole = job.record.spec.kind == Kind::Gang;
         let wanted = job.wanted(self.now).min(self.quota_room(job));
@@ -421,7 +421,8 @@
                 };
                 self.attempts += u64::from(!whole);
                 let attempt = (self.epoch << TOKEN_BITS) + self.attempts;
-                self.apply_event(j, t, TaskEvent::Assign { machine, attempt });
+                let task = TaskId { job: j, number: t };
+                self.apply_event(task, TaskEvent::Assign { machine, attempt });
                 left -= 1;
             }
         }
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -8,7 +8,7 @@
 
 use super::index::MachineIndex;
 use super::jobs::bit;
-use super::tasks::{Phase, TaskEvent};
+use super::tasks::{Phase, TaskEvent, TaskId};
 use super::Scheduler;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -16,8 +16,7 @@
 /// A start that is or will be in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Line {
-    job: usize,
-    task: u32,
+    task: TaskId,
     machine: MachineIndex,
     attempt: u64,
 }
@@ -46,9 +45,8 @@
 
 impl StartLog {
     /// An assigned start needs its line.
-    pub(super) fn wants(&mut self, job: usize, task: u32, machine: MachineIndex, attempt: u64) {
+    pub(super) fn wants(&mut self, task: TaskId, machine: MachineIndex, attempt: u64) {
         self.wanted.push_back(Line {
-            job,
             task,
             machine,
             attempt,
@@ -111,8 +109,8 @@
 
 impl Scheduler {
     fn at_work(&self, l: &Line) -> bool {
-        let job = self.jobs[l.job].as_ref();
-        job.and_then(|j| j.active.get(&l.task))
+        let job = self.jobs[l.task.job].as_ref();
+        job.and_then(|j| j.active.get(&l.task.number))
             .is_some_and(|a| a.attempt == l.attempt && a.machine == l.machine)
     }
 
@@ -158,15 +156,15 @@
             for l in wanted.iter().take(room) {
                 // What a report has shown is there, whatever has become of its job; only a start needs its job.
                 let starts = self
-                    .job(l.job)
+                    .job(l.task.job)
                     .active
-                    .get(&l.task)
+                    .get(&l.task.number)
                     .is_some_and(|a| a.phase == Phase::Assigned);
-                if starts && !jobs.contains(&l.job) {
+                if starts && !jobs.contains(&l.task.job) {
                     if jobs.len() == most {
                         break;
                     }
-                    jobs.push(l.job);
+                    jobs.push(l.task.job);
                 }
                 n += 1;
             }
@@ -194,7 +192,7 @@
 
     fn text(&self, lines: &[Line]) -> String {
         let mut sorted: Vec<&Line> = lines.iter().collect();
-        sorted.sort_unstable_by_key(|l| (l.machine, l.job, l.task));
+        sorted.sort_unstable_by_key(|l| (l.machine, l.task));
         let mut out = String::with_capacity(lines.len() * 24);
         let (mut machine, mut job) = (None, None);
         for l in sorted {
@@ -213,11 +211,11 @@
                 );
                 (machine, job) = (Some(l.machine), None);
             }
-            if job != Some(l.job) {
-                let _ = write!(out, " /{}", self.job(l.job).record.spec.id);
-                job = Some(l.job);
+            if job != Some(l.task.job) {
+                let _ = write!(out, " /{}", self.job(l.task.job).record.spec.id);
+                job = Some(l.task.job);
             }
-            let _ = write!(out, " {}.{:x}", l.task, l.attempt);
+            let _ = write!(out, " {}.{:x}", l.task.number, l.attempt);
         }
         out
     }
@@ -233,7 +231,7 @@
         );
         for l in done.fresh {
             if self.at_work(&l) {
-                self.apply_event(l.job, l.task, TaskEvent::Log);
+                self.apply_event(l.task, TaskEvent::Log);
             }
         }
     }
@@ -252,12 +250,11 @@
         }
     }
 
-    fn line(&self, (name, _, job, task, attempt): Read) -> Option<Line> {
+    fn line(&self, (name, _, job, number, attempt): Read) -> Option<Line> {
         let machine = *self.machine_index.get(name)?;
         let job = *self.job_index.get(job)?;
-        (task < self.job(job).tasks()).then_some(Line {
-            job,
-            task,
+        (number < self.job(job).tasks()).then_some(Line {
+            task: TaskId { job, number },
             machine,
             attempt,
         })
@@ -275,7 +272,7 @@
     /// Takes in the log of earlier epochs, after the machines and jobs: each task's last line says where it may be.
     /// Machines that no rental names any more were released, and lines of jobs that are over are of no interest.
     pub fn inherit<'a>(&mut self, slots: impl Iterator<Item = (u32, u64, &'a str)>) {
-        let mut last: BTreeMap<(usize, u32), LatestStart> = BTreeMap::new();
+        let mut last: BTreeMap<TaskId, LatestStart> = BTreeMap::new();
         for (slot, version, text) in slots {
             let mut lines = Vec::new();
             for read in parse(text) {
@@ -286,7 +283,12 @@
                             machine: None,
                             attempt: read.4,
                         };
-                        let known = last.entry((job, read.3)).or_insert(gone);
+                        let known = last
+                            .entry(TaskId {
+                                job,
+                                number: read.3,
+                            })
+                            .or_insert(gone);
                         if known.attempt < gone.attempt {
                             *known = gone;
                         }
@@ -300,38 +302,37 @@
                 lines.push(line);
                 // What was started there has its image there, or on its way. Without this a new leader knew no holders but on
                 // machines that it had heard, and when a cut zone was back, all of it fetched anew.
-                let image = self.job(line.job).image;
+                let image = self.job(line.task.job).image;
                 self.hold_image(line.machine, image);
                 let start = LatestStart {
                     machine: Some(line.machine),
                     attempt: line.attempt,
                 };
-                let known = last.entry((line.job, line.task)).or_insert(start);
+                let known = last.entry(line.task).or_insert(start);
                 if known.attempt < start.attempt {
                     *known = start;
                 }
             }
             self.log.slots.insert(slot, Slot { version, lines });
         }
-        for ((j, t), start) in last {
+        for (task, start) in last {
             let Some(machine) = start.machine else {
                 continue;
             };
             // A stored result was reported by the task's last attempt: nothing of it runs any more.
-            if bit(&self.job(j).done, t) {
+            if bit(&self.job(task.job).done, task.number) {
                 continue;
             }
             self.apply_event(
-                j,
-                t,
+                task,
                 TaskEvent::Adopt {
                     machine,
                     attempt: start.attempt,
                     phase: Phase::Sent,
                 },
             );
-            if self.job(j).ended {
-                self.apply_event(j, t, TaskEvent::Stop { save: false });
+            if self.job(task.job).ended {
+                self.apply_event(task, TaskEvent::Stop { save: false });
             }
             // An earlier leader may have renewed its lease until its authority to do so ended.
             let until = self.now + self.params.grace_ms + self.params.grace_ms / 500;
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -1,10 +1,19 @@
 //! Tasks that are or may be on a machine, and the one function for every change of them.
 
-use super::index::MachineIndex;
+use super::index::{JobIndex, MachineIndex};
 use super::jobs::bit;
 use super::Scheduler;
 use crate::protocol::Kind;
 
+/// A task of a present job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TaskId {
+    /// Its job.
+    pub job: JobIndex,
+    /// Its number in the job, from 0 on.
+    pub number: u32,
+}
+
 /// Where an active task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
@@ -164,71 +173,79 @@
 }
 
 impl Scheduler {
+    /// The attempt of a task that is or may be on a machine.
+    pub(super) fn attempt(&self, task: TaskId) -> Option<&TaskAttempt> {
+        self.job(task.job).active.get(&task.number)
+    }
+
     /// The one function for every change of a task.
-    pub(super) fn apply_event(&mut self, j: usize, t: u32, event: TaskEvent) {
-        let old = self.job(j).active.get(&t).copied();
+    pub(super) fn apply_event(&mut self, task: TaskId, event: TaskEvent) {
+        let old = self.attempt(task).copied();
         let next = match next_attempt(old, event, self.now) {
             Transition::Unchanged => return,
             Transition::To(attempt) => Some(attempt),
             Transition::Gone => None,
         };
-        self.replace_attempt(j, t, old, next);
+        self.replace_attempt(task, old, next);
         if next.is_none() {
-            self.stop_broken_gang(j, t);
+            self.stop_broken_gang(task);
         }
-        self.count_change(j, old, next);
-        self.request_follow_up(j, t, old, next);
+        self.count_change(task, old, next);
+        self.request_follow_up(task, old, next);
     }
 
     /// Puts a task's new state in the place of its old one.
     fn replace_attempt(
         &mut self,
-        j: usize,
-        t: u32,
+        task: TaskId,
         old: Option<TaskAttempt>,
         next: Option<TaskAttempt>,
     ) {
         let now = self.now;
-        let job = self.jobs[j]
+        let job = self.jobs[task.job]
             .as_mut()
             .expect("a task that changes belongs to a present job");
         match (old, next) {
             (None, Some(n)) => {
                 job.placed_at = now;
-                job.active.insert(t, n);
-                self.account(j, t, n.machine, true);
+                job.active.insert(task.number, n);
+                self.account(task, n.machine, true);
             }
             (Some(o), None) => {
-                job.active.remove(&t);
-                if !bit(&job.done, t) {
-                    job.returned.insert(t);
+                job.active.remove(&task.number);
+                if !bit(&job.done, task.number) {
+                    job.returned.insert(task.number);
                 }
-                self.account(j, t, o.machine, false);
+                self.account(task, o.machine, false);
             }
             (Some(_), Some(n)) => {
-                job.active.insert(t, n);
+                job.active.insert(task.number, n);
             }
             (None, None) => {}
         }
     }
 
     /// A gang that has lost a task is stopped, to start again as a whole.
-    fn stop_broken_gang(&mut self, j: usize, t: u32) {
-        let job = self.job(j);
-        if job.record.spec.kind != Kind::Gang || bit(&job.done, t) {
+    fn stop_broken_gang(&mut self, task: TaskId) {
+        let job = self.job(task.job);
+        if job.record.spec.kind != Kind::Gang || bit(&job.done, task.number) {
             return;
         }
         let save = job.record.spec.checkpoint_s > 0.0;
         for other in job.active.keys().copied().collect::<Vec<_>>() {
-            self.apply_event(j, other, TaskEvent::Stop { save });
+            let other = TaskId {
+                job: task.job,
+                number: other,
+            };
+            self.apply_event(other, TaskEvent::Stop { save });
         }
     }
 
     /// Keeps the counts of running and stopping tasks.
-    fn count_change(&mut self, j: usize, old: Option<TaskAttempt>, next: Option<TaskAttempt>) {
+    fn count_change(&mut self, task: TaskId, old: Option<TaskAttempt>, next: Option<TaskAttempt>) {
         let runs = |a: Option<TaskAttempt>| a.is_some_and(|a| a.runs());
         let stops = |a: Option<TaskAttempt>| a.is_some_and(|a| a.stops());
-        let job = self.job_mut(j);
+        let job = self.job_mut(task.job);
         job.running = job.running + u32::from(runs(next)) - u32::from(runs(old));
         let freed = job.task_resources.quota();
         if let Some(team) = job.team.filter(|_| stops(next) != stops(old)) {
@@ -248,8 +265,7 @@
     /// Asks for what has to follow a change: a line in the start log, a command, a new look at what can be placed.
     fn request_follow_up(
         &mut self,
-        j: usize,
-        t: u32,
+        task: TaskId,
         old: Option<TaskAttempt>,
         next: Option<TaskAttempt>,
     ) {
@@ -258,7 +274,7 @@
         };
         match next {
             Some(a) if a.phase == Phase::Assigned && !a.logged => {
-                self.log.wants(j, t, at, a.attempt);
+                self.log.wants(task, at, a.attempt);
             }
             Some(a) if a.phase == Phase::Assigned || (a.stops() && !a.stop_sent) => {
                 self.outbox.insert(at);
@@ -269,8 +285,8 @@
         }
     }
 
-    pub(super) fn account(&mut self, j: usize, t: u32, machine: MachineIndex, enter: bool) {
-        let job = self.jobs[j]
+    pub(super) fn account(&mut self, task: TaskId, machine: MachineIndex, enter: bool) {
+        let job = self.jobs[task.job]
             .as_mut()
             .expect("accounted tasks belong to a present job");
         let m = self.machines[machine]
@@ -279,7 +295,7 @@
         let zone = job.zone_use.entry(m.zone).or_default();
         let team = job.team.map(|t| &mut self.team_use[t]);
         if enter {
-            m.tasks.insert((j, t));
+            m.tasks.insert(task);
             m.service_cpus += if job.record.spec.kind == Kind::Service {
                 job.task_resources.cpu_milli
             } else {
@@ -292,7 +308,7 @@
             }
             m.idle_since = None;
         } else {
-            m.tasks.remove(&(j, t));
+            m.tasks.remove(&task);
             m.service_cpus -= if job.record.spec.kind == Kind::Service {
                 job.task_resources.cpu_milli
             } else {
@@ -306,7 +322,7 @@
             m.free = m
                 .tasks
                 .iter()
-                .filter_map(|(j, _)| self.jobs[*j].as_ref())
+                .filter_map(|task| self.jobs[task.job].as_ref())
                 .fold(capacity, |r, j| r.saturating_sub(j.task_resources));
             if m.tasks.is_empty() {
                 m.idle_since = Some(self.now);
