--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -55,7 +55,7 @@
     fn started(&mut self, _: &mut Self::Context) {
         let s = &self.shared;
         actix::spawn(s.clone().sync());
-        actix::spawn(s.clone().read_barrier());
+        actix::spawn(s.clone().read_barrier_loop());
         actix::spawn(s.clone().leadership());
         actix::spawn(s.clone().ticks());
         actix::spawn(s.clone().start_log());
--- a/src/controller/read_barrier.rs
+++ b/src/controller/read_barrier.rs
@@ -1,69 +1,97 @@
-//! Reads that are at least as new as the moment at which they were asked for.
+//! Makes reads of the replica linearizable: sends read barriers for the reads that wait, and keeps the leader's authority
+//! current with them.
 
 use super::handles::{pause, Handles};
+use super::state::ControllerState;
 use crate::coordination::leadership::LeadershipEvent;
+use crate::coordination::linearizable_reads::ReadBatch;
 use crate::protocol::Txn;
 use crate::store::{self, guard};
 use crate::time::Timestamp;
 use std::time::Duration;
-use tokio::sync::oneshot;
+
+/// Time in which reads are collected before a barrier is sent for all of them.
+const COLLECTION_MS: u64 = 40;
+/// Time after the sending of a barrier before reads are collected for the next one.
+const BARRIER_PAUSE_MS: u64 = 60;
+/// Time within which the replica has to reach the revision of a read's barrier.
+const READ_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// The replica did not catch up in time with the moment of a read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("the replica did not catch up in time")]
+pub(super) struct ReplicaLags;
+
+/// A read barrier to be sent.
+struct ReadBarrier {
+    requested_at: Timestamp,
+    transaction: Txn,
+    batch: ReadBatch,
+}
 
 impl Handles {
-    /// Answers readers: one compare-only transaction gives the revision that their answers must have reached.
-    pub(super) async fn read_barrier(self) {
+    /// Sends read barriers: one for all reads of a moment, and one for each renewal of the leader lease, on which the leader's
+    /// authority depends.
+    pub(super) async fn read_barrier_loop(self) {
         loop {
             self.read_requested.notified().await;
-            pause(40).await;
-            let (readers, txn, leads, sent) = {
-                let mut controller = self.state.borrow_mut();
-                let (leads, sent) = (controller.term().is_some(), controller.now());
-                let version = controller.replica.epoch.as_ref().map_or(0, |e| e.version);
-                let txn = Txn {
-                    guards: vec![guard(store::epoch_key(), version)],
-                    apply: Vec::new(),
-                };
-                (
-                    std::mem::take(&mut controller.pending_reads),
-                    txn,
-                    leads,
-                    sent,
-                )
-            };
-            if readers.is_empty() && !leads {
+            pause(COLLECTION_MS).await;
+            let Some(barrier) = self.with_state(ControllerState::next_read_barrier) else {
                 continue;
-            }
-            let http = self.clone();
-            actix::spawn(async move {
-                if let Ok(revision) = http.record_store_answer(http.store.barrier(&txn).await) {
-                    http.state
-                        .borrow_mut()
-                        .lead_event(LeadershipEvent::RevisionRead {
-                            requested_at: Timestamp::from_millis(sent),
-                            revision,
-                        });
-                    readers.into_iter().for_each(|r| {
-                        let _ = r.send(revision);
-                    });
-                }
-            });
-            pause(60).await;
+            };
+            actix::spawn(self.clone().send_read_barrier(barrier));
+            pause(BARRIER_PAUSE_MS).await;
         }
     }
 
-    /// Waits until the mirror is at least as new as this moment.
-    pub(super) async fn current(&self) -> bool {
-        let (tx, rx) = oneshot::channel();
-        self.state.borrow_mut().pending_reads.push(tx);
+    async fn send_read_barrier(self, barrier: ReadBarrier) {
+        let answer = self.store.barrier(&barrier.transaction).await;
+        // If the barrier failed, its reads fail with the batch that is dropped here.
+        let Ok(revision) = self.record_store_answer(answer) else {
+            return;
+        };
+        self.with_state(|state| {
+            state.lead_event(LeadershipEvent::RevisionRead {
+                requested_at: barrier.requested_at,
+                revision,
+            });
+        });
+        barrier.batch.resolve(revision);
+    }
+
+    /// Waits until the replica is at least as new as the moment of this call.
+    pub(super) async fn wait_for_linearizable_read(&self) -> Result<(), ReplicaLags> {
+        let revision = self.with_state(|state| state.pending_reads.register());
         self.read_requested.notify_one();
-        let wait = async {
-            let revision = rx.await.ok()?;
-            let mut seen = self.replica_revision.subscribe();
-            seen.wait_for(|r| *r >= revision).await.ok()?;
-            Some(())
+        let catch_up = async {
+            let revision = revision.await.map_err(|_| ReplicaLags)?;
+            let mut replica_revision = self.replica_revision.subscribe();
+            let reached = replica_revision
+                .wait_for(|reached| *reached >= revision)
+                .await;
+            reached.map(drop).map_err(|_| ReplicaLags)
         };
-        matches!(
-            tokio::time::timeout(Duration::from_millis(1500), wait).await,
-            Ok(Some(()))
-        )
+        tokio::time::timeout(READ_TIMEOUT, catch_up)
+            .await
+            .unwrap_or(Err(ReplicaLags))
+    }
+}
+
+impl ControllerState {
+    /// The barrier for the reads that wait; a leader sends one also when none waits.
+    fn next_read_barrier(&mut self) -> Option<ReadBarrier> {
+        let batch = self.pending_reads.take_batch();
+        if batch.is_empty() && self.term().is_none() {
+            return None;
+        }
+        let epoch_version = self.replica.epoch.as_ref().map_or(0, |epoch| epoch.version);
+        Some(ReadBarrier {
+            requested_at: Timestamp::from_millis(self.now()),
+            transaction: Txn {
+                guards: vec![guard(store::epoch_key(), epoch_version)],
+                apply: Vec::new(),
+            },
+            batch,
+        })
     }
 }
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -8,6 +8,7 @@
 use crate::autoscaler::Fleet;
 use crate::config::Settings;
 use crate::coordination::leadership::{Authority, Leadership, LeadershipEvent, Term};
+use crate::coordination::linearizable_reads::PendingReads;
 use crate::coordination::peers::{CancellationNotices, PeerHealth};
 use crate::protocol::MachineType;
 use crate::scheduler::Scheduler;
@@ -15,7 +16,6 @@
 use crate::time::{duration, Timestamp};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tokio::sync::oneshot;
 
 /// Most unregistered machines that are remembered at a time, so that reports in made-up names cost bounded memory; some times
 /// the largest fleet. The rest is remembered when it reports or is listed again.
@@ -73,7 +73,7 @@
     pub(super) gone: HashSet<String>,
     pub(super) unregistered: BTreeMap<String, UnregisteredMachine>,
     pub(super) rental_requests_made: u64,
-    pub(super) pending_reads: Vec<oneshot::Sender<u64>>,
+    pub(super) pending_reads: PendingReads,
     pub(super) user_changes: Pacer,
     /// How often the cloud may be called.
     pub(super) cloud_calls: TokenBucket,
@@ -122,7 +122,7 @@
             gone: HashSet::new(),
             unregistered: BTreeMap::new(),
             rental_requests_made: 0,
-            pending_reads: Vec::new(),
+            pending_reads: PendingReads::default(),
             user_changes: Pacer::new(user_changes),
             cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
             user_reads: TokenBucket::new(user_reads, user_reads),
--- a/src/controller/user_requests/poll.rs
+++ b/src/controller/user_requests/poll.rs
@@ -18,7 +18,7 @@
         if let Some(final_state) = self.remembered_final_state(id) {
             return final_outcome(id, final_state);
         }
-        if !self.current().await {
+        if self.wait_for_linearizable_read().await.is_err() {
             return JobOutcome::RETRY_SOON;
         }
         if let Some(view) = self.read_state(|state| state.job_view(id)) {
--- /dev/null
+++ b/src/coordination/linearizable_reads/tests.rs
@@ -0,0 +1,19 @@
+//! Which reads a barrier serves.
+
+use super::*;
+
+#[test]
+fn a_barrier_serves_the_reads_requested_before_it_was_sent() {
+    let mut pending_reads = PendingReads::default();
+    assert!(pending_reads.take_batch().is_empty());
+    let (mut first, mut second) = (pending_reads.register(), pending_reads.register());
+    let batch = pending_reads.take_batch();
+    let mut later = pending_reads.register();
+    assert!(!batch.is_empty());
+    batch.resolve(7);
+    assert_eq!((first.try_recv(), second.try_recv()), (Ok(7), Ok(7)));
+    assert_eq!(later.try_recv(), Err(oneshot::error::TryRecvError::Empty));
+    // A barrier that fails fails its reads.
+    drop(pending_reads.take_batch());
+    assert_eq!(later.try_recv(), Err(oneshot::error::TryRecvError::Closed));
+}
