--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -15,12 +15,11 @@
 use rand::Rng;
 use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::Instant;
 use tokio::sync::{watch, Notify};
 
 /// The actor.
 pub struct Node {
-    shared: Handles,
+    handles: Handles,
 }
 
 impl Node {
@@ -31,8 +30,8 @@
         let http = worker::http_client(connections);
         let incarnation = rand::thread_rng().gen::<u64>() >> 1;
         let external = settings.platform.external.clone();
-        let controller = ControllerState::new(settings, incarnation, Clock::Steady(Instant::now()));
-        let shared = Handles {
+        let controller = ControllerState::new(settings, incarnation, Clock::start());
+        let handles = Handles {
             state: Rc::new(RefCell::new(controller)),
             store: StoreClient::new(http.clone(), external.state),
             cloud: CloudClient::new(http.clone(), external.cloud),
@@ -45,31 +44,34 @@
             start_log_requested: Rc::new(Notify::new()),
             leadership_acquired: Rc::new(Notify::new()),
         };
-        Node { shared }
+        Node { handles }
     }
 }
 
 impl Actor for Node {
     type Context = Context<Self>;
 
+    /// Spawns the loops. None of them returns: they run until the process ends, which keeps nothing that is not in the store,
+    /// so that there is nothing to clean up. They are cancelled by the end of the runtime that [`crate::service::run`] owns,
+    /// and nowhere else.
     fn started(&mut self, _: &mut Self::Context) {
-        let s = &self.shared;
-        actix::spawn(s.clone().sync());
-        actix::spawn(s.clone().read_barrier_loop());
-        actix::spawn(s.clone().leadership());
-        actix::spawn(s.clone().ticks());
-        actix::spawn(s.clone().start_log());
-        actix::spawn(s.clone().flush());
-        actix::spawn(s.clone().fleet());
-        actix::spawn(s.clone().peers());
-        actix::spawn(s.clone().tell_cancelled());
+        let handles = || self.handles.clone();
+        actix::spawn(handles().run_watch_loop());
+        actix::spawn(handles().read_barrier_loop());
+        actix::spawn(handles().run_election_loop());
+        actix::spawn(handles().run_scheduling_loop());
+        actix::spawn(handles().run_start_log_loop());
+        actix::spawn(handles().run_flush_loop());
+        actix::spawn(handles().fleet());
+        actix::spawn(handles().peers());
+        actix::spawn(handles().tell_cancelled());
     }
 }
 
 impl Handler<Submit> for Node {
     type Result = ResponseFuture<JobOutcome>;
     fn handle(&mut self, m: Submit, _: &mut Self::Context) -> Self::Result {
-        let handles = self.shared.clone();
+        let handles = self.handles.clone();
         Box::pin(async move { handles.submit(m.0).await })
     }
 }
@@ -77,7 +79,7 @@
 impl Handler<Poll> for Node {
     type Result = ResponseFuture<JobOutcome>;
     fn handle(&mut self, m: Poll, _: &mut Self::Context) -> Self::Result {
-        let handles = self.shared.clone();
+        let handles = self.handles.clone();
         Box::pin(async move { handles.poll(&m.0).await })
     }
 }
@@ -85,7 +87,7 @@
 impl Handler<Abort> for Node {
     type Result = ResponseFuture<JobOutcome>;
     fn handle(&mut self, m: Abort, _: &mut Self::Context) -> Self::Result {
-        let handles = self.shared.clone();
+        let handles = self.handles.clone();
         Box::pin(async move { handles.cancel(&m.0).await })
     }
 }
@@ -93,39 +95,42 @@
 impl Handler<Health> for Node {
     type Result = bool;
     fn handle(&mut self, _: Health, _: &mut Self::Context) -> bool {
-        self.shared.state.borrow().healthy()
+        self.handles.read_state(ControllerState::is_healthy)
     }
 }
 
 impl Handler<WorkerReport> for Node {
     type Result = MessageResult<WorkerReport>;
     fn handle(&mut self, m: WorkerReport, _: &mut Self::Context) -> Self::Result {
-        let mut controller = self.shared.state.borrow_mut();
-        let outcome = controller.report(&m.0);
-        if controller.needs_pass() {
-            self.shared.round_requested.notify_one();
+        let (response, needs_round) = self.handles.with_state(|state| {
+            let response = HeartbeatResponse {
+                outcome: state.handle_heartbeat(&m.0),
+                valid_until: state.answer_valid_until(),
+            };
+            (response, state.needs_round())
+        });
+        if needs_round {
+            self.handles.round_requested.notify_one();
         }
-        MessageResult(HeartbeatResponse {
-            outcome,
-            valid_until: controller.answer_valid_until(),
-        })
+        MessageResult(response)
     }
 }
 
 impl Handler<PeerView> for Node {
     type Result = MessageResult<PeerView>;
     fn handle(&mut self, m: PeerView, _: &mut Self::Context) -> Self::Result {
-        let mut controller = self.shared.state.borrow_mut();
-        controller.take_view(m.0);
-        MessageResult(controller.own_view())
+        MessageResult(self.handles.with_state(|state| {
+            state.take_view(m.0);
+            state.own_view()
+        }))
     }
 }
 
 impl Handler<PeerCancelled> for Node {
     type Result = MessageResult<PeerCancelled>;
     fn handle(&mut self, m: PeerCancelled, _: &mut Self::Context) -> Self::Result {
-        self.shared.round_requested.notify_one();
-        self.shared.cancellation_recorded.notify_one();
-        MessageResult(self.shared.state.borrow_mut().take_cancelled(&m.0))
+        self.handles.round_requested.notify_one();
+        self.handles.cancellation_recorded.notify_one();
+        MessageResult(self.handles.with_state(|state| state.take_cancelled(&m.0)))
     }
 }
--- a/src/controller/cancellation_broadcast.rs
+++ b/src/controller/cancellation_broadcast.rs
@@ -1,7 +1,7 @@
 //! Tells the other controllers of cancellations, and what follows from what is known of them.
 
-use super::handles::{pause, Handles};
-use super::state::{ControllerState, PASS_MS};
+use super::handles::Handles;
+use super::state::{ControllerState, MIN_ROUND_INTERVAL};
 use crate::coordination::peers::{self, Cancelled, CancelledJob, Notice};
 use crate::protocol as wire;
 use crate::store::{LeaderRecord, OverRecord, Versioned};
@@ -36,7 +36,7 @@
                 });
             }
             // What is called off at the same moment goes together.
-            pause(PASS_MS).await;
+            tokio::time::sleep(MIN_ROUND_INTERVAL).await;
         }
     }
 }
@@ -45,7 +45,6 @@
     /// A cancellation is known to be durable, perhaps sooner than the mirror shows it: what runs of the job is stopped,
     /// nothing of it is started or believed to be done any more.
     pub(super) fn cancelled(&mut self, id: &str, tasks: u32) {
-        let now = self.now();
         self.replica.remember_over(
             id,
             OverRecord {
@@ -53,8 +52,7 @@
                 tasks,
             },
         );
-        if let Some(scheduler) = self.scheduler.as_mut() {
-            scheduler.at(now);
+        if let Some(scheduler) = self.scheduler_at_now() {
             scheduler.drop_job(id);
         }
     }
@@ -109,7 +107,7 @@
     /// tell: the leader of then may not have heard of it. A later one has read the store since.
     pub(super) fn leader_may_miss(&self, revision: u64) -> bool {
         let leader_misses = self.replica.leader.as_ref().is_some_and(|leader| {
-            leader.record != self.identity
+            leader.record != *self.identity()
                 && leader.version <= revision
                 && self.cancellation_notices.mirrored_by(&leader.record.node) < revision
         });
--- /dev/null
+++ b/src/controller/election_loop.rs
@@ -0,0 +1,170 @@
+//! Renews the leadership of this controller, or campaigns for it when it is vacant.
+
+use super::handles::Handles;
+use super::state::{ControllerState, EpochClaim, StepDownReason};
+use crate::coordination::leadership::{LeadershipEvent, Term};
+use crate::store::{self, Decided, EpochRecord, LeaderRecord, StoreError};
+use crate::time::{duration, duration_from_millis, whole_millis, Timestamp};
+use rand::Rng;
+use std::ops::Range;
+use std::time::Duration;
+use tokio::time::{sleep, timeout};
+
+/// Longest time between two renewals of the leader lease, or two looks at whether leadership is vacant.
+const MAX_ELECTION_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest time to wait for the answer to a renewal.
+const MAX_RENEWAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Milliseconds before a campaign, drawn at random, so that controllers rarely campaign at once.
+const CAMPAIGN_JITTER_MS: Range<u64> = 0..60;
+/// Time after a campaign that was lost.
+const LOST_CAMPAIGN_DELAY: Duration = Duration::from_millis(100);
+/// How long a leader that stepped down does not campaign, in times to live of its leader lease: long enough for another
+/// controller to claim leadership, and for the next one where that one is cut off from the workers as well.
+const STEP_DOWN_BACKOFF_LEASES: f64 = 4.0;
+
+impl Handles {
+    /// Renews the leadership of this controller, or campaigns for it when it is vacant.
+    pub(super) async fn run_election_loop(self) {
+        let lease_ttl = self.read_state(|state| duration(state.settings().operator.hold_s));
+        let interval = (lease_ttl / 5).min(MAX_ELECTION_INTERVAL);
+        loop {
+            // The same follows whether a campaign was requested or the interval has passed.
+            let _ = timeout(interval, self.campaign_requested.notified()).await;
+            let (term, may_campaign) =
+                self.read_state(|state| (state.term(), state.may_campaign()));
+            if let Some(term) = term {
+                self.renew_leadership(term, lease_ttl).await;
+            } else if may_campaign {
+                let jitter_ms = rand::thread_rng().gen_range(CAMPAIGN_JITTER_MS);
+                sleep(Duration::from_millis(jitter_ms)).await;
+                if self.read_state(ControllerState::may_claim_leadership) {
+                    self.campaign(lease_ttl).await;
+                }
+            }
+        }
+    }
+
+    async fn renew_leadership(&self, term: Term, lease_ttl: Duration) {
+        let requested_at = self.read_state(ControllerState::now);
+        // Authority needs both: the renewed leader lease, and a replica that has caught up with a read of now.
+        self.read_requested.notify_one();
+        let limit = (lease_ttl / 2).min(MAX_RENEWAL_TIMEOUT);
+        let renewed = self.record_store_answer(self.store.renew(term.lease, limit).await);
+        let step_down = self.with_state(|state| state.handle_lease_renewal(requested_at, renewed));
+        if let Some(reason) = step_down {
+            self.step_down(reason);
+        }
+    }
+
+    async fn campaign(&self, lease_ttl: Duration) {
+        let requested_at = self.with_state(|state| {
+            state.apply_leadership_event(LeadershipEvent::CampaignStarted);
+            state.now()
+        });
+        let lease = self.record_store_answer(self.store.open_lease(whole_millis(lease_ttl)).await);
+        let term = match lease {
+            Ok(lease) => self.claim_leadership(lease).await,
+            Err(_) => None,
+        };
+        let Some(term) = term else {
+            self.with_state(|state| state.apply_leadership_event(LeadershipEvent::CampaignLost));
+            sleep(LOST_CAMPAIGN_DELAY).await;
+            return;
+        };
+        self.with_state(|state| {
+            state.apply_leadership_event(LeadershipEvent::CampaignWon {
+                term,
+                lease_requested_at: requested_at,
+            });
+        });
+        let caught_up = self.wait_for_replica(term, lease_ttl * 3 / 4).await;
+        self.start_term(term, requested_at, caught_up);
+    }
+
+    /// Waits until the replica has reached the term's epoch: nothing may be built on it before. False after the limit.
+    async fn wait_for_replica(&self, term: Term, limit: Duration) -> bool {
+        let mut replica_revision = self.replica_revision.subscribe();
+        let reached = replica_revision.wait_for(|revision| *revision >= term.epoch_version);
+        timeout(limit, reached)
+            .await
+            .is_ok_and(|reached| reached.is_ok())
+    }
+
+    fn start_term(&self, term: Term, requested_at: Timestamp, replica_caught_up: bool) {
+        let started = self.with_state(|state| {
+            state.apply_leadership_event(LeadershipEvent::RevisionRead {
+                requested_at,
+                revision: term.epoch_version,
+            });
+            let started = replica_caught_up && state.term().is_some();
+            if started {
+                state.start_epoch(term.epoch);
+            } else {
+                state.apply_leadership_event(LeadershipEvent::TermEnded);
+            }
+            started
+        });
+        if started {
+            self.leadership_acquired.notify_waiters();
+            self.round_requested.notify_one();
+        }
+    }
+
+    /// Claims leadership under a leader lease, which is closed if that fails.
+    async fn claim_leadership(&self, lease: u64) -> Option<Term> {
+        let claim = self.with_state(|state| state.claim_epoch(lease));
+        let epoch_version = match &claim {
+            Some(claim) => self.commit_claim(claim).await,
+            None => None,
+        };
+        let (Some(claim), Some(epoch_version)) = (claim, epoch_version) else {
+            self.store.close_lease(lease).await;
+            return None;
+        };
+        Some(Term {
+            epoch: claim.record.number,
+            epoch_version,
+            lease,
+        })
+    }
+
+    /// Runs the transaction of a claim and returns the version of the epoch key, if leadership was claimed.
+    async fn commit_claim(&self, claim: &EpochClaim) -> Option<u64> {
+        match self.leader_transaction(&claim.txn).await {
+            Ok(Decided::Applied(revision)) => Some(revision),
+            // Without an answer, the transaction may have been applied: the store tells.
+            Err(StoreError::Unknown) => self.read_claimed_epoch(&claim.record).await,
+            _ => None,
+        }
+    }
+
+    /// The version of the epoch key, if the store holds the claimed epoch and its leader.
+    async fn read_claimed_epoch(&self, claimed: &EpochRecord) -> Option<u64> {
+        let epoch = self.store.get::<EpochRecord>(&store::epoch_key()).await;
+        let epoch = self.record_store_answer(epoch);
+        let leader = self.store.get::<LeaderRecord>(&store::leader_key()).await;
+        let leader = self.record_store_answer(leader);
+        let (Ok(epoch), Ok(leader)) = (epoch, leader) else {
+            return None;
+        };
+        let claimed = epoch.record == *claimed
+            && leader.record == claimed.leader
+            && leader.version == epoch.version;
+        claimed.then_some(epoch.version)
+    }
+
+    /// Ends the leadership of this controller, so that one that can serve the workers may lead at once.
+    pub(super) fn step_down(&self, reason: StepDownReason) {
+        tracing::info!(%reason, "stepping down");
+        if let Some(term) = self.read_state(ControllerState::term) {
+            let store = self.store.clone();
+            // If the store does not get the request, the leader lease expires by itself.
+            actix::spawn(async move { store.close_lease(term.lease).await });
+        }
+        self.with_state(|state| {
+            let lease_ttl_ms = state.settings().operator.hold_s * 1000.0;
+            let backoff = duration_from_millis(lease_ttl_ms * STEP_DOWN_BACKOFF_LEASES);
+            state.step_down(backoff);
+        });
+    }
+}
--- a/src/controller/flush_loop.rs
+++ b/src/controller/flush_loop.rs
@@ -1,61 +1,67 @@
-//! Makes results durable and clears up, in batches.
+//! Makes the leader's decisions durable and deletes what is no longer needed, in batches.
 
-use super::handles::{pause, Handles};
-use super::state::FLUSH_MS;
-use crate::protocol as wire;
+use super::handles::Handles;
+use super::state::{ControllerState, FLUSH_INTERVAL};
+use crate::protocol::Guard;
 use crate::store::Decided;
 
 impl Handles {
-    /// Makes results durable and clears up, in batches.
-    pub(super) async fn flush(self) {
+    /// Runs the leader's rounds of durable writes. They do not run on followers.
+    ///
+    /// A write that failed is repeated in one of the next rounds, from what is known by then.
+    pub(super) async fn run_flush_loop(self) {
         loop {
             self.wait_until_leading().await;
-            pause(FLUSH_MS).await;
-            let Some(epoch) = self.state.borrow().write_guard() else {
+            tokio::time::sleep(FLUSH_INTERVAL).await;
+            let Some(epoch) = self.read_state(ControllerState::write_guard) else {
                 continue;
             };
-            self.flush_complete(&epoch).await;
-            self.flush_ranges(&epoch).await;
-            self.flush_machines(&epoch).await;
-            let swept = self.state.borrow_mut().sweep(&epoch);
-            if let Some(txn) = swept {
-                let _ = self.leader_transaction(&txn).await;
-            }
+            self.flush_completions(&epoch).await;
+            self.flush_results(&epoch).await;
+            self.clean_up_rentals(&epoch).await;
+            self.clean_up_final_jobs(&epoch).await;
         }
     }
 
-    async fn flush_complete(&self, epoch: &wire::Guard) {
-        let complete = self.state.borrow().completions(epoch);
-        for (id, tasks, txn) in complete {
-            // If it failed, the job was cancelled, or an unanswered try went through: the watch tells.
-            if let Ok(Decided::Applied(_)) = self.leader_transaction(&txn).await {
-                self.state.borrow_mut().completed(&id, tasks);
+    async fn flush_completions(&self, epoch: &Guard) {
+        let completions = self.read_state(|state| state.job_completions(epoch));
+        for completion in completions {
+            // If it failed, the job was cancelled, or an earlier try without an answer was applied: the watch tells.
+            if let Ok(Decided::Applied(_)) = self.leader_transaction(&completion.txn).await {
+                self.with_state(|state| state.finish_job(&completion.job, completion.tasks));
             }
         }
     }
 
-    async fn flush_ranges(&self, epoch: &wire::Guard) {
-        let Some((rows, txn)) = self.state.borrow().ranges(epoch) else {
+    async fn flush_results(&self, epoch: &Guard) {
+        let Some(write) = self.read_state(|state| state.results_to_store(epoch)) else {
             return;
         };
-        match self.leader_transaction(&txn).await {
-            Ok(Decided::Applied(_)) => self.state.borrow_mut().stored(epoch, &rows),
-            // The mirror lags behind an earlier write, or a job has just ended; either shows shortly.
-            Ok(Decided::Failed(keys)) => tracing::debug!(?keys, "ranges not stored yet"),
+        match self.leader_transaction(&write.txn).await {
+            Ok(Decided::Applied(_)) => {
+                self.with_state(|state| state.record_stored_results(epoch, &write.chunks));
+            }
+            // The replica lags behind an earlier write, or a job has just ended: the watch tells.
+            Ok(Decided::Failed(keys)) => tracing::debug!(?keys, "results not stored yet"),
+            // The store refused the write or did not answer: the next round tries again.
             Err(_) => {}
         }
     }
 
-    /// Forgets machines that are gone.
-    async fn flush_machines(&self, epoch: &wire::Guard) {
-        let Some((forgotten, txn)) = self.state.borrow().forgettable(epoch) else {
+    async fn clean_up_rentals(&self, epoch: &Guard) {
+        let Some(cleanup) = self.read_state(|state| state.rental_cleanup(epoch)) else {
             return;
         };
-        if let Ok(Decided::Applied(_)) = self.leader_transaction(&txn).await {
-            let mut controller = self.state.borrow_mut();
-            forgotten.iter().for_each(|m| {
-                controller.gone.remove(m);
-            });
+        if let Ok(Decided::Applied(_)) = self.leader_transaction(&cleanup.txn).await {
+            self.with_state(|state| state.finish_rental_cleanup(&cleanup.machines));
         }
     }
+
+    async fn clean_up_final_jobs(&self, epoch: &Guard) {
+        let Some(txn) = self.with_state(|state| state.final_job_cleanup(epoch)) else {
+            return;
+        };
+        // Whatever the outcome, the watch brings what was deleted, and the next round tries to delete what is left.
+        let _ = self.leader_transaction(&txn).await;
+    }
 }
--- a/src/controller/peer_view_loop.rs
+++ b/src/controller/peer_view_loop.rs
@@ -3,7 +3,7 @@
 use super::handles::{pause, Handles};
 use super::state::ControllerState;
 use crate::admission::write_admission::users_share;
-use crate::coordination::leadership::{Authority, LeadershipEvent};
+use crate::coordination::leadership::Authority;
 use crate::coordination::peers::{self, View};
 use crate::scheduler::Scheduler;
 use std::time::Instant;
@@ -32,7 +32,7 @@
                     let from = Instant::now();
                     let answer = peers::ask(&me.http, addr, &own).await;
                     let mut controller = me.state.borrow_mut();
-                    let now = controller.now();
+                    let now = controller.now().as_millis();
                     match answer {
                         Some(v) => controller.take_view(v),
                         None if from.elapsed().as_millis() < REFUSED_MS => {
@@ -53,38 +53,32 @@
             .as_ref()
             .filter(|_| self.authority() != Authority::None)
             .map(Scheduler::all_counts);
-        let (node, revision) = (self.identity.node.clone(), self.replica.revision);
-        let leader_changes_per_s = self.term().map(|_| self.own_changes.per_s(self.now()));
+        let (node, revision) = (self.identity().node.clone(), self.replica.revision);
+        let leader_changes_per_s = self
+            .term()
+            .map(|_| self.own_changes.per_s(self.now().as_millis()));
         View {
             node,
-            epoch: self.newest_epoch,
+            epoch: self.newest_epoch(),
             revision,
-            state_ok: self.state_ok(),
+            state_ok: self.is_store_reachable(),
             leader_changes_per_s,
             counts,
         }
     }
 
     pub(super) fn take_view(&mut self, v: View) {
-        let now = self.now();
-        if v.epoch > self.newest_epoch {
-            self.newest_epoch = v.epoch;
-        }
-        if self
-            .term()
-            .is_some_and(|term| self.newest_epoch > term.epoch)
-        {
-            self.lead_event(LeadershipEvent::TermEnded);
-        }
+        let now = self.now().as_millis();
+        self.observe_epoch(v.epoch);
         if let Some(changes_per_s) = v
             .leader_changes_per_s
-            .filter(|_| v.epoch >= self.newest_epoch)
+            .filter(|_| v.epoch >= self.newest_epoch())
         {
             self.leader_changes = Some((changes_per_s, now));
         }
         if let Some(counts) = v
             .counts
-            .filter(|_| self.scheduler.is_none() && v.epoch >= self.newest_epoch)
+            .filter(|_| self.scheduler.is_none() && v.epoch >= self.newest_epoch())
         {
             self.reported_task_counts = counts
                 .into_iter()
@@ -97,7 +91,7 @@
 
     /// Adjusts the pace of users' changes to what the leader leaves.
     pub(super) fn adjust_pace(&mut self) {
-        let now = self.now();
+        let now = self.now().as_millis();
         let fresh = self
             .leader_changes
             .filter(|(_, at)| now < at + LEADER_VIEW_TTL_MS)
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -42,7 +42,7 @@
                 pause(FLEET_MS).await;
             }
             rented = false;
-            let now = self.state.borrow().now();
+            let now = self.state.borrow().now().as_millis();
             let (leads, typeless) = {
                 let controller = self.state.borrow();
                 (
@@ -58,7 +58,7 @@
                 types_at = Some(now);
                 self.await_cloud_call().await;
                 if let Some(types) = self.cloud.catalogue().await {
-                    self.state.borrow_mut().take_types(&types);
+                    self.state.borrow_mut().set_machine_types(&types);
                     self.store_types(types).await;
                 }
             }
@@ -102,7 +102,7 @@
         loop {
             let slot = {
                 let mut controller = self.state.borrow_mut();
-                let now = controller.now();
+                let now = controller.now().as_millis();
                 controller.cloud_calls.take(now)
             };
             match slot {
@@ -125,7 +125,7 @@
         let rental_requests = self.decide();
         let next = {
             let mut controller = self.state.borrow_mut();
-            let now = controller.now();
+            let now = controller.now().as_millis();
             let call_ms =
                 1000.0 / (controller.settings.platform.deployment.cloud.rps * CLOUD_SHARE);
             controller
@@ -183,7 +183,7 @@
         if controller.authority() != Authority::Full {
             return Vec::new();
         }
-        let now = controller.now();
+        let now = controller.now().as_millis();
         let controller = &mut *controller;
         let w = &controller.settings.platform.deployment.workers;
         // Long enough for two probes; a machine silent for longer rarely comes back within its lease.
@@ -248,7 +248,7 @@
         let mut controller = self.state.borrow_mut();
         if ok {
             tracing::info!(machines = ?names, "released");
-            let now = controller.now();
+            let now = controller.now().as_millis();
             controller.released.retain(|_, at| now < *at + 600_000);
             for n in names {
                 controller.released.insert(n.clone(), now);
@@ -385,7 +385,7 @@
 
     pub(super) fn add_machines(&self, r: &RentalRecord, origin: Origin) {
         let mut controller = self.state.borrow_mut();
-        let now = controller.now();
+        let now = controller.now().as_millis();
         let Some(scheduler) = controller.scheduler.as_mut() else {
             return;
         };
@@ -400,13 +400,13 @@
         self.await_cloud_call().await;
         let (machines, more) = self.cloud.list(after).await?;
         let mut controller = self.state.borrow_mut();
-        let now = controller.now();
+        let now = controller.now().as_millis();
         let controller = &mut *controller;
         // The list may still show what an earlier leader has released: a new leader once took such machines in and counted
         // on them for a minute. Workers that report are taken in at once.
         let lag_ms =
             (controller.settings.platform.deployment.cloud.list_lag_s * 2000.0) as u64 + 2000;
-        let settled = now > controller.leading_since + lag_ms;
+        let settled = now > controller.leading_since().as_millis() + lag_ms;
         let scheduler = controller.scheduler.as_mut()?;
         let next = machines.last().map(|m| m.id.clone());
         for m in machines {
@@ -481,8 +481,8 @@
             (
                 format!(
                     "{}-{:x}-{}",
-                    controller.identity.node,
-                    controller.identity.incarnation,
+                    controller.identity().node,
+                    controller.identity().incarnation,
                     controller.rental_requests_made
                 ),
                 record,
@@ -564,7 +564,7 @@
 
     pub(super) fn note_offer(&self, r: &RentalRecord, got: usize) {
         let mut controller = self.state.borrow_mut();
-        let now = controller.now();
+        let now = controller.now().as_millis();
         let controller = &mut *controller;
         let Some(scheduler) = controller.scheduler.as_ref() else {
             return;
--- a/src/controller/read_barrier.rs
+++ b/src/controller/read_barrier.rs
@@ -51,7 +51,7 @@
             return;
         };
         self.with_state(|state| {
-            state.lead_event(LeadershipEvent::RevisionRead {
+            state.apply_leadership_event(LeadershipEvent::RevisionRead {
                 requested_at: barrier.requested_at,
                 revision,
             });
@@ -86,7 +86,7 @@
         }
         let epoch_version = self.replica.epoch.as_ref().map_or(0, |epoch| epoch.version);
         Some(ReadBarrier {
-            requested_at: Timestamp::from_millis(self.now()),
+            requested_at: self.now(),
             transaction: Txn {
                 guards: vec![guard(store::epoch_key(), epoch_version)],
                 apply: Vec::new(),
--- a/src/controller/scheduling_loop.rs
+++ b/src/controller/scheduling_loop.rs
@@ -1,66 +1,64 @@
-//! The leader's rounds: carries out what each decides to send.
+//! Runs the scheduling rounds and sends the messages that they decide on.
 
-use super::handles::{pause, Handles};
-use super::scheduling_round::Pass;
-use super::state::PASS_MS;
+use super::handles::Handles;
+use super::state::{ControllerState, RoundOutcome, SendLimits, MIN_ROUND_INTERVAL};
 use crate::clients::permit::while_permitted;
 use crate::clients::worker;
+use crate::scheduler::Direct;
 use std::cell::Cell;
 use std::rc::Rc;
-use std::time::Duration;
+use tokio::time::{sleep, timeout};
 
 impl Handles {
-    pub(super) async fn ticks(self) {
-        let connections = self
-            .state
-            .borrow()
-            .settings
-            .platform
-            .deployment
-            .machine_limits
-            .max_connections;
-        let most = (connections / 16).clamp(8, 64);
-        let flying = Rc::new(Cell::new(0usize));
+    /// Runs the scheduling rounds and sends the messages that they decide on. On a follower, a round does nothing but detect
+    /// process pauses.
+    pub(super) async fn run_scheduling_loop(self) {
+        let max_messages = self.read_state(|state| {
+            let limits = &state.settings().platform.deployment.machine_limits;
+            (limits.max_connections / 16).clamp(8, 64)
+        });
+        let in_flight = Rc::new(Cell::new(0usize));
         loop {
-            let wait_ms = self.state.borrow().next_pass_in_ms();
-            let _ = tokio::time::timeout(
-                Duration::from_millis(wait_ms),
-                self.round_requested.notified(),
-            )
-            .await;
-            let pass = self
-                .state
-                .borrow_mut()
-                .pass(most.saturating_sub(flying.get()), most / 4);
-            let sends = match pass {
-                Pass::Sends(sends) => sends,
-                Pass::Nothing => continue,
-                Pass::GiveUp(reason) => {
-                    tracing::info!(reason, "gives leadership up");
-                    self.give_up();
+            let until_next_round = self.read_state(ControllerState::until_next_round);
+            // The same follows whether a round was requested or its time has come.
+            let _ = timeout(until_next_round, self.round_requested.notified()).await;
+            let limits = SendLimits {
+                messages: max_messages.saturating_sub(in_flight.get()),
+                probes: max_messages / 4,
+            };
+            match self.with_state(|state| state.run_scheduling_round(limits)) {
+                RoundOutcome::Idle => continue,
+                RoundOutcome::StepDown(reason) => {
+                    self.step_down(reason);
                     continue;
                 }
-            };
-            self.start_log_requested.notify_one();
-            for d in sends {
-                let me = self.clone();
-                let flying = flying.clone();
-                let term = self.state.borrow().term();
-                flying.set(flying.get() + 1);
-                actix::spawn(async move {
-                    let permitted = || me.state.borrow().may_send_direct(term, &d);
-                    let answer = while_permitted(permitted, worker::send_direct(&me.http, &d))
-                        .await
-                        .flatten();
-                    flying.set(flying.get() - 1);
-                    me.state
-                        .borrow_mut()
-                        .direct_answer(term, &d, answer.as_ref());
-                    me.round_requested.notify_one();
-                });
+                RoundOutcome::Send(messages) => {
+                    self.start_log_requested.notify_one();
+                    for message in messages {
+                        self.spawn_send(message, in_flight.clone());
+                    }
+                }
             }
-            // One round for all the reports of a moment.
-            pause(PASS_MS).await;
+            // All heartbeats of this time are followed by one round.
+            sleep(MIN_ROUND_INTERVAL).await;
         }
     }
+
+    /// Sends a message to a worker and handles the answer, beside the loop.
+    fn spawn_send(&self, message: Direct, in_flight: Rc<Cell<usize>>) {
+        let handles = self.clone();
+        let term = self.read_state(ControllerState::term);
+        in_flight.set(in_flight.get() + 1);
+        actix::spawn(async move {
+            let permitted = || handles.read_state(|state| state.may_send_direct(term, &message));
+            let answer = while_permitted(permitted, worker::send_direct(&handles.http, &message))
+                .await
+                .flatten();
+            in_flight.set(in_flight.get() - 1);
+            handles.with_state(|state| {
+                state.handle_direct_answer(term, &message, answer.as_ref());
+            });
+            handles.round_requested.notify_one();
+        });
+    }
 }
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -1,8 +1,30 @@
-//! What a node knows and decides, without I/O: the loops of this module's siblings carry out what it asks for, and the
-//! tests drive it with a scripted store, workers and peers.
+//! What a controller knows and decides, without I/O: the loops carry out what it asks for, and the tests drive it with a
+//! simulated store, workers and peers.
+//!
+//! Each part of the state that has an invariant of its own is a type with private fields in one of the modules below. The
+//! other modules below hold the steps that join these parts, each beside the types of its outcome.
 
+mod durable_writes;
+mod epoch_start;
+mod heartbeats;
+mod leadership_status;
+mod replica_changes;
+mod round_timing;
+mod scheduling_round;
+mod start_log;
+mod store_contact;
+
+pub(super) use durable_writes::FLUSH_INTERVAL;
+pub(super) use epoch_start::EpochClaim;
+pub(super) use replica_changes::LeaderKeyChange;
+pub(super) use round_timing::MIN_ROUND_INTERVAL;
+pub(super) use scheduling_round::{RoundOutcome, SendLimits, StepDownReason};
+pub(super) use start_log::StartLogWrite;
+
+use self::leadership_status::LeadershipStatus;
+use self::round_timing::{PauseDetector, RoundDeadlines};
+use self::store_contact::StoreContact;
 use super::clock::Clock;
-use super::scheduling_round::Due;
 use crate::admission::rate::{RateMeter, TokenBucket};
 use crate::admission::write_admission::{users_share, Pacer};
 use crate::autoscaler::Fleet;
@@ -12,23 +34,14 @@
 use crate::coordination::peers::{CancellationNotices, PeerHealth};
 use crate::protocol::MachineType;
 use crate::scheduler::Scheduler;
-use crate::store::{LeaderRecord, Mirror};
+use crate::store::{LeaderRecord, Mirror, StoreError};
 use crate::time::{duration, Timestamp};
 use std::collections::{BTreeMap, HashMap, HashSet};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 /// Most unregistered machines that are remembered at a time, so that reports in made-up names cost bounded memory; some times
 /// the largest fleet. The rest is remembered when it reports or is listed again.
 pub(super) const UNREGISTERED_LIMIT: usize = 16_384;
-/// Time between looks at what time alone brings.
-pub(super) const TICK_MS: u64 = 100;
-/// A longer time between two rounds means that the process stood still.
-pub(super) const PAUSE_MS: u64 = 1000;
-/// Least time between two rounds of placing and sending.
-pub(super) const PASS_MS: u64 = 20;
-/// Time between rounds of durable writes of the leader.
-pub(super) const FLUSH_MS: u64 = 500;
-
 /// Share of the cloud's request rate that a leader uses; the rest is for a node that has yet to read the machine types, and
 /// for the leader before, whose calls may still be under way.
 pub(super) const CLOUD_SHARE: f64 = 0.9;
@@ -50,25 +63,23 @@
     pub(super) ask: Option<(String, u64)>,
 }
 
-/// What the loops share; borrowed for short moments only, never across a wait.
+/// The state of a controller.
 pub(super) struct ControllerState {
     pub(super) settings: Settings,
-    pub(super) clock: Clock,
-    pub(super) identity: LeaderRecord,
+    clock: Clock,
+    /// The replica of the store.
     pub(super) replica: Mirror,
-    pub(super) leadership: Leadership,
+    leadership_status: LeadershipStatus,
+    /// The scheduler, while this controller leads and has read the store.
     pub(super) scheduler: Option<Scheduler>,
+    store_contact: StoreContact,
+    round_deadlines: RoundDeadlines,
+    pause_detector: PauseDetector,
     pub(super) fleet: Fleet,
     pub(super) machine_types: Vec<MachineType>,
     pub(super) reported_task_counts: HashMap<String, (u32, u32)>,
     pub(super) peer_health: PeerHealth,
     pub(super) cancellation_notices: CancellationNotices,
-    pub(super) newest_epoch: u64,
-    pub(super) store_answered_at: u64,
-    pub(super) campaign_backoff_until: u64,
-    pub(super) leading_since: u64,
-    /// The epoch before this node's own kept no start log.
-    pub(super) previous_epoch_without_start_log: bool,
     pub(super) released: HashMap<String, u64>,
     pub(super) gone: HashSet<String>,
     pub(super) unregistered: BTreeMap<String, UnregisteredMachine>,
@@ -80,44 +91,40 @@
     /// How often users' questions may cost a read of the store each: those about jobs that are neither unfinished nor known
     /// to be final or absent.
     pub(super) user_reads: TokenBucket,
-    pub(super) due: Due,
     /// The changes that this node makes as the leader.
     pub(super) own_changes: RateMeter,
     /// What the leader last told of its changes, and when.
     pub(super) leader_changes: Option<(f64, u64)>,
-    /// When the last round of `pass` was.
-    pub(super) passed_at: u64,
 }
 
 impl ControllerState {
-    /// A node that has yet to read the store.
+    /// The state of a controller that has yet to read the store.
     pub(super) fn new(settings: Settings, incarnation: u64, clock: Clock) -> ControllerState {
         let identity = LeaderRecord {
             node: settings.platform.node.clone(),
             incarnation,
         };
         let lease_ttl = duration(settings.operator.hold_s);
+        let grace_period = Duration::from_millis(settings.grace_ms());
+        let leadership = Leadership::new(lease_ttl, grace_period);
         let state = &settings.platform.deployment.state;
         let user_changes = users_share(state.write_rps, settings.platform.peers.len() + 1, None);
         let user_reads = state.rps * USER_READS / (settings.platform.peers.len() + 1) as f64;
         let cloud_rps = settings.platform.deployment.cloud.rps * CLOUD_SHARE;
         ControllerState {
-            leadership: Leadership::new(lease_ttl, Duration::from_millis(settings.grace_ms())),
             settings,
             clock,
-            identity,
             replica: Mirror::default(),
+            leadership_status: LeadershipStatus::new(identity, leadership),
             scheduler: None,
+            store_contact: StoreContact::default(),
+            round_deadlines: RoundDeadlines::default(),
+            pause_detector: PauseDetector::default(),
             fleet: Fleet::default(),
             machine_types: Vec::new(),
             reported_task_counts: HashMap::new(),
             peer_health: PeerHealth::default(),
             cancellation_notices: CancellationNotices::default(),
-            newest_epoch: 0,
-            store_answered_at: 0,
-            campaign_backoff_until: 0,
-            leading_since: 0,
-            previous_epoch_without_start_log: false,
             released: HashMap::new(),
             gone: HashSet::new(),
             unregistered: BTreeMap::new(),
@@ -126,69 +133,176 @@
             user_changes: Pacer::new(user_changes),
             cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
             user_reads: TokenBucket::new(user_reads, user_reads),
-            due: Due::default(),
             own_changes: RateMeter::new(CHANGES_MS),
             leader_changes: None,
-            passed_at: 0,
         }
     }
 
-    /// Milliseconds of this node's steady clock.
-    pub(super) fn now(&self) -> u64 {
-        match &self.clock {
-            Clock::Steady(begun) => begun.elapsed().as_millis() as u64 + 1000,
-            #[cfg(test)]
-            Clock::Scripted(now) => now.get(),
-        }
+    /// The settings, which never change.
+    pub(super) fn settings(&self) -> &Settings {
+        &self.settings
     }
 
-    /// Milliseconds of the time of day.
-    pub(super) fn wall(&self) -> u64 {
-        match &self.clock {
-            Clock::Steady(_) => SystemTime::now()
-                .duration_since(UNIX_EPOCH)
-                .map_or(0, |d| d.as_millis() as u64),
-            #[cfg(test)]
-            Clock::Scripted(now) => now.get(),
-        }
+    /// The clock, which tests set.
+    #[cfg(test)]
+    pub(super) fn clock(&self) -> &Clock {
+        &self.clock
+    }
+
+    /// The time of the steady clock.
+    pub(super) fn now(&self) -> Timestamp {
+        self.clock.now()
+    }
+
+    /// The time of day, in milliseconds since the Unix epoch.
+    pub(super) fn unix_millis(&self) -> u64 {
+        self.clock.unix_millis()
+    }
+
+    /// The replica of the store.
+    pub(super) fn replica(&self) -> &Mirror {
+        &self.replica
     }
 
+    /// What this process writes into the leader key.
+    pub(super) fn identity(&self) -> &LeaderRecord {
+        self.leadership_status.identity()
+    }
+
+    /// The state machine of the leadership.
+    pub(super) fn leadership(&self) -> &Leadership {
+        self.leadership_status.leadership()
+    }
+
+    /// What this controller may do now.
     pub(super) fn authority(&self) -> Authority {
-        self.leadership
-            .authority(Timestamp::from_millis(self.now()))
+        self.leadership_status.authority(self.now())
+    }
+
+    /// The term, while this controller leads.
+    pub(super) fn term(&self) -> Option<Term> {
+        self.leadership_status.term()
     }
 
-    /// Whether what was decided in a term may still be sent. Asked again right before each send: the process may have stood
-    /// still since the decision, while a cancellation was confirmed or another node began to lead.
+    /// Number of the newest epoch that this controller has heard of.
+    pub(super) fn newest_epoch(&self) -> u64 {
+        self.leadership_status.newest_epoch()
+    }
+
+    /// When the scheduler of the present or latest term was built.
+    pub(super) fn leading_since(&self) -> Timestamp {
+        self.leadership_status.leading_since()
+    }
+
+    /// Whether what was decided in a term may still be sent.
+    ///
+    /// This is asked again right before each send. The process may have been paused since the decision, while a cancellation
+    /// was confirmed or another controller became the leader.
     pub(super) fn may_send(&self, term: Option<Term>) -> bool {
         term.is_some() && self.term() == term && self.authority() == Authority::Full
     }
 
-    /// The term, while leading.
-    pub(super) fn term(&self) -> Option<Term> {
-        self.leadership.term()
+    /// Whether leadership is vacant, as far as the replica shows.
+    pub(super) fn may_claim_leadership(&self) -> bool {
+        self.leadership_status.may_claim(&self.replica)
     }
 
-    pub(super) fn free_to_claim(&self) -> bool {
-        self.replica.free_to_claim(&self.identity)
+    /// Whether this controller may start a campaign.
+    pub(super) fn may_campaign(&self) -> bool {
+        self.leadership_status
+            .may_campaign(&self.replica, self.now())
     }
 
-    pub(super) fn lead_event(&mut self, event: LeadershipEvent) {
-        if self.leadership.apply(event) && self.term().is_none() {
+    /// Applies an event to the leadership. What belongs to a term ends with it.
+    pub(super) fn apply_leadership_event(&mut self, event: LeadershipEvent) {
+        if self.leadership_status.apply(event) {
             self.scheduler = None;
             self.unregistered.clear();
             self.gone.clear();
         }
     }
 
-    pub(super) fn state_ok(&self) -> bool {
-        self.now() < self.store_answered_at + 2500
+    /// Records the number of an epoch. A later one ends this controller's term.
+    pub(super) fn observe_epoch(&mut self, epoch: u64) {
+        if self.leadership_status.observe_epoch(epoch) {
+            self.apply_leadership_event(LeadershipEvent::TermEnded);
+        }
+    }
+
+    /// Handles the result of a renewal of the leader lease. Returns why this controller should step down, if it should.
+    pub(super) fn handle_lease_renewal(
+        &mut self,
+        requested_at: Timestamp,
+        renewed: Result<(), StoreError>,
+    ) -> Option<StepDownReason> {
+        match renewed {
+            Ok(()) => {
+                self.apply_leadership_event(LeadershipEvent::LeaseRenewed { requested_at });
+                let lags = self.scheduler.is_some() && self.authority() == Authority::None;
+                return lags.then_some(StepDownReason::ReplicaLags);
+            }
+            Err(StoreError::Gone) => self.apply_leadership_event(LeadershipEvent::TermEnded),
+            Err(_) if self.authority() == Authority::None => {
+                self.apply_leadership_event(LeadershipEvent::TermEnded);
+            }
+            // The authority lasts for a while without renewals.
+            Err(_) => {}
+        }
+        None
+    }
+
+    /// Ends the leadership and starts no campaign for a time.
+    pub(super) fn step_down(&mut self, backoff: Duration) {
+        self.back_off_campaigns(backoff);
+        self.apply_leadership_event(LeadershipEvent::TermEnded);
+    }
+
+    /// Starts no campaign for a time.
+    pub(super) fn back_off_campaigns(&mut self, backoff: Duration) {
+        let now = self.now();
+        self.leadership_status.back_off_campaigns(backoff, now);
+    }
+
+    /// The scheduler, with its clock set to now.
+    pub(super) fn scheduler_at_now(&mut self) -> Option<&mut Scheduler> {
+        let now = self.clock.now();
+        let scheduler = self.scheduler.as_mut()?;
+        scheduler.at(now.as_millis());
+        Some(scheduler)
+    }
+
+    /// Whether a read that was sent longer ago than a tolerance was answered with a revision that the replica still lacks.
+    pub(super) fn replica_lags(&self, tolerance: Duration) -> bool {
+        let sent_before = self.now().saturating_sub(tolerance);
+        self.leadership().lags_behind_read_sent_before(sent_before)
+    }
+
+    /// The store has answered.
+    pub(super) fn record_store_answer(&mut self) {
+        self.store_contact.record_answer(self.clock.now());
+    }
+
+    /// Whether the store has answered lately.
+    pub(super) fn is_store_reachable(&self) -> bool {
+        self.store_contact.is_reachable(self.now())
+    }
+
+    /// Records changes of the store that this controller makes as the leader.
+    pub(super) fn record_own_changes(&mut self, changes: usize) {
+        self.own_changes
+            .record(changes, self.clock.now().as_millis());
     }
 
-    /// Whether this node should get users: it is loaded, and if the state service does not answer it, then not it alone.
-    /// A node that had lost the service and the others kept its users, and with its few connections was given more.
-    pub(super) fn healthy(&self) -> bool {
-        let alone = !self.settings.platform.peers.is_empty() && self.peer_health.alone(self.now());
-        self.replica.loaded && !self.machine_types.is_empty() && (self.state_ok() || !alone)
+    /// Whether this controller should get users.
+    ///
+    /// It should once it has read the store and the machine types. If the store does not answer it, it still should unless
+    /// it is isolated: a controller that had lost the store and its peers once kept its users, and was given more, since it
+    /// had few connections.
+    pub(super) fn is_healthy(&self) -> bool {
+        let has_peers = !self.settings.platform.peers.is_empty();
+        let isolated = has_peers && self.peer_health.alone(self.now().as_millis());
+        self.replica.loaded
+            && !self.machine_types.is_empty()
+            && (self.is_store_reachable() || !isolated)
     }
 }
--- /dev/null
+++ b/src/controller/state/epoch_start.rs
@@ -0,0 +1,85 @@
+//! The claim of an epoch, and the scheduler that a new leader builds from its replica of the store.
+
+use super::ControllerState;
+use crate::protocol::Txn;
+use crate::scheduler::{Origin, Params, Scheduler};
+use crate::store::{self, EpochRecord, Mirror};
+
+/// An epoch that this controller wants to lead.
+pub(in crate::controller) struct EpochClaim {
+    /// What the epoch key will hold.
+    pub(in crate::controller) record: EpochRecord,
+    /// The transaction that claims the epoch.
+    pub(in crate::controller) txn: Txn,
+}
+
+impl ControllerState {
+    /// The claim of the next epoch under a leader lease; none if another controller leads.
+    pub(in crate::controller) fn claim_epoch(&mut self, lease: u64) -> Option<EpochClaim> {
+        self.leadership_status.observe_previous_epoch(&self.replica);
+        let identity = self.leadership_status.identity();
+        let (txn, record) = store::claim_txn(&self.replica, identity, lease)?;
+        Some(EpochClaim { record, txn })
+    }
+
+    /// Builds the scheduler of a new epoch from the replica.
+    pub(in crate::controller) fn start_epoch(&mut self, epoch: u64) {
+        let now = self.now();
+        let mut scheduler = Scheduler::new(Params::new(&self.settings), epoch, now.as_millis());
+        scheduler.set_types(&self.machine_types);
+        self.add_rented_machines(&mut scheduler);
+        self.add_stored_jobs(&mut scheduler);
+        let start_log = self.replica.starts.iter();
+        scheduler
+            .inherit(start_log.map(|(slot, entry)| (*slot, entry.version, entry.record.as_str())));
+        if self.leadership_status.previous_epoch_without_start_log() {
+            scheduler.wait_for_lease_expiry();
+        }
+        self.leadership_status.start_leading(now);
+        tracing::info!(
+            epoch,
+            jobs = self.replica.live.len(),
+            rentals = self.replica.rentals.len(),
+            unsettled = scheduler.unsettled(),
+            "epoch started"
+        );
+        self.scheduler = Some(scheduler);
+    }
+
+    fn add_rented_machines(&self, scheduler: &mut Scheduler) {
+        for rental in self.replica.rentals.values() {
+            let rental = &rental.record;
+            for machine in rental.machines.iter().flatten() {
+                scheduler.add_machine(machine, rental.hardware(), Origin::Inherited);
+            }
+        }
+    }
+
+    fn add_stored_jobs(&self, scheduler: &mut Scheduler) {
+        let unix_millis = self.clock.unix_millis();
+        let unfinished = self.replica.live.iter();
+        let unfinished = unfinished.map(|(id, job)| (id, job, self.replica.over(id).is_some()));
+        let stopping = self.replica.stopping.iter();
+        let stopping = stopping.map(|(id, job)| (id, job, true));
+        for (id, job, ended) in unfinished.chain(stopping) {
+            scheduler.add_job(
+                job.record.clone(),
+                job.version,
+                &stored_results(&self.replica, id),
+                unix_millis,
+                ended,
+            );
+        }
+    }
+}
+
+/// The results of a job that are in the store: chunk and bits of each row.
+pub(super) fn stored_results(replica: &Mirror, job: &str) -> Vec<(u32, Vec<u8>)> {
+    let from = (job.to_string(), 0);
+    let rows = replica
+        .done
+        .range(from..)
+        .take_while(|((row_job, _), _)| row_job == job);
+    rows.map(|((_, chunk), row)| (*chunk, row.record.clone()))
+        .collect()
+}
--- /dev/null
+++ b/src/controller/state/heartbeats.rs
@@ -0,0 +1,71 @@
+//! The answers to the heartbeats of workers.
+
+use super::{ControllerState, UnregisteredMachine, UNREGISTERED_LIMIT};
+use crate::controller::messages::HeartbeatOutcome;
+use crate::coordination::leadership::{Authority, LeadershipEvent};
+use crate::protocol::Report;
+use crate::scheduler::{Arrival, ReportOutcome};
+use std::time::Instant;
+
+impl ControllerState {
+    /// Handles a worker's heartbeat.
+    pub(in crate::controller) fn handle_heartbeat(&mut self, report: &Report) -> HeartbeatOutcome {
+        let authority = self.authority();
+        if authority == Authority::None {
+            return self.redirect_to_leader();
+        }
+        let Some(scheduler) = self.scheduler_at_now() else {
+            return HeartbeatOutcome::NoLeader;
+        };
+        let arrival = Arrival::Report {
+            may_start: authority == Authority::Full,
+        };
+        match scheduler.report(report, arrival) {
+            ReportOutcome::Reply(reply) => HeartbeatOutcome::Reply(reply),
+            ReportOutcome::Superseded => {
+                self.apply_leadership_event(LeadershipEvent::TermEnded);
+                HeartbeatOutcome::NoLeader
+            }
+            ReportOutcome::UnregisteredMachine => {
+                self.record_unregistered_machine(report);
+                HeartbeatOutcome::NoLeader
+            }
+        }
+    }
+
+    /// Names the leader, if it is known and another controller.
+    fn redirect_to_leader(&self) -> HeartbeatOutcome {
+        let leader = self
+            .replica
+            .leader
+            .as_ref()
+            .map(|leader| &leader.record.node);
+        match leader.filter(|node| **node != self.identity().node) {
+            Some(node) => HeartbeatOutcome::Redirect(Some(node.clone())),
+            None => HeartbeatOutcome::NoLeader,
+        }
+    }
+
+    fn record_unregistered_machine(&mut self, report: &Report) {
+        if !self.released.contains_key(&report.machine)
+            && self.unregistered.len() < UNREGISTERED_LIMIT
+        {
+            self.unregistered.insert(
+                report.machine.clone(),
+                UnregisteredMachine {
+                    machine_type: report.machine_type.clone(),
+                    zone: report.zone.clone(),
+                    spot: report.spot,
+                    ask: Some((report.address.clone(), report.session)),
+                },
+            );
+        }
+    }
+
+    /// The moment at which an answer to a worker that is decided now becomes void.
+    pub(in crate::controller) fn answer_valid_until(&self) -> Option<Instant> {
+        let now = self.now();
+        let authority_ends = self.leadership().authority_ends(now);
+        Instant::now().checked_add(authority_ends.saturating_duration_since(now))
+    }
+}
--- /dev/null
+++ b/src/controller/state/replica_changes.rs
@@ -0,0 +1,101 @@
+//! What follows from changes of the replica of the store.
+
+use super::epoch_start::stored_results;
+use super::ControllerState;
+use crate::coordination::leadership::LeadershipEvent;
+use crate::protocol as wire;
+use crate::protocol::MachineType;
+use crate::store::{Mirror, MirrorChange};
+
+/// What a change of the replica means for the leadership.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[must_use]
+pub(in crate::controller) enum LeaderKeyChange {
+    /// The leader's key was deleted: leadership is vacant.
+    Deleted,
+    /// The leader's key was not deleted.
+    NotDeleted,
+}
+
+impl ControllerState {
+    /// Replaces the replica by a fresh one.
+    pub(in crate::controller) fn replace_replica(&mut self, fresh: Mirror) -> LeaderKeyChange {
+        let changes = self.replica.replace(fresh);
+        self.apply_replica_changes(changes)
+    }
+
+    /// Applies the events of a watch to the replica.
+    pub(in crate::controller) fn apply_watch_events(
+        &mut self,
+        revision: u64,
+        events: &[wire::Event],
+    ) -> LeaderKeyChange {
+        let changes = self.replica.apply(revision, events);
+        self.apply_replica_changes(changes)
+    }
+
+    /// Applies what has changed in the replica. The scheduler knows of the changes before any authority follows from them.
+    fn apply_replica_changes(&mut self, changes: Vec<MirrorChange>) -> LeaderKeyChange {
+        let mut leader_key = LeaderKeyChange::NotDeleted;
+        let unix_millis = self.clock.unix_millis();
+        for change in changes {
+            match change {
+                MirrorChange::Job(id) => self.add_job(&id, unix_millis),
+                MirrorChange::JobGone(id) => self.remove_job(&id),
+                MirrorChange::LeaderGone => leader_key = LeaderKeyChange::Deleted,
+                MirrorChange::Catalogue => self.apply_stored_machine_types(),
+            }
+        }
+        let epoch = self.replica.epoch.as_ref();
+        let number = epoch.map_or(0, |epoch| epoch.record.number);
+        self.observe_epoch(number);
+        let revision = self.replica.revision;
+        self.apply_leadership_event(LeadershipEvent::ReplicaAdvanced { revision });
+        leader_key
+    }
+
+    /// An unfinished job has appeared. Its cancellation may be known already: a peer may tell of it before this replica sees
+    /// the job come and go.
+    fn add_job(&mut self, id: &str, unix_millis: u64) {
+        let now = self.now();
+        let (Some(scheduler), Some(job)) = (self.scheduler.as_mut(), self.replica.live.get(id))
+        else {
+            return;
+        };
+        if self.replica.over(id).is_some() {
+            return;
+        }
+        scheduler.at(now.as_millis());
+        let results = stored_results(&self.replica, id);
+        scheduler.add_job(
+            job.record.clone(),
+            job.version,
+            &results,
+            unix_millis,
+            false,
+        );
+    }
+
+    /// A job is no longer unfinished.
+    fn remove_job(&mut self, id: &str) {
+        self.reported_task_counts.remove(id);
+        if let Some(scheduler) = self.scheduler_at_now() {
+            scheduler.drop_job(id);
+        }
+    }
+
+    fn apply_stored_machine_types(&mut self) {
+        if let Some(machine_types) = &self.replica.catalogue {
+            let machine_types = machine_types.record.clone();
+            self.set_machine_types(&machine_types);
+        }
+    }
+
+    /// Replaces the machine types that can be rented.
+    pub(in crate::controller) fn set_machine_types(&mut self, machine_types: &[MachineType]) {
+        self.machine_types = machine_types.to_vec();
+        if let Some(scheduler) = &mut self.scheduler {
+            scheduler.set_types(machine_types);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/state/scheduling_round.rs
@@ -0,0 +1,193 @@
+//! One scheduling round: the scheduler's timers, placement, and the messages to workers.
+
+use super::round_timing::{FOLLOWER_TICK, TICK};
+use super::ControllerState;
+use crate::coordination::leadership::{Authority, Term};
+use crate::protocol::Report;
+use crate::scheduler::{Direct, Scheduler};
+use crate::time::{whole_millis, Timestamp};
+use std::fmt;
+use std::time::Duration;
+
+/// The outcome of a scheduling round.
+pub(in crate::controller) enum RoundOutcome {
+    /// This controller may send nothing.
+    Idle,
+    /// Messages to send to workers.
+    Send(Vec<Direct>),
+    /// This controller should no longer lead.
+    StepDown(StepDownReason),
+}
+
+/// Why a leader steps down.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(in crate::controller) enum StepDownReason {
+    /// No worker reports to this leader, which may be cut off from them.
+    NoHeartbeats,
+    /// The epoch has no numbers left for further attempts of tasks.
+    AttemptNumbersExhausted,
+    /// The leader lease is renewed, but the replica did not catch up with the store within the grace period.
+    ReplicaLags,
+}
+
+impl fmt::Display for StepDownReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            StepDownReason::NoHeartbeats => "no heartbeats from workers",
+            StepDownReason::AttemptNumbersExhausted => "attempt numbers exhausted",
+            StepDownReason::ReplicaLags => "replica lags behind the store",
+        })
+    }
+}
+
+/// How many messages a round may send.
+#[derive(Debug, Clone, Copy)]
+pub(in crate::controller) struct SendLimits {
+    /// Messages of all kinds.
+    pub(in crate::controller) messages: usize,
+    /// Messages without commands, which probe a worker.
+    pub(in crate::controller) probes: usize,
+}
+
+impl ControllerState {
+    /// Runs one scheduling round.
+    pub(in crate::controller) fn run_scheduling_round(
+        &mut self,
+        limits: SendLimits,
+    ) -> RoundOutcome {
+        self.detect_process_pause();
+        let now = self.now();
+        let authority = self.authority();
+        self.run_scheduler_timers(now);
+        if self.scheduler.is_none() || authority != Authority::Full {
+            return RoundOutcome::Idle;
+        }
+        if let Some(reason) = self.review(now) {
+            return RoundOutcome::StepDown(reason);
+        }
+        self.place_tasks(now);
+        RoundOutcome::Send(self.messages_to_send(limits, now))
+    }
+
+    fn run_scheduler_timers(&mut self, now: Timestamp) {
+        let Some(scheduler) = self.scheduler.as_mut() else {
+            return;
+        };
+        scheduler.at(now.as_millis());
+        if self.round_deadlines.take_tick(now) {
+            scheduler.tick(now.as_millis());
+        }
+    }
+
+    /// Lets the scheduler reconsider what it could not place, and checks whether this leader should step down.
+    fn review(&mut self, now: Timestamp) -> Option<StepDownReason> {
+        let has_peers = !self.settings.platform.peers.is_empty();
+        let scheduler = self.scheduler.as_mut()?;
+        if !self.round_deadlines.take_review(now) {
+            return None;
+        }
+        scheduler.reconsider();
+        if has_peers && scheduler.hears_no_worker() {
+            return Some(StepDownReason::NoHeartbeats);
+        }
+        scheduler
+            .is_exhausted()
+            .then_some(StepDownReason::AttemptNumbersExhausted)
+    }
+
+    fn place_tasks(&mut self, now: Timestamp) {
+        let Some(scheduler) = self.scheduler.as_mut() else {
+            return;
+        };
+        if !self.round_deadlines.placement_due(now) {
+            return;
+        }
+        if scheduler.place() {
+            scheduler.make_room();
+        }
+        let took = self.clock.now().saturating_duration_since(now);
+        self.round_deadlines.placement_done(now, took);
+    }
+
+    /// Commands for workers, where operators allow direct starts, and probes of workers that are overdue.
+    fn messages_to_send(&mut self, limits: SendLimits, now: Timestamp) -> Vec<Direct> {
+        let Some(scheduler) = self.scheduler.as_mut() else {
+            return Vec::new();
+        };
+        let mut messages = if self.settings.operator.direct_starts {
+            scheduler.direct(limits.messages)
+        } else {
+            Vec::new()
+        };
+        if self.round_deadlines.probes_due(now) {
+            let left = limits.messages.saturating_sub(messages.len());
+            let limit = left.min(limits.probes);
+            let probes = scheduler.probes(limit);
+            self.round_deadlines.probes_done(now, probes.len() >= limit);
+            messages.extend(probes);
+        }
+        messages
+    }
+
+    /// The time until the next round: until the next tick, or until something may be placed.
+    pub(in crate::controller) fn until_next_round(&self) -> Duration {
+        let Some(scheduler) = &self.scheduler else {
+            return FOLLOWER_TICK;
+        };
+        if scheduler.has_changed() && self.authority() == Authority::Full {
+            self.round_deadlines
+                .until_placement(self.now())
+                .clamp(Duration::from_millis(1), TICK)
+        } else {
+            TICK
+        }
+    }
+
+    /// Whether a round should follow a heartbeat at once. Nothing follows from one that tells nothing new.
+    pub(in crate::controller) fn needs_round(&self) -> bool {
+        self.scheduler.as_ref().is_some_and(Scheduler::needs_pass)
+    }
+
+    /// Whether a message that was decided in a term may still be sent.
+    pub(in crate::controller) fn may_send_direct(
+        &self,
+        term: Option<Term>,
+        message: &Direct,
+    ) -> bool {
+        self.may_send(term)
+            && self
+                .scheduler
+                .as_ref()
+                .is_some_and(|scheduler| scheduler.still_wanted(message))
+    }
+
+    /// Handles a worker's answer to a message, or its absence. An answer to a message of an earlier term is ignored.
+    pub(in crate::controller) fn handle_direct_answer(
+        &mut self,
+        term: Option<Term>,
+        message: &Direct,
+        answer: Option<&Report>,
+    ) {
+        if term.is_none() || self.term() != term {
+            return;
+        }
+        if let Some(scheduler) = self.scheduler_at_now() {
+            scheduler.direct_answer(message, answer);
+        }
+    }
+
+    /// Detects whether the process was paused, or had no processor, since the last round.
+    ///
+    /// What was not heard during a pause says nothing about the store and the other controllers. A controller that woke up
+    /// once reported to the load balancer that it was cut off.
+    fn detect_process_pause(&mut self) {
+        let now = self.now();
+        let Some(pause) = self.pause_detector.start_round(now) else {
+            return;
+        };
+        tracing::info!(pause_ms = pause.as_millis(), "process paused");
+        self.store_contact.excuse_pause(pause, now);
+        self.peer_health
+            .stood_still(whole_millis(pause), now.as_millis());
+    }
+}
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -1,6 +1,7 @@
 //! Calls of the state service, with the retries of the leader's transactions.
 
 use super::handles::{pause, Handles};
+use super::state::ControllerState;
 use crate::protocol::Txn;
 use crate::store::{Decided, StoreError};
 use rand::Rng;
@@ -18,7 +19,7 @@
         result: Result<T, StoreError>,
     ) -> Result<T, StoreError> {
         if matches!(result, Ok(_) | Err(StoreError::Gone | StoreError::Busy)) {
-            self.with_state(|state| state.store_answered_at = state.now());
+            self.with_state(ControllerState::record_store_answer);
         }
         result
     }
@@ -27,10 +28,7 @@
     pub(super) async fn leader_transaction(&self, txn: &Txn) -> Result<Decided, StoreError> {
         let mut retries = 0;
         loop {
-            self.with_state(|state| {
-                let now = state.now();
-                state.own_changes.record(txn.apply.len(), now);
-            });
+            self.with_state(|state| state.record_own_changes(txn.apply.len()));
             let result = self.record_store_answer(self.store.txn(txn).await);
             if result != Err(StoreError::Busy) || retries == RETRY_LIMIT {
                 return result;
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -3,15 +3,15 @@
 
 use crate::config::tests::settings;
 use crate::controller::clock::Clock;
-use crate::controller::scheduling_round::Pass;
-use crate::controller::state::ControllerState;
+use crate::controller::state::{
+    ControllerState, EpochClaim, RoundOutcome, SendLimits, StartLogWrite,
+};
 use crate::controller::HeartbeatOutcome;
 use crate::coordination::leadership::{LeadershipEvent, Term};
 use crate::protocol::{
     Change, Command, Event, ExitReason, JobState, Report, TaskReport, TaskState,
 };
 use crate::store::{Decided, Mirror};
-use crate::time::Timestamp;
 use ciborium::{cbor, Value};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -110,10 +110,10 @@
     let mut replica = Mirror::default();
     replica.apply(300, &put_events(records));
     replica.loaded = true;
-    controller.loaded(replica);
-    let now = Timestamp::from_millis(controller.now());
-    controller.lead_event(LeadershipEvent::CampaignStarted);
-    let (txn, record) = controller.claim(88).expect("nobody leads");
+    let _ = controller.replace_replica(replica);
+    let now = controller.now();
+    controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
+    let EpochClaim { txn, record } = controller.claim_epoch(88).expect("nobody leads");
     assert_eq!(record.number, 7);
     let guarded: Vec<(&str, u64)> = txn
         .guards
@@ -129,7 +129,7 @@
         epoch_version: CLAIMED_AT,
         lease: 88,
     };
-    controller.lead_event(LeadershipEvent::CampaignWon {
+    controller.apply_leadership_event(LeadershipEvent::CampaignWon {
         term,
         lease_requested_at: now,
     });
@@ -139,12 +139,12 @@
         ("hollowswitch/leader", own, CLAIMED_AT),
         ("hollowswitch/epoch", epoch.unwrap(), CLAIMED_AT),
     ];
-    controller.watched(CLAIMED_AT, &put_events(claimed));
-    controller.lead_event(LeadershipEvent::RevisionRead {
+    let _ = controller.apply_watch_events(CLAIMED_AT, &put_events(claimed));
+    controller.apply_leadership_event(LeadershipEvent::RevisionRead {
         requested_at: now,
         revision: CLAIMED_AT,
     });
-    controller.rebuild(7);
+    controller.start_epoch(7);
     controller
 }
 
@@ -173,16 +173,22 @@
 
 /// Lets 100 ms pass, places what can be placed, makes its lines durable, and answers a report.
 fn answer(controller: &mut ControllerState, report: &Report) -> Vec<Command> {
-    if let Clock::Scripted(now) = &controller.clock {
+    if let Clock::Scripted(now) = controller.clock() {
         now.set(now.get() + 100);
     }
-    assert!(matches!(controller.pass(0, 0), Pass::Sends(sends) if sends.is_empty()));
+    let limits = SendLimits {
+        messages: 0,
+        probes: 0,
+    };
+    let round = controller.run_scheduling_round(limits);
+    assert!(matches!(round, RoundOutcome::Send(messages) if messages.is_empty()));
     let mut revision = 400 + report.seq;
-    while let Some((append, term, _)) = controller.next_append() {
+    while let Some(write) = controller.next_start_log_write() {
+        let StartLogWrite { append, term, .. } = write;
         revision += 1;
-        controller.logged(term, append, Ok(Decided::Applied(revision)), None);
+        controller.finish_start_log_write(term, append, &Ok(Decided::Applied(revision)), None);
     }
-    match controller.report(report) {
+    match controller.handle_heartbeat(report) {
         HeartbeatOutcome::Reply(reply) => {
             assert_eq!(
                 reply.token >> 24,
@@ -267,7 +273,7 @@
     assert_eq!(controller.job_view("wk-4").unwrap().state, JobState::Done);
     assert!(controller.job_view("wk-5").is_none());
     // The request without an answer is still there to be repeated under its name.
-    let open = &controller.replica.rentals["drover-1-70-2"];
+    let open = &controller.replica().rentals["drover-1-70-2"];
     assert_eq!((open.version, &open.record.machines), (204, &None));
     let scheduler = controller.scheduler.as_ref().unwrap();
     assert!(scheduler.knows("n-1") && scheduler.knows("n-2") && !scheduler.knows("n-9"));
@@ -288,7 +294,7 @@
     // A result is added to the stored range, under the versions that were read.
     let exited = [("wk-1/1", 0x600_0002, TaskState::Exited)];
     answer(&mut controller, &report("n-1", 3, &exited));
-    let (_, txn) = controller.ranges(&epoch).unwrap();
+    let txn = controller.results_to_store(&epoch).unwrap().txn;
     let guarded: Vec<(&str, u64)> = txn
         .guards
         .iter()
@@ -312,7 +318,7 @@
 /// The keys that would be dropped now.
 fn dropped(controller: &mut ControllerState) -> Vec<String> {
     let epoch = controller.write_guard().unwrap();
-    let txn = controller.sweep(&epoch).unwrap();
+    let txn = controller.final_job_cleanup(&epoch).unwrap();
     let key = |change: &Change| match change {
         Change::Delete { key } => key.clone(),
         Change::Put { .. } => panic!("{change:?}"),
--- a/src/controller/tests/large_fleets.rs
+++ b/src/controller/tests/large_fleets.rs
@@ -25,11 +25,11 @@
     let leader = w.leader().unwrap();
     let controller = w.nodes[leader].controller.as_mut().unwrap();
     (0..4500).for_each(|n| {
-        controller.report(&report(format!("x-{n:06}")));
+        controller.handle_heartbeat(&report(format!("x-{n:06}")));
     });
     assert_eq!(controller.unregistered.len(), 4500);
     (0..100_000).for_each(|n| {
-        controller.report(&report(format!("y-{n:06}")));
+        controller.handle_heartbeat(&report(format!("y-{n:06}")));
     });
     assert!(controller.unregistered.len() <= 20_000);
 }
--- a/src/controller/tests/world/controllers.rs
+++ b/src/controller/tests/world/controllers.rs
@@ -15,8 +15,8 @@
                 now + 1,
                 Clock::Scripted(self.clock.clone()),
             );
-            controller.take_types(&[kind()]);
-            controller.loaded(self.service.load());
+            controller.set_machine_types(&[kind()]);
+            let _ = controller.replace_replica(self.service.load());
             self.nodes[n].controller = Some(controller);
         }
         if now < self.nodes[n].frozen_until {
@@ -46,7 +46,7 @@
             *silent |= !reach;
             let left_behind = now >= *opened + 500
                 && controller
-                    .leadership
+                    .leadership()
                     .lags_behind_read_sent_before(Timestamp::from_millis(now - 500));
             if (now > *opened + WATCH || (left_behind && reach)) && !(stuck && *silent) {
                 *watch = None;
@@ -63,7 +63,7 @@
                 Event::Put { version, .. } | Event::Delete { version, .. } => *version > from,
             };
             let events: Vec<Event> = self.service.events.iter().filter(newer).cloned().collect();
-            controller.watched(self.service.revision, &events);
+            let _ = controller.apply_watch_events(self.service.revision, &events);
             *watch = Some((now, false));
         }
     }
@@ -76,14 +76,14 @@
         let controller = self.nodes[n].controller.as_mut().unwrap();
         if let Some((epoch, version, sent, until)) = awaits {
             if controller.replica.revision >= version && controller.term().is_some() {
-                controller.lead_event(LeadershipEvent::RevisionRead {
+                controller.apply_leadership_event(LeadershipEvent::RevisionRead {
                     requested_at: Timestamp::from_millis(sent),
                     revision: version,
                 });
-                controller.rebuild(epoch);
+                controller.start_epoch(epoch);
                 self.nodes[n].awaits = None;
             } else if now > until {
-                controller.lead_event(LeadershipEvent::TermEnded);
+                controller.apply_leadership_event(LeadershipEvent::TermEnded);
                 self.nodes[n].awaits = None;
             }
             return;
@@ -97,46 +97,42 @@
             match (reach, self.service.leases.get_mut(&lease)) {
                 (Ok(()), Some((end, ttl))) => {
                     *end = now + *ttl;
-                    controller.lead_event(LeadershipEvent::RevisionRead {
+                    controller.apply_leadership_event(LeadershipEvent::RevisionRead {
                         requested_at: Timestamp::from_millis(now),
                         revision,
                     });
-                    controller.lead_event(LeadershipEvent::LeaseRenewed {
+                    controller.apply_leadership_event(LeadershipEvent::LeaseRenewed {
                         requested_at: Timestamp::from_millis(now),
                     });
                     if controller.scheduler.is_some() && controller.authority() == Authority::None {
                         self.give_up(n);
                     }
                 }
-                (Ok(()), None) => controller.lead_event(LeadershipEvent::TermEnded),
+                (Ok(()), None) => controller.apply_leadership_event(LeadershipEvent::TermEnded),
                 _ if controller.authority() == Authority::None => {
-                    controller.lead_event(LeadershipEvent::TermEnded);
+                    controller.apply_leadership_event(LeadershipEvent::TermEnded);
                 }
                 _ => {}
             }
             return;
         }
-        if reach.is_err()
-            || !controller.replica.loaded
-            || !controller.free_to_claim()
-            || now < controller.campaign_backoff_until
-        {
+        if reach.is_err() || !controller.may_campaign() {
             return;
         }
         let ttl = (controller.settings.operator.hold_s * 1000.0) as u64;
-        controller.lead_event(LeadershipEvent::CampaignStarted);
+        controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
         let lease = self.service.next_lease + 1;
         self.service.next_lease = lease;
         self.service.leases.insert(lease, (now + ttl, ttl));
         let controller = self.nodes[n].controller.as_mut().unwrap();
-        let claim = controller.claim(lease);
-        let won = claim.and_then(|(txn, record)| match self.txn(n, &txn) {
-            Ok(Decided::Applied(version)) => Some((record.number, version)),
+        let claim = controller.claim_epoch(lease);
+        let won = claim.and_then(|claim| match self.txn(n, &claim.txn) {
+            Ok(Decided::Applied(version)) => Some((claim.record.number, version)),
             _ => None,
         });
         let controller = self.nodes[n].controller.as_mut().unwrap();
         if let Some((epoch, version)) = won {
-            controller.lead_event(LeadershipEvent::CampaignWon {
+            controller.apply_leadership_event(LeadershipEvent::CampaignWon {
                 term: Term {
                     epoch,
                     epoch_version: version,
@@ -146,18 +142,16 @@
             });
             self.nodes[n].awaits = Some((epoch, version, now, now + ttl * 3 / 4));
         } else {
-            controller.lead_event(LeadershipEvent::CampaignLost);
-            controller.campaign_backoff_until = now + 200;
+            controller.apply_leadership_event(LeadershipEvent::CampaignLost);
+            controller.back_off_campaigns(Duration::from_millis(200));
             self.service.end_lease(lease);
         }
     }
 
     pub(super) fn give_up(&mut self, n: usize) {
-        let now = self.now();
         let controller = self.nodes[n].controller.as_mut().unwrap();
         let lease = controller.term().map(|term| term.lease);
-        controller.campaign_backoff_until = now + 10_000;
-        controller.lead_event(LeadershipEvent::TermEnded);
+        controller.step_down(Duration::from_secs(10));
         if self.service.reach(n).is_ok() {
             lease.into_iter().for_each(|h| self.service.end_lease(h));
         }
@@ -183,10 +177,10 @@
                 .controller
                 .as_mut()
                 .unwrap()
-                .logged(w.term, w.append, w.done, found);
+                .finish_start_log_write(w.term, w.append, &w.done, found.as_ref());
         }
-        let Some((append, term, txn)) = self.nodes[n].controller.as_mut().unwrap().next_append()
-        else {
+        let controller = self.nodes[n].controller.as_mut().unwrap();
+        let Some(StartLogWrite { append, term, txn }) = controller.next_start_log_write() else {
             return;
         };
         let done = self.txn(n, &txn);
@@ -208,52 +202,43 @@
         let Some(epoch) = self.nodes[n].controller.as_ref().unwrap().write_guard() else {
             return;
         };
-        for (id, tasks, txn) in self.nodes[n]
-            .controller
-            .as_ref()
-            .unwrap()
-            .completions(&epoch)
-        {
-            if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
-                self.nodes[n]
-                    .controller
-                    .as_mut()
-                    .unwrap()
-                    .completed(&id, tasks);
+        let controller = self.nodes[n].controller.as_mut().unwrap();
+        for completion in controller.job_completions(&epoch) {
+            if let Ok(Decided::Applied(_)) = self.txn(n, &completion.txn) {
+                let controller = self.nodes[n].controller.as_mut().unwrap();
+                controller.finish_job(&completion.job, completion.tasks);
             }
         }
-        if let Some((rows, txn)) = self.nodes[n].controller.as_ref().unwrap().ranges(&epoch) {
-            if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
-                self.nodes[n]
-                    .controller
-                    .as_mut()
-                    .unwrap()
-                    .stored(&epoch, &rows);
+        let controller = self.nodes[n].controller.as_mut().unwrap();
+        if let Some(write) = controller.results_to_store(&epoch) {
+            if let Ok(Decided::Applied(_)) = self.txn(n, &write.txn) {
+                let controller = self.nodes[n].controller.as_mut().unwrap();
+                controller.record_stored_results(&epoch, &write.chunks);
             }
         }
-        if let Some((gone, txn)) = self.nodes[n]
-            .controller
-            .as_ref()
-            .unwrap()
-            .forgettable(&epoch)
-        {
-            if let Ok(Decided::Applied(_)) = self.txn(n, &txn) {
-                gone.iter().for_each(|m| {
-                    self.nodes[n].controller.as_mut().unwrap().gone.remove(m);
-                });
+        let controller = self.nodes[n].controller.as_mut().unwrap();
+        if let Some(cleanup) = controller.rental_cleanup(&epoch) {
+            if let Ok(Decided::Applied(_)) = self.txn(n, &cleanup.txn) {
+                let controller = self.nodes[n].controller.as_mut().unwrap();
+                controller.finish_rental_cleanup(&cleanup.machines);
             }
         }
-        if let Some(txn) = self.nodes[n].controller.as_mut().unwrap().sweep(&epoch) {
+        let controller = self.nodes[n].controller.as_mut().unwrap();
+        if let Some(txn) = controller.final_job_cleanup(&epoch) {
             let _ = self.txn(n, &txn);
         }
     }
 
     pub(super) fn pass(&mut self, n: usize) {
-        let pass = self.nodes[n].controller.as_mut().unwrap().pass(16, 8);
-        let sends = match pass {
-            Pass::Sends(sends) => sends,
-            Pass::Nothing => return,
-            Pass::GiveUp(_) => return self.give_up(n),
+        let limits = SendLimits {
+            messages: 16,
+            probes: 8,
+        };
+        let controller = self.nodes[n].controller.as_mut().unwrap();
+        let sends = match controller.run_scheduling_round(limits) {
+            RoundOutcome::Send(sends) => sends,
+            RoundOutcome::Idle => return,
+            RoundOutcome::StepDown(_) => return self.give_up(n),
         };
         let (life, term) = (
             self.nodes[n].life,
--- a/src/controller/tests/world/mod.rs
+++ b/src/controller/tests/world/mod.rs
@@ -11,8 +11,7 @@
 
 use crate::config::Settings;
 use crate::controller::clock::Clock;
-use crate::controller::scheduling_round::Pass;
-use crate::controller::state::ControllerState;
+use crate::controller::state::{ControllerState, RoundOutcome, SendLimits, StartLogWrite};
 use crate::controller::HeartbeatOutcome;
 use crate::coordination::leadership::Term;
 use crate::coordination::leadership::{Authority, LeadershipEvent, Role};
@@ -30,6 +29,7 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
+use std::time::Duration;
 
 /// One step of the clock.
 const STEP: u64 = 50;
--- a/src/controller/tests/world/rules.rs
+++ b/src/controller/tests/world/rules.rs
@@ -125,7 +125,7 @@
                 let roles: Vec<Option<Role>> = self
                     .nodes
                     .iter()
-                    .map(|n| n.controller.as_ref().map(|c| c.leadership.role().clone()))
+                    .map(|n| n.controller.as_ref().map(|c| c.leadership().role().clone()))
                     .collect();
                 let machines: Vec<String> = self
                     .workers
--- a/src/controller/tests/world/workers.rs
+++ b/src/controller/tests/world/workers.rs
@@ -192,7 +192,7 @@
                 let Some(controller) = self.nodes[node].controller.as_mut() else {
                     return;
                 };
-                let answer = controller.report(&report);
+                let answer = controller.handle_heartbeat(&report);
                 if let HeartbeatOutcome::Reply(ReportReply { orders, .. }) = &answer {
                     let orders = orders.clone();
                     if !copy {
@@ -276,7 +276,7 @@
                 if controller.may_send_direct(term, &direct) {
                     self.send_direct(node, life, term, vec![direct]);
                 } else {
-                    controller.direct_answer(term, &direct, None);
+                    controller.handle_direct_answer(term, &direct, None);
                 }
             }
             Message::Direct {
@@ -351,7 +351,7 @@
                 let n = &mut self.nodes[node];
                 if n.life == life {
                     if let Some(controller) = n.controller.as_mut() {
-                        controller.direct_answer(term, &direct, report.as_ref());
+                        controller.handle_direct_answer(term, &direct, report.as_ref());
                     }
                 }
             }
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -14,7 +14,7 @@
 use crate::coordination::leadership::longest_authority;
 use crate::coordination::peers::{CancelledJob, Notice};
 use crate::store::{self, Decided, LiveRecord, OverRecord, StoreError, Versioned};
-use crate::time::{duration, Timestamp};
+use crate::time::duration;
 use std::ops::ControlFlow;
 
 /// Number of changes of the store by a cancellation.
@@ -116,13 +116,10 @@
     async fn wait_until_no_task_can_start(&self, notice: Notice) {
         let deadline = self.read_state(|state| {
             let lease_ttl = duration(state.settings.operator.hold_s);
-            Timestamp::from_millis(state.now()) + longest_authority(lease_ttl)
+            state.now() + longest_authority(lease_ttl)
         });
-        let settled = || {
-            self.read_state(|state| {
-                state.stops_known(notice) || Timestamp::from_millis(state.now()) > deadline
-            })
-        };
+        let settled =
+            || self.read_state(|state| state.stops_known(notice) || state.now() > deadline);
         while !settled() {
             pause(ACKNOWLEDGEMENT_POLL_MS).await;
         }
--- a/src/controller/user_requests/mod.rs
+++ b/src/controller/user_requests/mod.rs
@@ -44,7 +44,7 @@
     /// Admits a read of the store on behalf of a user, or tells when to repeat the request.
     fn admit_read(&self) -> Result<(), JobOutcome> {
         self.with_state(|state| {
-            let now = state.now();
+            let now = state.now().as_millis();
             state
                 .user_reads
                 .take(now)
@@ -55,7 +55,7 @@
     /// Admits a number of changes of the store on behalf of a user, or tells when to repeat the request.
     fn admit_changes(&self, changes: u32) -> Result<(), JobOutcome> {
         self.with_state(|state| {
-            let now = state.now();
+            let now = state.now().as_millis();
             state.adjust_pace();
             state
                 .user_changes
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -53,7 +53,7 @@
 
     /// Makes a submitted job durable.
     async fn accept(&self, spec: JobSpec) -> JobOutcome {
-        let at_ms = self.read_state(ControllerState::wall);
+        let at_ms = self.read_state(ControllerState::unix_millis);
         let record = LiveRecord { spec, at_ms };
         let id = record.spec.id.as_str();
         match self
--- a/src/time.rs
+++ b/src/time.rs
@@ -87,3 +87,14 @@
 pub fn duration(seconds: f64) -> Duration {
     Duration::from_millis(millis(seconds))
 }
+
+/// Milliseconds as a duration, rounded down to whole ones; what is negative or no number is zero.
+#[must_use]
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "float to integer casts saturate, which is what is wanted"
+)]
+pub fn duration_from_millis(milliseconds: f64) -> Duration {
+    Duration::from_millis(milliseconds as u64)
+}
