--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -64,7 +64,7 @@
         actix::spawn(handles().run_flush_loop());
         actix::spawn(handles().fleet());
         actix::spawn(handles().peers());
-        actix::spawn(handles().tell_cancelled());
+        actix::spawn(handles().run_cancellation_broadcast());
     }
 }
 
@@ -131,6 +131,9 @@
     fn handle(&mut self, m: PeerCancelled, _: &mut Self::Context) -> Self::Result {
         self.handles.round_requested.notify_one();
         self.handles.cancellation_recorded.notify_one();
-        MessageResult(self.handles.with_state(|state| state.take_cancelled(&m.0)))
+        MessageResult(
+            self.handles
+                .with_state(|state| state.receive_cancellations(&m.0)),
+        )
     }
 }
--- a/src/controller/cancellation_broadcast.rs
+++ b/src/controller/cancellation_broadcast.rs
@@ -1,129 +1,134 @@
-//! Tells the other controllers of cancellations, and what follows from what is known of them.
+//! Notifies the other controllers of cancellations, and applies what this controller learns of them.
 
 use super::handles::Handles;
 use super::state::{ControllerState, MIN_ROUND_INTERVAL};
-use crate::coordination::peers::{self, Cancelled, CancelledJob, Notice};
+use crate::config::Peer;
+use crate::coordination::cancellations::{Notice, OtherLeader, ReplicaView};
+use crate::coordination::peers::{self, Cancelled, CancelledJob};
 use crate::protocol as wire;
-use crate::store::{LeaderRecord, OverRecord, Versioned};
+use crate::store::{OverRecord, Versioned};
 use std::time::Duration;
+use tokio::time::{sleep, timeout};
+
+/// Time after which notices that were not acknowledged are sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Handles {
-    /// Tells the others of cancellations, again until they know.
-    pub(super) async fn tell_cancelled(self) {
-        let peers = self.state.borrow().settings.platform.peers.clone();
+    /// Sends every peer the cancellations that it does not know of, again until it knows.
+    pub(super) async fn run_cancellation_broadcast(self) {
+        let peers = self.read_state(|state| state.settings().platform.peers.clone());
         loop {
-            let _ = tokio::time::timeout(
-                Duration::from_millis(500),
-                self.cancellation_recorded.notified(),
-            )
-            .await;
-            for p in &peers {
-                let (message, last) = {
-                    let controller = self.state.borrow();
-                    let Some((jobs, last)) = controller.cancellation_notices.unknown_to(&p.node)
-                    else {
-                        continue;
-                    };
-                    (Cancelled { jobs }, last)
-                };
-                let (me, node, addr) = (self.clone(), p.node.clone(), p.peer_addr);
-                actix::spawn(async move {
-                    if let Some(revision) = peers::tell_cancelled(&me.http, addr, &message).await {
-                        let notices = &mut me.state.borrow_mut().cancellation_notices;
-                        notices.told(&node, last);
-                        notices.mirrored(&node, revision);
-                    }
-                });
+            let recorded = self.cancellation_recorded.notified();
+            // Whether something was recorded or the interval is over: what is unknown to a peer is sent.
+            let _ = timeout(RESEND_INTERVAL, recorded).await;
+            for peer in &peers {
+                self.notify_peer(peer);
             }
-            // What is called off at the same moment goes together.
-            tokio::time::sleep(MIN_ROUND_INTERVAL).await;
+            // Cancellations that are recorded close together are sent together.
+            sleep(MIN_ROUND_INTERVAL).await;
         }
     }
+
+    /// Sends a peer the cancellations that it does not know of, without waiting for the answer.
+    fn notify_peer(&self, peer: &Peer) {
+        let Some((message, last)) =
+            self.read_state(|state| state.cancellations.message_for(&peer.node))
+        else {
+            return;
+        };
+        let (handles, node, address) = (self.clone(), peer.node.clone(), peer.peer_addr);
+        actix::spawn(async move {
+            let answer = peers::tell_cancelled(&handles.http, address, &message).await;
+            // Without an answer the message is sent again.
+            if let Some(replica_revision) = answer {
+                handles.with_state(|state| {
+                    state.cancellations.acknowledged(&node, last);
+                    state
+                        .cancellations
+                        .peer_replica_reached(&node, replica_revision);
+                });
+            }
+        });
+    }
 }
 
 impl ControllerState {
-    /// A cancellation is known to be durable, perhaps sooner than the mirror shows it: what runs of the job is stopped,
-    /// nothing of it is started or believed to be done any more.
-    pub(super) fn cancelled(&mut self, id: &str, tasks: u32) {
-        self.replica.remember_over(
-            id,
-            OverRecord {
-                cancelled: true,
-                tasks,
-            },
-        );
+    /// Applies a cancellation that is durable, perhaps before the replica shows it: tasks of the job are stopped, and none is
+    /// started or counted as finished any more.
+    fn apply_cancellation(&mut self, job: &str, tasks: u32) {
+        let final_state = OverRecord {
+            cancelled: true,
+            tasks,
+        };
+        self.replica.remember_over(job, final_state);
         if let Some(scheduler) = self.scheduler_at_now() {
-            scheduler.drop_job(id);
+            scheduler.drop_job(job);
         }
     }
 
-    /// A cancellation is durable at a revision; the others have to be told of it.
-    pub(super) fn note_cancellation(&mut self, cancelled: CancelledJob) -> Notice {
-        self.cancelled(&cancelled.job, cancelled.tasks);
-        let known = self.cancellation_notices.find(&cancelled.job);
-        known.unwrap_or_else(|| self.cancellation_notices.add(cancelled))
+    /// Applies a durable cancellation and records that the peers have to be notified of it.
+    pub(super) fn record_cancellation(&mut self, cancelled: CancelledJob) -> Notice {
+        self.apply_cancellation(&cancelled.job, cancelled.tasks);
+        self.cancellations.record(cancelled)
     }
 
-    /// A final state that was read from the store. Where it is a cancellation that the leader may not know of yet, it has to
-    /// be told.
+    /// Remembers a final state that was read from the store. If it is a cancellation that the leader may not know of, the
+    /// leader has to be notified.
     pub(super) fn learn_final_state(&mut self, id: &str, read: &Versioned<OverRecord>) {
-        if read.record.cancelled && self.leader_may_miss(read.version) {
-            let cancelled = CancelledJob {
+        if read.record.cancelled && self.leader_may_not_know(read.version) {
+            self.record_cancellation(CancelledJob {
                 job: id.to_string(),
                 tasks: read.record.tasks,
                 revision: read.version,
-            };
-            self.note_cancellation(cancelled);
+            });
         } else {
             self.replica.remember_over(id, read.record);
         }
     }
 
-    /// Another node's word of cancellations; tells how far this one's mirror is. It is passed on: the path from that node
-    /// to the leader may be cut, and a user whose request is repeated here is answered once the leader knows, too.
-    pub(super) fn take_cancelled(&mut self, told: &Cancelled) -> u64 {
-        for cancelled in told
-            .jobs
-            .iter()
-            .filter(|cancelled| wire::job_id(&cancelled.job))
-        {
-            if self.leader_may_miss(cancelled.revision) {
-                self.note_cancellation(cancelled.clone());
+    /// Applies the cancellations in a peer's message. Returns the revision that this controller's replica has reached.
+    ///
+    /// Cancellations that the leader may not know of are passed on. The path from that peer to the leader may be cut, and a
+    /// user who repeats the request here is answered only when the leader knows.
+    pub(super) fn receive_cancellations(&mut self, message: &Cancelled) -> u64 {
+        let valid = |cancelled: &&CancelledJob| wire::job_id(&cancelled.job);
+        for cancelled in message.jobs.iter().filter(valid) {
+            if self.leader_may_not_know(cancelled.revision) {
+                self.record_cancellation(cancelled.clone());
             } else {
-                self.cancelled(&cancelled.job, cancelled.tasks);
+                self.apply_cancellation(&cancelled.job, cancelled.tasks);
             }
         }
         self.replica.revision
     }
 
-    /// The notice of a job's cancellation while a leader may not know of it.
+    /// The notice of a job's cancellation, while a leader may still start tasks of the job.
     pub(super) fn unsettled_cancellation(&self, job: &str) -> Option<Notice> {
-        self.cancellation_notices
-            .find(job)
-            .filter(|notice| !self.stops_known(*notice))
+        self.cancellations.unsettled(self.replica_view(), job)
     }
 
-    /// Whether a leader may start tasks of a job whose cancellation became durable at a revision, for all that the mirrors
-    /// tell: the leader of then may not have heard of it. A later one has read the store since.
-    pub(super) fn leader_may_miss(&self, revision: u64) -> bool {
-        let leader_misses = self.replica.leader.as_ref().is_some_and(|leader| {
-            leader.record != *self.identity()
-                && leader.version <= revision
-                && self.cancellation_notices.mirrored_by(&leader.record.node) < revision
-        });
-        self.replica.revision < revision || leader_misses
+    /// Whether no leader can start a task any more of the job that was cancelled.
+    pub(super) fn is_cancellation_settled(&self, notice: Notice) -> bool {
+        self.cancellations.is_settled(self.replica_view(), notice)
     }
 
-    /// Whether no leader can start anything any more of a job whose cancellation is durable: the leader of then has been
-    /// told, or its leader lease has ended.
-    pub(super) fn stops_known(&self, notice: Notice) -> bool {
-        let told = |leader: &Versioned<LeaderRecord>| {
-            self.cancellation_notices
-                .was_told(&leader.record.node, notice)
-        };
-        let mirrored = self.replica.revision >= notice.revision();
-        mirrored
-            && (!self.leader_may_miss(notice.revision())
-                || self.replica.leader.as_ref().is_some_and(told))
+    /// Whether the leader may not know of a cancellation that became durable at a revision.
+    fn leader_may_not_know(&self, revision: u64) -> bool {
+        self.cancellations
+            .leader_may_not_know(self.replica_view(), revision)
+    }
+
+    /// What the replica says of the leader.
+    fn replica_view(&self) -> ReplicaView<'_> {
+        let leader = self.replica.leader.as_ref();
+        ReplicaView {
+            revision: self.replica.revision,
+            other_leader: leader
+                .filter(|leader| leader.record != *self.identity())
+                .map(|leader| OtherLeader {
+                    node: &leader.record.node,
+                    elected_at: leader.version,
+                }),
+        }
     }
 }
--- a/src/controller/peer_view_loop.rs
+++ b/src/controller/peer_view_loop.rs
@@ -85,7 +85,7 @@
                 .map(|(id, done, running)| (id, (done, running)))
                 .collect();
         }
-        self.cancellation_notices.mirrored(&v.node, v.revision);
+        self.cancellations.peer_replica_reached(&v.node, v.revision);
         self.peer_health.told(v.node, v.state_ok, now);
     }
 
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -29,9 +29,10 @@
 use crate::admission::write_admission::{users_share, Pacer};
 use crate::autoscaler::Fleet;
 use crate::config::Settings;
+use crate::coordination::cancellations::Cancellations;
 use crate::coordination::leadership::{Authority, Leadership, LeadershipEvent, Term};
 use crate::coordination::linearizable_reads::PendingReads;
-use crate::coordination::peers::{CancellationNotices, PeerHealth};
+use crate::coordination::peers::PeerHealth;
 use crate::protocol::MachineType;
 use crate::scheduler::Scheduler;
 use crate::store::{LeaderRecord, Mirror, StoreError};
@@ -79,7 +80,7 @@
     pub(super) machine_types: Vec<MachineType>,
     pub(super) reported_task_counts: HashMap<String, (u32, u32)>,
     pub(super) peer_health: PeerHealth,
-    pub(super) cancellation_notices: CancellationNotices,
+    pub(super) cancellations: Cancellations,
     pub(super) released: HashMap<String, u64>,
     pub(super) gone: HashSet<String>,
     pub(super) unregistered: BTreeMap<String, UnregisteredMachine>,
@@ -124,7 +125,7 @@
             machine_types: Vec::new(),
             reported_task_counts: HashMap::new(),
             peer_health: PeerHealth::default(),
-            cancellation_notices: CancellationNotices::default(),
+            cancellations: Cancellations::default(),
             released: HashMap::new(),
             gone: HashSet::new(),
             unregistered: BTreeMap::new(),
--- a/src/controller/tests/cancellations.rs
+++ b/src/controller/tests/cancellations.rs
@@ -52,7 +52,7 @@
     let name = |node: usize| format!("drover-{node}");
     let controller = w.nodes[second].controller.as_mut().unwrap();
     let revision = controller.replica.revision + 1;
-    controller.take_cancelled(&Cancelled {
+    controller.receive_cancellations(&Cancelled {
         jobs: vec![CancelledJob {
             job: "wk-1".into(),
             tasks: 4,
@@ -63,12 +63,9 @@
     // Its own mirror alone says nothing of the leader.
     controller.replica.revision = revision;
     assert!(controller.unsettled_cancellation("wk-1").is_some());
-    let (jobs, last) = controller
-        .cancellation_notices
-        .unknown_to(&name(leader))
-        .unwrap();
+    let (Cancelled { jobs }, last) = controller.cancellations.message_for(&name(leader)).unwrap();
     assert_eq!(jobs[0].job, "wk-1");
-    controller.cancellation_notices.told(&name(leader), last);
+    controller.cancellations.acknowledged(&name(leader), last);
     assert!(controller.unsettled_cancellation("wk-1").is_none());
 }
 
@@ -88,19 +85,19 @@
     };
     // What the leader's mirror is known to hold costs no word.
     let revision = controller.replica.revision;
-    controller.cancellation_notices.mirrored(&leader, revision);
+    controller
+        .cancellations
+        .peer_replica_reached(&leader, revision);
     controller.learn_final_state("wk-8", &cancelled(revision));
-    assert!(controller
-        .cancellation_notices
-        .unknown_to(&leader)
-        .is_none());
+    assert!(controller.cancellations.message_for(&leader).is_none());
     controller.learn_final_state("wk-9", &cancelled(revision + 1));
     assert_eq!(
         controller
-            .cancellation_notices
-            .unknown_to(&leader)
+            .cancellations
+            .message_for(&leader)
             .unwrap()
-            .0[0]
+            .0
+            .jobs[0]
             .job,
         "wk-9"
     );
--- a/src/controller/tests/world/controllers.rs
+++ b/src/controller/tests/world/controllers.rs
@@ -412,23 +412,18 @@
             let Some(hint) = self.nodes[a]
                 .controller
                 .as_ref()
-                .map(|c| c.cancellation_notices.unknown_to(&name))
+                .map(|c| c.cancellations.message_for(&name))
             else {
                 continue;
             };
             let Some(other) = self.nodes[b].controller.as_mut() else {
                 continue;
             };
-            if let Some((jobs, last)) = hint {
-                let revision =
-                    other.take_cancelled(&crate::coordination::peers::Cancelled { jobs });
-                let notices = &mut self.nodes[a]
-                    .controller
-                    .as_mut()
-                    .unwrap()
-                    .cancellation_notices;
-                notices.told(&name, last);
-                notices.mirrored(&name, revision);
+            if let Some((message, last)) = hint {
+                let revision = other.receive_cancellations(&message);
+                let cancellations = &mut self.nodes[a].controller.as_mut().unwrap().cancellations;
+                cancellations.acknowledged(&name, last);
+                cancellations.peer_replica_reached(&name, revision);
             }
             if now % 900 < STEP {
                 let view = self.nodes[b].controller.as_ref().unwrap().own_view();
@@ -445,7 +440,7 @@
             };
             let most = 2500 * 1001 / 1000;
             let known = match self.nodes[node].controller.as_ref() {
-                Some(c) => c.stops_known(notice) || now > since + most,
+                Some(c) => c.is_cancellation_settled(notice) || now > since + most,
                 // Its user hears nothing from it and asks another, to which the job is cancelled.
                 None => now > since + 5000,
             };
--- a/src/controller/tests/world/mod.rs
+++ b/src/controller/tests/world/mod.rs
@@ -13,9 +13,10 @@
 use crate::controller::clock::Clock;
 use crate::controller::state::{ControllerState, RoundOutcome, SendLimits, StartLogWrite};
 use crate::controller::HeartbeatOutcome;
+use crate::coordination::cancellations::Notice;
 use crate::coordination::leadership::Term;
 use crate::coordination::leadership::{Authority, LeadershipEvent, Role};
-use crate::coordination::peers::{CancelledJob, Notice};
+use crate::coordination::peers::CancelledJob;
 use crate::protocol::{
     split_task, Change, Command, Event, ExitReason, Guard, JobSpec, Kind, MachineType, Report,
     ReportReply, TaskReport, TaskState, Txn,
@@ -347,7 +348,7 @@
             return false;
         };
         let tasks = live.record.spec.tasks;
-        let notice = controller.note_cancellation(CancelledJob {
+        let notice = controller.record_cancellation(CancelledJob {
             job: id.into(),
             tasks,
             revision,
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -11,8 +11,9 @@
 use super::final_outcome;
 use crate::controller::handles::{pause, Handles};
 use crate::controller::messages::JobOutcome;
+use crate::coordination::cancellations::Notice;
 use crate::coordination::leadership::longest_authority;
-use crate::coordination::peers::{CancelledJob, Notice};
+use crate::coordination::peers::CancelledJob;
 use crate::store::{self, Decided, LiveRecord, OverRecord, StoreError, Versioned};
 use crate::time::duration;
 use std::ops::ControlFlow;
@@ -94,7 +95,7 @@
             tasks: final_state.tasks,
             revision,
         };
-        self.with_state(|state| state.note_cancellation(cancelled));
+        self.with_state(|state| state.record_cancellation(cancelled));
         self.cancellation_recorded.notify_one();
         self.round_requested.notify_one();
         self.confirm_final(id, final_state).await
@@ -118,8 +119,9 @@
             let lease_ttl = duration(state.settings.operator.hold_s);
             state.now() + longest_authority(lease_ttl)
         });
-        let settled =
-            || self.read_state(|state| state.stops_known(notice) || state.now() > deadline);
+        let settled = || {
+            self.read_state(|state| state.is_cancellation_settled(notice) || state.now() > deadline)
+        };
         while !settled() {
             pause(ACKNOWLEDGEMENT_POLL_MS).await;
         }
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,11 +1,8 @@
 //! What the controllers tell each other, as bincode.
 
-mod notices;
 #[cfg(test)]
 mod tests;
 
-pub use notices::{CancellationNotices, Notice};
-
 use crate::clients::worker::exchange;
 use awc::http::Method;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
--- a/src/coordination/peers/tests.rs
+++ b/src/coordination/peers/tests.rs
@@ -1,6 +1,5 @@
 //! What a node knows of the others.
 
-use super::notices::{MESSAGE_LIMIT, NOTICE_LIMIT};
 use super::*;
 
 fn cancelled(job: &str, revision: u64) -> CancelledJob {
@@ -48,68 +47,6 @@
     assert!(decode::<Cancelled>(&[255; 40]).is_none());
 }
 
-#[test]
-fn a_cancellation_is_told_until_the_other_knows() {
-    let mut notices = CancellationNotices::default();
-    assert!(notices.unknown_to("b").is_none());
-    let first = notices.add(cancelled("wk-1", 40));
-    let second = notices.add(cancelled("wk-2", 42));
-    let (jobs, last) = notices.unknown_to("b").unwrap();
-    assert_eq!((jobs.len(), last), (2, second));
-    // Its mirror has seen the first; a word of less takes nothing back.
-    notices.mirrored("b", 41);
-    notices.mirrored("b", 7);
-    assert_eq!(
-        notices.unknown_to("b").unwrap().0,
-        vec![cancelled("wk-2", 42)]
-    );
-    assert!(notices.is_known_by("b", first) && !notices.is_known_by("b", second));
-    notices.told("b", last);
-    assert!(notices.unknown_to("b").is_none() && notices.is_known_by("b", second));
-    assert_eq!(notices.unknown_to("c").unwrap().0.len(), 2);
-    // One that is never reached costs bounded memory, and messages are bounded.
-    (0..NOTICE_LIMIT as u64 * 2).for_each(|n| {
-        notices.add(cancelled("wk-3", 100 + n));
-    });
-    let mut messages = 0;
-    while let Some((jobs, last)) = notices.unknown_to("c") {
-        assert!(jobs.len() <= MESSAGE_LIMIT);
-        notices.told("c", last);
-        messages += 1;
-    }
-    assert_eq!(messages, NOTICE_LIMIT / MESSAGE_LIMIT);
-}
-
-#[test]
-fn a_peer_that_was_told_of_a_later_cancellation_does_not_know_of_an_earlier_one() {
-    let mut notices = CancellationNotices::default();
-    // Its transaction was the later one, but was answered first.
-    let later = notices.add(cancelled("wk-2", 42));
-    let (_, last) = notices.unknown_to("b").unwrap();
-    notices.told("b", last);
-    let earlier = notices.add(cancelled("wk-1", 40));
-    assert!(notices.is_known_by("b", later) && !notices.is_known_by("b", earlier));
-    assert_eq!(
-        notices.unknown_to("b").unwrap().0,
-        vec![cancelled("wk-1", 40)]
-    );
-}
-
-#[test]
-fn a_notice_that_was_not_kept_is_known_only_through_the_store() {
-    let mut notices = CancellationNotices::default();
-    let lost = notices.add(cancelled("wk-1", 40));
-    for n in 0..NOTICE_LIMIT as u64 {
-        notices.add(cancelled("wk-2", 41 + n));
-    }
-    while let Some((_, last)) = notices.unknown_to("b") {
-        notices.told("b", last);
-    }
-    assert!(!notices.is_known_by("b", lost));
-    notices.mirrored("b", 40);
-    assert!(notices.is_known_by("b", lost));
-}
-
 #[test]
 fn a_node_that_stood_still_does_not_take_itself_for_cut_off() {
     let mut o = PeerHealth::default();
