--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -57,7 +57,7 @@
     fn started(&mut self, _: &mut Self::Context) {
         let handles = || self.handles.clone();
         actix::spawn(handles().run_watch_loop());
-        actix::spawn(handles().read_barrier_loop());
+        actix::spawn(handles().run_read_barrier_loop());
         actix::spawn(handles().run_election_loop());
         actix::spawn(handles().run_scheduling_loop());
         actix::spawn(handles().run_start_log_loop());
--- a/src/controller/read_barrier.rs
+++ b/src/controller/read_barrier.rs
@@ -1,7 +1,7 @@
 //! Makes reads of the replica linearizable: sends read barriers for the reads that wait, and keeps the leader's authority
 //! current with them.
 
-use super::handles::{pause, Handles};
+use super::handles::Handles;
 use super::state::ControllerState;
 use crate::coordination::leadership::LeadershipEvent;
 use crate::coordination::linearizable_reads::ReadBatch;
@@ -9,11 +9,12 @@
 use crate::store::{self, guard};
 use crate::time::Timestamp;
 use std::time::Duration;
+use tokio::time::sleep;
 
 /// Time in which reads are collected before a barrier is sent for all of them.
-const COLLECTION_MS: u64 = 40;
+const COLLECTION_TIME: Duration = Duration::from_millis(40);
 /// Time after the sending of a barrier before reads are collected for the next one.
-const BARRIER_PAUSE_MS: u64 = 60;
+const BARRIER_PAUSE: Duration = Duration::from_millis(60);
 /// Time within which the replica has to reach the revision of a read's barrier.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 
@@ -32,15 +33,15 @@
 impl Handles {
     /// Sends read barriers: one for all reads of a moment, and one for each renewal of the leader lease, on which the leader's
     /// authority depends.
-    pub(super) async fn read_barrier_loop(self) {
+    pub(super) async fn run_read_barrier_loop(self) {
         loop {
             self.read_requested.notified().await;
-            pause(COLLECTION_MS).await;
+            sleep(COLLECTION_TIME).await;
             let Some(barrier) = self.with_state(ControllerState::next_read_barrier) else {
                 continue;
             };
             actix::spawn(self.clone().send_read_barrier(barrier));
-            pause(BARRIER_PAUSE_MS).await;
+            sleep(BARRIER_PAUSE).await;
         }
     }
 
