--- a/src/api.rs
+++ b/src/api.rs
@@ -212,7 +212,7 @@
 
 /// The routes of the other controllers.
 fn peer_routes(config: &mut web::ServiceConfig) {
-    let limit = || web::PayloadConfig::new(peers::LIMIT);
+    let limit = || web::PayloadConfig::new(peers::MESSAGE_SIZE_LIMIT);
     config
         .service(
             web::resource("/peer/view")
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -63,7 +63,7 @@
         actix::spawn(handles().run_start_log_loop());
         actix::spawn(handles().run_flush_loop());
         actix::spawn(handles().fleet());
-        actix::spawn(handles().peers());
+        actix::spawn(handles().run_peer_view_loop());
         actix::spawn(handles().run_cancellation_broadcast());
     }
 }
@@ -120,7 +120,7 @@
     type Result = MessageResult<PeerView>;
     fn handle(&mut self, m: PeerView, _: &mut Self::Context) -> Self::Result {
         MessageResult(self.handles.with_state(|state| {
-            state.take_view(m.0);
+            state.receive_view(m.0);
             state.own_view()
         }))
     }
--- a/src/controller/cancellation_broadcast.rs
+++ b/src/controller/cancellation_broadcast.rs
@@ -1,12 +1,9 @@
-//! Notifies the other controllers of cancellations, and applies what this controller learns of them.
+//! Notifies the other controllers of cancellations.
 
 use super::handles::Handles;
-use super::state::{ControllerState, MIN_ROUND_INTERVAL};
+use super::state::MIN_ROUND_INTERVAL;
 use crate::config::Peer;
-use crate::coordination::cancellations::{Notice, OtherLeader, ReplicaView};
-use crate::coordination::peers::{self, Cancelled, CancelledJob};
-use crate::protocol as wire;
-use crate::store::{OverRecord, Versioned};
+use crate::coordination::peers;
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
@@ -38,7 +35,7 @@
         };
         let (handles, node, address) = (self.clone(), peer.node.clone(), peer.peer_addr);
         actix::spawn(async move {
-            let answer = peers::tell_cancelled(&handles.http, address, &message).await;
+            let answer = peers::send_cancellations(&handles.http, address, &message).await;
             // Without an answer the message is sent again.
             if let Some(replica_revision) = answer {
                 handles.with_state(|state| {
@@ -51,84 +48,3 @@
         });
     }
 }
-
-impl ControllerState {
-    /// Applies a cancellation that is durable, perhaps before the replica shows it: tasks of the job are stopped, and none is
-    /// started or counted as finished any more.
-    fn apply_cancellation(&mut self, job: &str, tasks: u32) {
-        let final_state = OverRecord {
-            cancelled: true,
-            tasks,
-        };
-        self.replica.remember_over(job, final_state);
-        if let Some(scheduler) = self.scheduler_at_now() {
-            scheduler.drop_job(job);
-        }
-    }
-
-    /// Applies a durable cancellation and records that the peers have to be notified of it.
-    pub(super) fn record_cancellation(&mut self, cancelled: CancelledJob) -> Notice {
-        self.apply_cancellation(&cancelled.job, cancelled.tasks);
-        self.cancellations.record(cancelled)
-    }
-
-    /// Remembers a final state that was read from the store. If it is a cancellation that the leader may not know of, the
-    /// leader has to be notified.
-    pub(super) fn learn_final_state(&mut self, id: &str, read: &Versioned<OverRecord>) {
-        if read.record.cancelled && self.leader_may_not_know(read.version) {
-            self.record_cancellation(CancelledJob {
-                job: id.to_string(),
-                tasks: read.record.tasks,
-                revision: read.version,
-            });
-        } else {
-            self.replica.remember_over(id, read.record);
-        }
-    }
-
-    /// Applies the cancellations in a peer's message. Returns the revision that this controller's replica has reached.
-    ///
-    /// Cancellations that the leader may not know of are passed on. The path from that peer to the leader may be cut, and a
-    /// user who repeats the request here is answered only when the leader knows.
-    pub(super) fn receive_cancellations(&mut self, message: &Cancelled) -> u64 {
-        let valid = |cancelled: &&CancelledJob| wire::job_id(&cancelled.job);
-        for cancelled in message.jobs.iter().filter(valid) {
-            if self.leader_may_not_know(cancelled.revision) {
-                self.record_cancellation(cancelled.clone());
-            } else {
-                self.apply_cancellation(&cancelled.job, cancelled.tasks);
-            }
-        }
-        self.replica.revision
-    }
-
-    /// The notice of a job's cancellation, while a leader may still start tasks of the job.
-    pub(super) fn unsettled_cancellation(&self, job: &str) -> Option<Notice> {
-        self.cancellations.unsettled(self.replica_view(), job)
-    }
-
-    /// Whether no leader can start a task any more of the job that was cancelled.
-    pub(super) fn is_cancellation_settled(&self, notice: Notice) -> bool {
-        self.cancellations.is_settled(self.replica_view(), notice)
-    }
-
-    /// Whether the leader may not know of a cancellation that became durable at a revision.
-    fn leader_may_not_know(&self, revision: u64) -> bool {
-        self.cancellations
-            .leader_may_not_know(self.replica_view(), revision)
-    }
-
-    /// What the replica says of the leader.
-    fn replica_view(&self) -> ReplicaView<'_> {
-        let leader = self.replica.leader.as_ref();
-        ReplicaView {
-            revision: self.replica.revision,
-            other_leader: leader
-                .filter(|leader| leader.record != *self.identity())
-                .map(|leader| OtherLeader {
-                    node: &leader.record.node,
-                    elected_at: leader.version,
-                }),
-        }
-    }
-}
--- a/src/controller/job_status.rs
+++ b/src/controller/job_status.rs
@@ -16,7 +16,7 @@
             .scheduler
             .as_ref()
             .and_then(|p| p.counts(id))
-            .or(self.reported_task_counts.get(id).copied());
+            .or_else(|| self.reported_task_counts(id));
         self.replica.live.get(id)?;
         let (done, running) = counts.unwrap_or_default();
         let state = if running > 0 {
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -4,10 +4,13 @@
 //! Each part of the state that has an invariant of its own is a type with private fields in one of the modules below. The
 //! other modules below hold the steps that join these parts, each beside the types of its outcome.
 
+mod cancellations;
 mod durable_writes;
 mod epoch_start;
 mod heartbeats;
+mod leader_report;
 mod leadership_status;
+mod peer_views;
 mod replica_changes;
 mod round_timing;
 mod scheduling_round;
@@ -21,6 +24,7 @@
 pub(super) use scheduling_round::{RoundOutcome, SendLimits, StepDownReason};
 pub(super) use start_log::StartLogWrite;
 
+use self::leader_report::LeaderReport;
 use self::leadership_status::LeadershipStatus;
 use self::round_timing::{PauseDetector, RoundDeadlines};
 use self::store_contact::StoreContact;
@@ -78,8 +82,8 @@
     pause_detector: PauseDetector,
     pub(super) fleet: Fleet,
     pub(super) machine_types: Vec<MachineType>,
-    pub(super) reported_task_counts: HashMap<String, (u32, u32)>,
-    pub(super) peer_health: PeerHealth,
+    leader_report: LeaderReport,
+    peer_health: PeerHealth,
     pub(super) cancellations: Cancellations,
     pub(super) released: HashMap<String, u64>,
     pub(super) gone: HashSet<String>,
@@ -93,9 +97,7 @@
     /// to be final or absent.
     pub(super) user_reads: TokenBucket,
     /// The changes that this node makes as the leader.
-    pub(super) own_changes: RateMeter,
-    /// What the leader last told of its changes, and when.
-    pub(super) leader_changes: Option<(f64, u64)>,
+    own_changes: RateMeter,
 }
 
 impl ControllerState {
@@ -123,7 +125,7 @@
             pause_detector: PauseDetector::default(),
             fleet: Fleet::default(),
             machine_types: Vec::new(),
-            reported_task_counts: HashMap::new(),
+            leader_report: LeaderReport::default(),
             peer_health: PeerHealth::default(),
             cancellations: Cancellations::default(),
             released: HashMap::new(),
@@ -135,7 +137,6 @@
             cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
             user_reads: TokenBucket::new(user_reads, user_reads),
             own_changes: RateMeter::new(CHANGES_MS),
-            leader_changes: None,
         }
     }
 
@@ -301,7 +302,7 @@
     /// had few connections.
     pub(super) fn is_healthy(&self) -> bool {
         let has_peers = !self.settings.platform.peers.is_empty();
-        let isolated = has_peers && self.peer_health.alone(self.now().as_millis());
+        let isolated = has_peers && self.peer_health.is_isolated(self.now());
         self.replica.loaded
             && !self.machine_types.is_empty()
             && (self.is_store_reachable() || !isolated)
--- /dev/null
+++ b/src/controller/state/leader_report.rs
@@ -0,0 +1,58 @@
+//! What the leader last reported of itself to this controller.
+
+use crate::time::Timestamp;
+use std::collections::HashMap;
+use std::time::Duration;
+
+/// How long a reported rate of changes is valid.
+const CHANGE_RATE_TTL: Duration = Duration::from_secs(3);
+
+/// A rate of changes of the store.
+struct ChangeRate {
+    per_second: f64,
+    received_at: Timestamp,
+}
+
+/// The leader's report, taken from its views.
+#[derive(Default)]
+pub(super) struct LeaderReport {
+    /// Done and running tasks by job, for display.
+    task_counts: HashMap<String, (u32, u32)>,
+    change_rate: Option<ChangeRate>,
+}
+
+impl LeaderReport {
+    /// Records the rate at which the leader changes the store.
+    pub(super) fn record_change_rate(&mut self, per_second: f64, now: Timestamp) {
+        self.change_rate = Some(ChangeRate {
+            per_second,
+            received_at: now,
+        });
+    }
+
+    /// The rate at which the leader changes the store, per second, if it was reported lately.
+    pub(super) fn change_rate(&self, now: Timestamp) -> Option<f64> {
+        self.change_rate
+            .as_ref()
+            .filter(|rate| now < rate.received_at + CHANGE_RATE_TTL)
+            .map(|rate| rate.per_second)
+    }
+
+    /// Replaces the task counts of all jobs.
+    pub(super) fn replace_task_counts(&mut self, task_counts: Vec<(String, u32, u32)>) {
+        self.task_counts = task_counts
+            .into_iter()
+            .map(|(job, done, running)| (job, (done, running)))
+            .collect();
+    }
+
+    /// The task counts of a job.
+    pub(super) fn task_counts(&self, job: &str) -> Option<(u32, u32)> {
+        self.task_counts.get(job).copied()
+    }
+
+    /// Drops the task counts of a job that is no longer unfinished.
+    pub(super) fn forget_job(&mut self, job: &str) {
+        self.task_counts.remove(job);
+    }
+}
--- /dev/null
+++ b/src/controller/state/peer_views.rs
@@ -0,0 +1,76 @@
+//! The views that controllers exchange: what this one says of itself, and what follows from the view of a peer.
+
+use super::ControllerState;
+use crate::admission::write_admission::users_share;
+use crate::coordination::leadership::Authority;
+use crate::coordination::peers::View;
+use crate::scheduler::Scheduler;
+
+impl ControllerState {
+    /// The view of this controller.
+    pub(in crate::controller) fn own_view(&self) -> View {
+        let scheduler = self.scheduler.as_ref();
+        View {
+            task_counts: scheduler
+                .filter(|_| self.authority() != Authority::None)
+                .map(Scheduler::all_counts),
+            ..self.view_without_task_counts()
+        }
+    }
+
+    /// The view of this controller as it sends it unasked. A follower learns the leader's task counts from the answers to its
+    /// own views.
+    pub(in crate::controller) fn view_without_task_counts(&self) -> View {
+        let now = self.now().as_millis();
+        View {
+            node: self.identity().node.clone(),
+            epoch: self.newest_epoch(),
+            revision: self.replica.revision,
+            store_reachable: self.is_store_reachable(),
+            leader_changes_per_s: self.term().map(|_| self.own_changes.per_s(now)),
+            task_counts: None,
+        }
+    }
+
+    /// Handles the view of a peer. A later epoch ends this controller's term; a leader of an earlier epoch is ignored.
+    pub(in crate::controller) fn receive_view(&mut self, view: View) {
+        let now = self.now();
+        self.observe_epoch(view.epoch);
+        let is_current = view.epoch >= self.newest_epoch();
+        if let Some(per_second) = view.leader_changes_per_s.filter(|_| is_current) {
+            self.leader_report.record_change_rate(per_second, now);
+        }
+        let follows = self.scheduler.is_none();
+        if let Some(task_counts) = view.task_counts.filter(|_| follows && is_current) {
+            self.leader_report.replace_task_counts(task_counts);
+        }
+        self.cancellations
+            .peer_replica_reached(&view.node, view.revision);
+        self.peer_health
+            .record_view(view.node, view.store_reachable, now);
+    }
+
+    /// The task counts of a job as the leader reported them last.
+    pub(in crate::controller) fn reported_task_counts(&self, job: &str) -> Option<(u32, u32)> {
+        self.leader_report.task_counts(job)
+    }
+
+    /// Records that a peer refused a connection.
+    pub(in crate::controller) fn record_peer_refusal(&mut self) {
+        self.peer_health.record_refusal(self.clock.now());
+    }
+
+    /// Adjusts the limit on users' changes of the store to what the leader leaves.
+    pub(in crate::controller) fn adjust_user_change_limit(&mut self) {
+        let now = self.now();
+        let leader_changes_per_s = match self.term() {
+            Some(_) => Some(self.own_changes.per_s(now.as_millis())),
+            None => self.leader_report.change_rate(now),
+        };
+        let platform = &self.settings.platform;
+        let controllers = platform.peers.len() + 1;
+        let write_rps = platform.deployment.state.write_rps;
+        let limit = users_share(write_rps, controllers, leader_changes_per_s);
+        self.user_changes.set_most(limit);
+    }
+}
--- a/src/controller/state/replica_changes.rs
+++ b/src/controller/state/replica_changes.rs
@@ -78,7 +78,7 @@
 
     /// A job is no longer unfinished.
     fn remove_job(&mut self, id: &str) {
-        self.reported_task_counts.remove(id);
+        self.leader_report.forget_job(id);
         if let Some(scheduler) = self.scheduler_at_now() {
             scheduler.drop_job(id);
         }
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -5,7 +5,7 @@
 use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::Report;
 use crate::scheduler::{Direct, Scheduler};
-use crate::time::{whole_millis, Timestamp};
+use crate::time::Timestamp;
 use std::fmt;
 use std::time::Duration;
 
@@ -187,7 +187,6 @@
         };
         tracing::info!(pause_ms = pause.as_millis(), "process paused");
         self.store_contact.excuse_pause(pause, now);
-        self.peer_health
-            .stood_still(whole_millis(pause), now.as_millis());
+        self.peer_health.excuse_pause(pause, now);
     }
 }
--- a/src/controller/tests/world/controllers.rs
+++ b/src/controller/tests/world/controllers.rs
@@ -427,7 +427,11 @@
             }
             if now % 900 < STEP {
                 let view = self.nodes[b].controller.as_ref().unwrap().own_view();
-                self.nodes[a].controller.as_mut().unwrap().take_view(view);
+                self.nodes[a]
+                    .controller
+                    .as_mut()
+                    .unwrap()
+                    .receive_view(view);
             }
         }
     }
--- a/src/controller/user_requests/mod.rs
+++ b/src/controller/user_requests/mod.rs
@@ -56,7 +56,7 @@
     fn admit_changes(&self, changes: u32) -> Result<(), JobOutcome> {
         self.with_state(|state| {
             let now = state.now().as_millis();
-            state.adjust_pace();
+            state.adjust_user_change_limit();
             state
                 .user_changes
                 .take(changes, now)
--- a/tests/compat/peers.rs
+++ b/tests/compat/peers.rs
@@ -35,18 +35,18 @@
         node: "drover-1".into(),
         epoch: 7,
         revision: 258,
-        state_ok: true,
+        store_reachable: true,
         leader_changes_per_s: None,
-        counts: None,
+        task_counts: None,
     };
     assert_eq!(encode(&view), FOLLOWER_VIEW);
     let read: View = decode(FOLLOWER_VIEW).unwrap();
     assert_eq!(read.node, "drover-1");
     assert_eq!(read.epoch, 7);
     assert_eq!(read.revision, 258);
-    assert!(read.state_ok);
+    assert!(read.store_reachable);
     assert_eq!(read.leader_changes_per_s, None);
-    assert_eq!(read.counts, None);
+    assert_eq!(read.task_counts, None);
 }
 
 #[test]
@@ -55,19 +55,19 @@
         node: "drover-0".into(),
         epoch: 8,
         revision: 259,
-        state_ok: false,
+        store_reachable: false,
         leader_changes_per_s: Some(2.5),
-        counts: Some(vec![("wk-1".into(), 5, 6), ("wk-22".into(), 256, 10)]),
+        task_counts: Some(vec![("wk-1".into(), 5, 6), ("wk-22".into(), 256, 10)]),
     };
     assert_eq!(encode(&view), LEADER_VIEW);
     let read: View = decode(LEADER_VIEW).unwrap();
     assert_eq!(read.node, "drover-0");
     assert_eq!(read.epoch, 8);
     assert_eq!(read.revision, 259);
-    assert!(!read.state_ok);
+    assert!(!read.store_reachable);
     assert_eq!(read.leader_changes_per_s, Some(2.5));
     assert_eq!(
-        read.counts,
+        read.task_counts,
         Some(vec![("wk-1".into(), 5, 6), ("wk-22".into(), 256, 10)])
     );
 }
