--- a/tests/compat/main.rs
+++ b/tests/compat/main.rs
@@ -6,6 +6,7 @@
 mod cloud;
 mod literal;
 mod peers;
+mod requests;
 mod settings;
 mod state_service;
 mod stored_records;
