--- a/benches/load/worker.rs
+++ b/benches/load/worker.rs
@@ -2,8 +2,8 @@
 
 use crate::http;
 use hollowswitch::protocol::{
-    decode, encode, Command, DirectOrders, ExitReason, ListedMachine, Redirect, Report,
-    ReportReply, TaskReport, TaskState,
+    decode, encode, Command, DirectOrders, ExitReason, FencingToken, ListedMachine, Redirect,
+    Report, ReportReply, TaskReport, TaskState,
 };
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -169,7 +169,7 @@
         spot: machine.spot,
         session: 1,
         seq: 0,
-        token: 0,
+        token: FencingToken::ZERO,
         notice_s: None,
         tasks: Vec::new(),
     };
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -25,7 +25,7 @@
     let now = Instant::now();
     let decided = |valid_until| {
         let outcome = HeartbeatOutcome::Reply(wire::ReportReply {
-            token: 5,
+            token: wire::FencingToken::new(5),
             orders: Vec::new(),
         });
         heartbeat_response(
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -9,7 +9,7 @@
 use crate::controller::HeartbeatOutcome;
 use crate::coordination::leadership::{LeadershipEvent, Term};
 use crate::protocol::{
-    Change, Command, Event, ExitReason, JobState, Report, TaskReport, TaskState,
+    Change, Command, Event, ExitReason, FencingToken, JobState, Report, TaskReport, TaskState,
 };
 use crate::store::{Decided, Mirror};
 use ciborium::{cbor, Value};
@@ -165,7 +165,7 @@
         spot: false,
         session: 1,
         seq,
-        token: TOKEN,
+        token: FencingToken::new(TOKEN),
         notice_s: None,
         tasks: tasks.iter().map(task).collect(),
     }
@@ -191,7 +191,7 @@
     match controller.handle_heartbeat(report) {
         HeartbeatOutcome::Reply(reply) => {
             assert_eq!(
-                reply.token >> 24,
+                reply.token.as_u64() >> 24,
                 7,
                 "the epoch stands above the lower 24 bits"
             );
--- a/src/controller/tests/large_fleets.rs
+++ b/src/controller/tests/large_fleets.rs
@@ -1,7 +1,7 @@
 //! A controller and thousands of machines.
 
 use super::world::World;
-use crate::protocol::Report;
+use crate::protocol::{FencingToken, Report};
 
 fn report(machine: String) -> Report {
     Report {
@@ -12,7 +12,7 @@
         spot: false,
         session: 1,
         seq: 1,
-        token: 0,
+        token: FencingToken::ZERO,
         notice_s: None,
         tasks: Vec::new(),
     }
--- a/src/controller/tests/world/controllers.rs
+++ b/src/controller/tests/world/controllers.rs
@@ -379,7 +379,7 @@
         let now = self.now();
         let worker = Worker {
             zone: zone.into(),
-            token: 0,
+            token: FencingToken::ZERO,
             session: 1,
             seq: 0,
             lease_from: now + 3000,
--- a/src/controller/tests/world/mod.rs
+++ b/src/controller/tests/world/mod.rs
@@ -18,8 +18,8 @@
 use crate::coordination::leadership::{Authority, LeadershipEvent, Role};
 use crate::coordination::peers::CancelledJob;
 use crate::protocol::{
-    split_task, Change, Command, Event, ExitReason, Guard, JobSpec, Kind, MachineType, Report,
-    ReportReply, TaskReport, TaskState, Txn,
+    split_task, Change, Command, Event, ExitReason, FencingToken, Guard, JobSpec, Kind,
+    MachineType, Report, ReportReply, TaskReport, TaskState, Txn,
 };
 use crate::scheduler::{Append, Direct, Hardware, MachineState, Origin};
 use crate::store::{
@@ -74,7 +74,7 @@
 /// A machine and its worker.
 pub(super) struct Worker {
     zone: String,
-    token: u64,
+    token: FencingToken,
     session: u64,
     seq: u64,
     lease_from: u64,
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -85,7 +85,7 @@
     .unwrap();
     assert_eq!(back, expect);
     let orders = ReportReply {
-        token: 4,
+        token: FencingToken::new(4),
         orders: vec![Command::Start {
             task: "wk-1/0".into(),
             attempt: 2,
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -2,6 +2,48 @@
 
 use super::decoding::opt_num;
 use serde::{Deserialize, Serialize};
+use std::fmt;
+use std::ops::Add;
+
+/// Identifies who may command a worker. A worker follows only tokens that are at least the highest it has seen, so that
+/// raising the token of a machine voids every command sent before.
+#[derive(
+    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
+)]
+#[serde(transparent)]
+pub struct FencingToken(u64);
+
+impl FencingToken {
+    /// The token of a worker that has seen none.
+    pub const ZERO: FencingToken = FencingToken(0);
+
+    /// The token with this number.
+    #[must_use]
+    pub const fn new(number: u64) -> FencingToken {
+        FencingToken(number)
+    }
+
+    /// The number on the wire.
+    #[must_use]
+    pub const fn as_u64(self) -> u64 {
+        self.0
+    }
+}
+
+impl Add<u64> for FencingToken {
+    type Output = FencingToken;
+
+    /// The token raised this many times.
+    fn add(self, steps: u64) -> FencingToken {
+        FencingToken(self.0 + steps)
+    }
+}
+
+impl fmt::LowerHex for FencingToken {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        fmt::LowerHex::fmt(&self.0, formatter)
+    }
+}
 
 /// What a worker says of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -97,7 +139,7 @@
     pub seq: u64,
     /// Highest token seen.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Seconds until the cloud takes the machine.
     #[serde(
         rename = "recallS",
@@ -162,7 +204,7 @@
 pub struct ReportReply {
     /// The token the commands are given under.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Commands, executed in order.
     pub orders: Vec<Command>,
 }
@@ -172,7 +214,7 @@
 pub struct DirectOrders {
     /// Token.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Session they are meant for.
     #[serde(rename = "shift")]
     pub session: u64,
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -3,7 +3,7 @@
 use super::index::{ImageIndex, JobIndex, MachineTypeIndex, ZoneIndex};
 use super::tasks::TaskId;
 use crate::placement::Capability;
-use crate::protocol::Command;
+use crate::protocol::{Command, FencingToken};
 use crate::resources::Resources;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -121,7 +121,7 @@
     /// Worker's address.
     pub address: String,
     /// Token.
-    pub token: u64,
+    pub token: FencingToken,
     /// Session.
     pub session: u64,
     /// Commands.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -31,7 +31,7 @@
 pub use start_log::Append;
 pub use tasks::{Phase, TaskAttempt, TaskId};
 
-use crate::protocol::{MachineType, ReportReply};
+use crate::protocol::{FencingToken, MachineType, ReportReply};
 use crate::resources::{QuotaResources, Resources};
 use boot_times::BootTimes;
 use index::Table;
@@ -53,8 +53,8 @@
 
 /// The lowest token of an epoch.
 #[must_use]
-pub fn first_token(epoch: u64) -> u64 {
-    epoch << TOKEN_BITS
+pub fn first_token(epoch: u64) -> FencingToken {
+    FencingToken::new(epoch << TOKEN_BITS)
 }
 
 /// How a report was taken.
@@ -289,7 +289,7 @@
             .collect()
     }
 
-    fn token(&self, m: &Machine) -> u64 {
+    fn token(&self, m: &Machine) -> FencingToken {
         first_token(self.epoch) + m.counter
     }
 }
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -50,7 +50,7 @@
 impl Scheduler {
     /// Takes in a report.
     pub fn report(&mut self, r: &Report, arrival: Arrival) -> ReportOutcome {
-        if r.token >> TOKEN_BITS > self.epoch {
+        if r.token.as_u64() >> TOKEN_BITS > self.epoch {
             return ReportOutcome::Superseded;
         }
         let Some(&i) = self.machine_index.get(&r.machine) else {
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -3,7 +3,7 @@
 use super::index::{JobIndex, MachineIndex};
 use super::jobs::bit;
 use super::Scheduler;
-use crate::protocol::Kind;
+use crate::protocol::{FencingToken, Kind};
 
 /// A task of a present job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,7 +43,7 @@
     /// Its line in the start log is durable: before that it is not sent.
     pub(super) logged: bool,
     /// The token under which the start was sent; 0: by an earlier epoch.
-    pub(super) token: u64,
+    pub(super) token: FencingToken,
     /// The stop was sent straight to the worker.
     pub(super) stop_sent: bool,
     /// Its worker has listed it.
@@ -64,7 +64,7 @@
     Log,
     Send {
         direct: bool,
-        token: u64,
+        token: FencingToken,
     },
     Show(Phase),
     Stop {
@@ -84,7 +84,7 @@
             since: now,
             direct: false,
             logged: false,
-            token: 0,
+            token: FencingToken::ZERO,
             stop_sent: false,
             shown: false,
         }
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -99,7 +99,7 @@
     w.scheduler.attempts = ATTEMPTS_OF_AN_EPOCH - 1;
     w.job(spec("wk-1", 1), 1);
     let last = starts(&w.tell("n-1", &[]));
-    assert!(last[0].1 < first_token(6) && w.scheduler.is_exhausted());
+    assert!(last[0].1 < first_token(6).as_u64() && w.scheduler.is_exhausted());
     w.job(spec("wk-2", 1), 1);
     assert!(starts(&w.tell("n-1", &lines(&last))).is_empty());
 }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -109,7 +109,7 @@
             },
             Origin::Rented,
         );
-        self.tell_token(name, 0, &[]);
+        self.tell_token(name, FencingToken::ZERO, &[]);
         self.tell_token(name, self.token(), &[]);
     }
 
@@ -150,14 +150,14 @@
         }
     }
 
-    fn token(&self) -> u64 {
-        5 << TOKEN_BITS
+    fn token(&self) -> FencingToken {
+        first_token(5)
     }
 
     fn report(
         &mut self,
         machine: &str,
-        token: u64,
+        token: FencingToken,
         tasks: &[(&str, u64, TaskState, Option<ExitReason>)],
     ) -> Report {
         self.seq += 1;
@@ -204,7 +204,7 @@
     fn tell_token(
         &mut self,
         machine: &str,
-        token: u64,
+        token: FencingToken,
         tasks: &[(&str, u64, TaskState, Option<ExitReason>)],
     ) -> Vec<Command> {
         let r = self.report(machine, token, tasks);
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -22,7 +22,7 @@
     ];
     assert!(starts(&w.tell("n-1", &all)).is_empty());
     // A report under the old token says nothing: an old start may still be on its way to the worker.
-    assert!(w.tell_token("n-2", 4 << TOKEN_BITS, &[]).is_empty());
+    assert!(w.tell_token("n-2", first_token(4), &[]).is_empty());
     assert_eq!(w.scheduler.unsettled(), 1);
     let mut got = starts(&w.tell("n-2", &[]));
     got.extend(starts(&w.tell("n-1", &all)));
@@ -68,7 +68,7 @@
 fn a_worker_that_has_seen_a_later_epoch_ends_this_one() {
     let mut w = World::new();
     w.machine("n-1", "a");
-    let r = w.report("n-1", 6 << TOKEN_BITS, &[]);
+    let r = w.report("n-1", first_token(6), &[]);
     assert_eq!(
         w.scheduler.report(&r, Arrival::Report { may_start: true }),
         ReportOutcome::Superseded
@@ -158,13 +158,13 @@
     w.job(spec("wk-1", 1), 50);
     w.inherit(&[("n-1", "wk-1/0", (4 << TOKEN_BITS) + 3)]);
     // From before the task was started, and under the token of the epoch before.
-    let copy = w.report("n-1", 4 << TOKEN_BITS, &[]);
+    let copy = w.report("n-1", first_token(4), &[]);
     w.tick(2000);
     assert!(w.answer(&copy).is_empty());
     assert!(starts(&w.tell("n-9", &[])).is_empty());
     // It also says nothing of whether the machine is alive.
     w.pass_to(8000);
-    let copy = w.report("n-1", 4 << TOKEN_BITS, &[]);
+    let copy = w.report("n-1", first_token(4), &[]);
     w.answer(&copy);
     let n1 = w
         .scheduler
@@ -255,7 +255,7 @@
         ("wk-9/0", 7, run, None),
         ("wk-1/1", 70, done, None),
     ];
-    let r = w.report("n-1", 4 << TOKEN_BITS, &lines);
+    let r = w.report("n-1", first_token(4), &lines);
     let ReportOutcome::Reply(reply) = w.scheduler.report(&r, Arrival::Report { may_start: false })
     else {
         panic!()
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -1,7 +1,9 @@
 //! The text of the start log.
 
 use super::{bytes, job_spec, machine_type};
-use hollowswitch::protocol::{encode, Command, JobSpec, Report, TaskReport, TaskState};
+use hollowswitch::protocol::{
+    encode, Command, FencingToken, JobSpec, Report, TaskReport, TaskState,
+};
 use hollowswitch::resources::QuotaResources;
 use hollowswitch::scheduler::{
     Arrival, Hardware, Origin, Params, ReportOutcome, Scheduler, TeamQuota,
@@ -66,7 +68,7 @@
         spot: false,
         session: 1,
         seq: 1 + token % 7,
-        token,
+        token: FencingToken::new(token),
         notice_s: None,
         tasks: tasks
             .iter()
--- a/tests/compat/workers.rs
+++ b/tests/compat/workers.rs
@@ -5,8 +5,8 @@
 };
 use ciborium::Value;
 use hollowswitch::protocol::{
-    decode, encode, split_task, Command, DirectOrders, ExitReason, Redirect, Report, ReportReply,
-    TaskReport, TaskState,
+    decode, encode, split_task, Command, DirectOrders, ExitReason, FencingToken, Redirect, Report,
+    ReportReply, TaskReport, TaskState,
 };
 
 /// A report with a task that runs, and one that has ended.
@@ -32,7 +32,7 @@
         spot: true,
         session: 2,
         seq: 88,
-        token: 41,
+        token: FencingToken::new(41),
         notice_s: Some(60.5),
         tasks: vec![
             TaskReport {
@@ -101,6 +101,7 @@
         });
     let report = read::<Report>(&message);
     assert_eq!((report.session, report.seq), (u64::MAX, u64::MAX));
+    assert_eq!(report.token, FencingToken::new(u64::MAX));
     assert_eq!(written(&report), message);
 }
 
@@ -227,7 +228,7 @@
 #[test]
 fn the_answer_to_a_report_is_written_and_read_field_by_field() {
     let reply = ReportReply {
-        token: 41,
+        token: FencingToken::new(41),
         orders: commands(),
     };
     let literal = message!({"baton" => 41, "orders" => [
@@ -243,12 +244,12 @@
 #[test]
 fn the_answer_to_a_report_is_these_bytes() {
     let reply = ReportReply {
-        token: 41,
+        token: FencingToken::new(41),
         orders: commands(),
     };
     assert_eq!(encode(&reply), hex(REPORT_REPLY));
     let empty = ReportReply {
-        token: 5,
+        token: FencingToken::new(5),
         orders: Vec::new(),
     };
     // {"baton": 5, "orders": []}
@@ -261,7 +262,7 @@
 #[test]
 fn direct_orders_are_written_and_read_field_by_field() {
     let orders = DirectOrders {
-        token: 41,
+        token: FencingToken::new(41),
         session: 2,
         orders: commands(),
     };
@@ -278,7 +279,7 @@
 #[test]
 fn direct_orders_are_these_bytes() {
     let orders = DirectOrders {
-        token: 41,
+        token: FencingToken::new(41),
         session: 2,
         orders: commands(),
     };
