--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Both settings files.
+//! Tests of both settings files.
 
 use super::*;
 
@@ -43,7 +43,7 @@
 #[test]
 fn unknown_fields_pass_in_the_platform_file_only() {
     let here = Path::new("x.toml");
-    assert!(settings().check(here, here).is_ok());
+    assert!(settings().validate(here, here).is_ok());
     assert!(toml::from_str::<Operator>("group_factr = 2").is_err());
 }
 
@@ -52,7 +52,7 @@
     let mut s = settings();
     s.platform.deployment.workers.cancel_s = 5.0;
     let e = s
-        .check(Path::new("p.toml"), Path::new("o.toml"))
+        .validate(Path::new("p.toml"), Path::new("o.toml"))
         .unwrap_err()
         .to_string();
     assert!(e.contains("deployment.workers.cancel_s"), "{e}");
@@ -64,15 +64,15 @@
     let s = settings();
     let w = &s.platform.deployment.workers;
     assert!(
-        s.operator.hold_s + (s.grace_ms() as f64) / 1000.0 + w.lease_s + 2.0 * w.report_s
+        s.operator.hold_s + s.grace_period().as_secs_f64() + w.lease_s + 2.0 * w.report_s
             < w.cancel_s
     );
     // A longer leader lease leaves less, never an overstay.
     let mut long = settings();
     long.operator.hold_s = 20.0;
     let w = &long.platform.deployment.workers;
-    assert!(long.operator.hold_s + (long.grace_ms() as f64) / 1000.0 + w.lease_s <= w.cancel_s);
-    assert!(long.grace_ms() < s.grace_ms());
+    assert!(long.operator.hold_s + long.grace_period().as_secs_f64() + w.lease_s <= w.cancel_s);
+    assert!(long.grace_period() < s.grace_period());
 }
 
 #[test]
--- /dev/null
+++ b/src/config/validation.rs
@@ -0,0 +1,110 @@
+//! Validation of the settings, section by section: each check names the field by its path in the file.
+
+use super::{
+    CloudLimits, Deployment, InvalidValue, Operator, Platform, Problem, StateLimits, Team, Workers,
+};
+use std::ops::RangeInclusive;
+
+/// Fewest changes that transactions must be able to hold.
+const MIN_TRANSACTION_CHANGES: usize = 4;
+/// Life of the leader lease, in seconds.
+const LEADER_LEASE_S: RangeInclusive<f64> = 0.5..=60.0;
+
+impl Platform {
+    pub(super) fn validate(&self) -> Result<(), InvalidValue> {
+        self.deployment.validate()?;
+        let contains_itself = self.peers.iter().any(|peer| peer.node == self.node);
+        ensure(!contains_itself, "peers", Problem::ContainsThisController)
+    }
+}
+
+impl Deployment {
+    fn validate(&self) -> Result<(), InvalidValue> {
+        self.workers.validate()?;
+        self.state.validate()?;
+        self.cloud.validate()?;
+        self.teams.iter().try_for_each(Team::validate)
+    }
+}
+
+impl Workers {
+    fn validate(&self) -> Result<(), InvalidValue> {
+        const LEASE: &str = "deployment.workers.lease_s";
+        const CANCEL: &str = "deployment.workers.cancel_s";
+        ensure_positive(self.report_s, "deployment.workers.report_s")?;
+        ensure_positive(self.lease_s, LEASE)?;
+        ensure_positive(self.cancel_s, CANCEL)?;
+        ensure(self.lease_s > self.report_s, LEASE, Problem::LeaseTooShort)?;
+        ensure(
+            self.cancel_s > self.lease_s,
+            CANCEL,
+            Problem::CancellationTooShort,
+        )
+    }
+}
+
+impl StateLimits {
+    fn validate(&self) -> Result<(), InvalidValue> {
+        ensure_positive(self.rps, "deployment.state.rps")?;
+        ensure_positive(self.write_rps, "deployment.state.write_rps")?;
+        ensure_positive(self.value_kb, "deployment.state.value_kb")?;
+        ensure(
+            self.txn_ops >= MIN_TRANSACTION_CHANGES,
+            "deployment.state.txn_ops",
+            Problem::TooFewChanges,
+        )
+    }
+}
+
+impl CloudLimits {
+    fn validate(&self) -> Result<(), InvalidValue> {
+        ensure_positive(self.rps, "deployment.cloud.rps")
+    }
+}
+
+impl Team {
+    fn validate(&self) -> Result<(), InvalidValue> {
+        const TEAMS: &str = "deployment.teams";
+        for (guarantee, limit) in [(self.cpus, self.cpus_max), (self.gpus, self.gpus_max)] {
+            let amounts = is_amount(guarantee) && is_amount(limit);
+            ensure(amounts, TEAMS, Problem::InvalidQuota)?;
+            let limited = limit > 0.0;
+            let within_limit = !limited || guarantee <= limit;
+            ensure(within_limit, TEAMS, Problem::GuaranteeAboveLimit)?;
+        }
+        Ok(())
+    }
+}
+
+impl Operator {
+    pub(super) fn validate(&self) -> Result<(), InvalidValue> {
+        let group_factor = self.group_factor.is_finite() && self.group_factor >= 1.0;
+        ensure(group_factor, "group_factor", Problem::BelowOne)?;
+        let fetch_rate = is_positive(self.fetch_gb_per_s);
+        ensure(fetch_rate, "fetch_gb_per_s", Problem::NotAboveZero)?;
+        let idle_return = is_amount(self.idle_return_s);
+        ensure(idle_return, "idle_return_s", Problem::Negative)?;
+        let leader_lease = LEADER_LEASE_S.contains(&self.hold_s);
+        ensure(leader_lease, "hold_s", Problem::LeaderLeaseOutOfRange)
+    }
+}
+
+fn ensure(valid: bool, field: &'static str, problem: Problem) -> Result<(), InvalidValue> {
+    if valid {
+        Ok(())
+    } else {
+        Err(InvalidValue { field, problem })
+    }
+}
+
+fn ensure_positive(value: f64, field: &'static str) -> Result<(), InvalidValue> {
+    ensure(is_positive(value), field, Problem::NotPositive)
+}
+
+fn is_positive(value: f64) -> bool {
+    value.is_finite() && value > 0.0
+}
+
+fn is_amount(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -108,7 +108,7 @@
             incarnation,
         };
         let lease_ttl = duration(settings.operator.hold_s);
-        let grace_period = Duration::from_millis(settings.grace_ms());
+        let grace_period = settings.grace_period();
         let leadership = Leadership::new(lease_ttl, grace_period);
         let state = &settings.platform.deployment.state;
         let user_changes = users_share(state.write_rps, settings.platform.peers.len() + 1, None);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,13 +19,6 @@
 )]
 pub mod autoscaler;
 pub mod clients;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod config;
 #[allow(
     clippy::cast_possible_truncation,
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -1,7 +1,7 @@
 //! Fixed numbers of a scheduler, from the settings.
 
 use crate::resources::QuotaResources;
-use crate::time::millis;
+use crate::time::{millis, whole_millis};
 use std::collections::HashMap;
 
 /// A team's quota; `u64::MAX` where it has none.
@@ -78,7 +78,7 @@
             finish_ms,
             lease_ms: millis(w.lease_s),
             report_ms: millis(w.report_s),
-            grace_ms: s.grace_ms(),
+            grace_ms: whole_millis(s.grace_period()),
             group_factor: s.operator.group_factor,
             fetch_gb_per_s: s.operator.fetch_gb_per_s,
             transfer_test: s.operator.transfer_test,
