--- a/src/api.rs
+++ b/src/api.rs
@@ -10,8 +10,8 @@
 
 use crate::admission::concurrency_limit::{Limiter, Request};
 use crate::controller::{
-    Abort, Health, HeartbeatOutcome, HeartbeatResponse, JobOutcome, Node, PeerCancelled, PeerView,
-    Poll, Submit, WorkerReport,
+    Cancel, Controller, Health, Heartbeat, HeartbeatOutcome, HeartbeatResponse, JobOutcome,
+    PeerCancelled, PeerView, Poll, Submit,
 };
 use crate::coordination::peers;
 use crate::protocol::{self as wire, decode, encode, JobSpec, Report, BODY_LIMIT};
@@ -25,7 +25,7 @@
 
 /// What the handlers share.
 struct Door {
-    node: Addr<Node>,
+    node: Addr<Controller>,
     limiter: RefCell<Limiter>,
     connections: Connections,
 }
@@ -123,7 +123,7 @@
         return plain(404, "no such job");
     }
     door.limited(Request::Change, async {
-        door.node.send(Abort(id.into_inner())).await.ok()
+        door.node.send(Cancel(id.into_inner())).await.ok()
     })
     .await
 }
@@ -153,7 +153,7 @@
         tracing::info!(bytes = body.len(), "report not understood");
         return plain(400, "malformed");
     };
-    let mut r = match door.node.send(WorkerReport(report)).await {
+    let mut r = match door.node.send(Heartbeat(report)).await {
         Ok(timed) => heartbeat_response(timed, Instant::now()),
         Err(_) => plain(503, "stopping"),
     };
@@ -228,7 +228,7 @@
 
 /// Serves both addresses until the process ends, over a number of connections at most.
 pub async fn serve(
-    node: Addr<Node>,
+    node: Addr<Controller>,
     addresses: Addresses,
     connections: usize,
 ) -> std::io::Result<()> {
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -1,10 +1,9 @@
-//! The actor.
+//! The actor: it owns the handles that the loops share, spawns the loops and hands every message to what handles it.
 
 use super::clock::Clock;
 use super::handles::Handles;
 use super::messages::{
-    Abort, Health, HeartbeatResponse, JobOutcome, PeerCancelled, PeerView, Poll, Submit,
-    WorkerReport,
+    Cancel, Health, Heartbeat, HeartbeatResponse, JobOutcome, PeerCancelled, PeerView, Poll, Submit,
 };
 use super::state::ControllerState;
 use crate::clients::cloud::CloudClient;
@@ -17,22 +16,21 @@
 use std::rc::Rc;
 use tokio::sync::{watch, Notify};
 
-/// The actor.
-pub struct Node {
+/// A controller. All of its state is in one thread; its loops and handlers take turns.
+pub struct Controller {
     handles: Handles,
 }
 
-impl Node {
-    /// A node that has yet to be started.
-    pub(crate) fn new(settings: Settings) -> Node {
-        let connections =
-            (settings.platform.deployment.machine_limits.max_connections / 8).clamp(8, 100);
-        let http = worker::http_client(connections);
+impl Controller {
+    /// A controller that has yet to be started.
+    pub(crate) fn new(settings: Settings) -> Controller {
+        let limits = &settings.platform.deployment.machine_limits;
+        let http = worker::http_client((limits.max_connections / 8).clamp(8, 100));
         let incarnation = rand::thread_rng().gen::<u64>() >> 1;
         let external = settings.platform.external.clone();
-        let controller = ControllerState::new(settings, incarnation, Clock::start());
+        let state = ControllerState::new(settings, incarnation, Clock::start());
         let handles = Handles {
-            state: Rc::new(RefCell::new(controller)),
+            state: Rc::new(RefCell::new(state)),
             store: StoreClient::new(http.clone(), external.state),
             cloud: CloudClient::new(http.clone(), external.cloud),
             http,
@@ -44,16 +42,16 @@
             start_log_requested: Rc::new(Notify::new()),
             leadership_acquired: Rc::new(Notify::new()),
         };
-        Node { handles }
+        Controller { handles }
     }
 }
 
-impl Actor for Node {
+impl Actor for Controller {
     type Context = Context<Self>;
 
-    /// Spawns the loops. None of them returns: they run until the process ends, which keeps nothing that is not in the store,
-    /// so that there is nothing to clean up. They are cancelled by the end of the runtime that [`crate::service::run`] owns,
-    /// and nowhere else.
+    /// Spawns the loops. This is the one place where they start, and none of them returns: they are cancelled when the runtime
+    /// of [`crate::service::run`] is dropped, at the end of the process. Nothing has to be cleaned up then, since everything
+    /// that must survive is in the store.
     fn started(&mut self, _: &mut Self::Context) {
         let handles = || self.handles.clone();
         actix::spawn(handles().run_watch_loop());
@@ -68,43 +66,43 @@
     }
 }
 
-impl Handler<Submit> for Node {
+impl Handler<Submit> for Controller {
     type Result = ResponseFuture<JobOutcome>;
-    fn handle(&mut self, m: Submit, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: Submit, _: &mut Self::Context) -> Self::Result {
         let handles = self.handles.clone();
-        Box::pin(async move { handles.submit(m.0).await })
+        Box::pin(async move { handles.submit(message.0).await })
     }
 }
 
-impl Handler<Poll> for Node {
+impl Handler<Poll> for Controller {
     type Result = ResponseFuture<JobOutcome>;
-    fn handle(&mut self, m: Poll, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: Poll, _: &mut Self::Context) -> Self::Result {
         let handles = self.handles.clone();
-        Box::pin(async move { handles.poll(&m.0).await })
+        Box::pin(async move { handles.poll(&message.0).await })
     }
 }
 
-impl Handler<Abort> for Node {
+impl Handler<Cancel> for Controller {
     type Result = ResponseFuture<JobOutcome>;
-    fn handle(&mut self, m: Abort, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: Cancel, _: &mut Self::Context) -> Self::Result {
         let handles = self.handles.clone();
-        Box::pin(async move { handles.cancel(&m.0).await })
+        Box::pin(async move { handles.cancel(&message.0).await })
     }
 }
 
-impl Handler<Health> for Node {
+impl Handler<Health> for Controller {
     type Result = bool;
     fn handle(&mut self, _: Health, _: &mut Self::Context) -> bool {
         self.handles.read_state(ControllerState::is_healthy)
     }
 }
 
-impl Handler<WorkerReport> for Node {
-    type Result = MessageResult<WorkerReport>;
-    fn handle(&mut self, m: WorkerReport, _: &mut Self::Context) -> Self::Result {
+impl Handler<Heartbeat> for Controller {
+    type Result = MessageResult<Heartbeat>;
+    fn handle(&mut self, message: Heartbeat, _: &mut Self::Context) -> Self::Result {
         let (response, needs_round) = self.handles.with_state(|state| {
             let response = HeartbeatResponse {
-                outcome: state.handle_heartbeat(&m.0),
+                outcome: state.handle_heartbeat(&message.0),
                 valid_until: state.answer_valid_until(),
             };
             (response, state.needs_round())
@@ -116,24 +114,24 @@
     }
 }
 
-impl Handler<PeerView> for Node {
+impl Handler<PeerView> for Controller {
     type Result = MessageResult<PeerView>;
-    fn handle(&mut self, m: PeerView, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: PeerView, _: &mut Self::Context) -> Self::Result {
         MessageResult(self.handles.with_state(|state| {
-            state.receive_view(m.0);
+            state.receive_view(message.0);
             state.own_view()
         }))
     }
 }
 
-impl Handler<PeerCancelled> for Node {
+impl Handler<PeerCancelled> for Controller {
     type Result = MessageResult<PeerCancelled>;
-    fn handle(&mut self, m: PeerCancelled, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: PeerCancelled, _: &mut Self::Context) -> Self::Result {
         self.handles.round_requested.notify_one();
         self.handles.cancellation_recorded.notify_one();
         MessageResult(
             self.handles
-                .with_state(|state| state.receive_cancellations(&m.0)),
+                .with_state(|state| state.receive_cancellations(&message.0)),
         )
     }
 }
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -1,4 +1,4 @@
-//! The messages that a controller is asked with, and its answers.
+//! The messages to a controller, and their outcomes. The API sends them; it maps the outcomes to responses.
 
 use crate::coordination::peers::{Cancelled, View};
 use crate::protocol::{JobSpec, JobView, Report, ReportReply};
@@ -18,24 +18,24 @@
 /// A user cancels a job.
 #[derive(Message)]
 #[rtype(result = "JobOutcome")]
-pub struct Abort(pub String);
+pub struct Cancel(pub String);
 
-/// A health check.
+/// Asks whether this controller should get users.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct Health;
 
-/// A worker reports.
+/// A worker reports its state.
 #[derive(Message)]
 #[rtype(result = "HeartbeatResponse")]
-pub struct WorkerReport(pub Report);
+pub struct Heartbeat(pub Report);
 
-/// Another controller tells its view.
+/// Another controller sends its view, and is answered by that of this one.
 #[derive(Message)]
 #[rtype(result = "View")]
 pub struct PeerView(pub View);
 
-/// Another controller tells of cancellations that are durable.
+/// Another controller sends cancellations that are durable, and is answered by the revision of this one's replica.
 #[derive(Message)]
 #[rtype(result = "u64")]
 pub struct PeerCancelled(pub Cancelled);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,4 +1,9 @@
-//! A controller: the actor that joins the pure parts to the state service, the cloud, the workers and the users.
+//! A controller: the actor that connects the logic to the store, the cloud, the workers and the users.
+//!
+//! - `messages` are what the API asks; the actor hands them to `user_requests` and `state`.
+//! - `state` is what a controller knows and decides, without I/O.
+//! - Each `*_loop` carries out one kind of work of the state: it asks the state what to do, waits for the network, and tells
+//!   the state the outcome. The state is borrowed by closures only, never across a wait.
 
 mod actor;
 mod cancellation_broadcast;
@@ -9,6 +14,12 @@
 mod job_status;
 mod messages;
 mod peer_view_loop;
+#[allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    clippy::too_many_lines,
+    reason = "this module has yet to be cleaned"
+)]
 mod provisioning;
 mod read_barrier;
 mod scheduling_loop;
@@ -16,12 +27,21 @@
 mod state;
 mod store_calls;
 #[cfg(test)]
+#[allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    clippy::needless_for_each,
+    clippy::needless_pass_by_value,
+    clippy::struct_field_names,
+    clippy::too_many_lines,
+    reason = "these tests have yet to be cleaned"
+)]
 mod tests;
 mod user_requests;
 mod watch_loop;
 
-pub use actor::Node;
+pub use actor::Controller;
 pub use messages::{
-    Abort, Health, HeartbeatOutcome, HeartbeatResponse, JobOutcome, JobRejection, PeerCancelled,
-    PeerView, Poll, Submit, WorkerReport,
+    Cancel, Health, Heartbeat, HeartbeatOutcome, HeartbeatResponse, JobOutcome, JobRejection,
+    PeerCancelled, PeerView, Poll, Submit,
 };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,16 +20,6 @@
 pub mod autoscaler;
 pub mod clients;
 pub mod config;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::missing_errors_doc,
-    clippy::needless_for_each,
-    clippy::needless_pass_by_value,
-    clippy::struct_field_names,
-    clippy::too_many_lines,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod controller;
 pub mod coordination;
 #[allow(clippy::too_many_lines, reason = "this module has yet to be cleaned")]
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,7 +1,7 @@
 //! Runs a whole controller: the actor and the servers in front of it.
 
 use crate::config::Settings;
-use crate::controller::Node;
+use crate::controller::Controller;
 use actix::{Actor, System};
 
 /// Runs a controller until its process ends.
@@ -23,7 +23,7 @@
         internal: platform.internal_addr,
     };
     System::with_tokio_rt(|| runtime).block_on(async move {
-        let node = Node::new(settings).start();
-        crate::api::serve(node, addresses, connections).await
+        let controller = Controller::new(settings).start();
+        crate::api::serve(controller, addresses, connections).await
     })
 }
