--- /dev/null
+++ b/src/controller/tests/cancellation_broadcast.rs
@@ -0,0 +1,115 @@
+//! Cancellations between controllers: none is confirmed to a user before the leader knows of it.
+
+use super::simulation::{node_name, Simulation, NODES, SECOND};
+use crate::coordination::peers::{Cancelled, CancelledJob};
+use crate::scheduler::tests::spec;
+use crate::store::{OverRecord, Versioned};
+
+/// The controllers that do not lead.
+struct Followers {
+    first: usize,
+    second: usize,
+}
+
+fn followers(leader: usize) -> Followers {
+    Followers {
+        first: (leader + 1) % NODES,
+        second: (leader + 2) % NODES,
+    }
+}
+
+/// The leader's watch is stalled, and the node that took the cancellation does not reach it. The third node passes the
+/// cancellation on, so that the leader stops the job at once.
+#[test]
+fn a_cancellation_reaches_the_leader_by_way_of_the_third_node() {
+    let mut simulation = Simulation::new(3, 4);
+    simulation.submit(spec("wk-1", 4), 600 * SECOND);
+    simulation.run(5 * SECOND);
+    assert_eq!(simulation.running("wk-1"), 4);
+    let leader = simulation.leader().unwrap();
+    let Followers { first, .. } = followers(leader);
+    let cut_paths = [(first, leader), (leader, first)];
+    simulation.faults.cut_paths.extend(cut_paths);
+    simulation.faults.watches_stay_stalled = true;
+    assert!(simulation.cancel(first, "wk-1"));
+    simulation.run(SECOND);
+    assert!(
+        simulation.nodes[leader]
+            .running()
+            .replica
+            .over("wk-1")
+            .is_some(),
+        "the leader was not told"
+    );
+    assert_eq!(simulation.running("wk-1"), 0);
+    // The node that was asked does not know that the leader knows, and waits for the end of its authority.
+    assert!(!simulation.cancellation_is_confirmed("wk-1"));
+    simulation.run(2 * SECOND);
+    assert!(simulation.cancellation_is_confirmed("wk-1"));
+    simulation.assert_no_violations();
+}
+
+/// A request to cancel that is repeated at another node is answered by that node's knowledge. A node that was told by the
+/// first, but not the leader, once answered at once.
+#[test]
+fn a_node_that_was_told_of_a_cancellation_waits_for_the_leader_too() {
+    let mut simulation = Simulation::new(4, 4);
+    simulation.submit(spec("wk-1", 4), 600 * SECOND);
+    simulation.run(5 * SECOND);
+    let leader = simulation.leader().unwrap();
+    let Followers { second, .. } = followers(leader);
+    let controller = simulation.nodes[second].running_mut();
+    let revision = controller.replica.revision + 1;
+    controller.receive_cancellations(&Cancelled {
+        jobs: vec![CancelledJob {
+            job: "wk-1".into(),
+            tasks: 4,
+            revision,
+        }],
+    });
+    assert!(controller.unsettled_cancellation("wk-1").is_some());
+    // That its own replica has reached the revision says nothing of the leader's.
+    controller.replica.revision = revision;
+    assert!(controller.unsettled_cancellation("wk-1").is_some());
+    let leader = node_name(leader);
+    let (Cancelled { jobs }, last) = controller.cancellations.message_for(&leader).unwrap();
+    assert_eq!(jobs[0].job, "wk-1");
+    controller.cancellations.acknowledged(&leader, last);
+    assert!(controller.unsettled_cancellation("wk-1").is_none());
+}
+
+/// A cancellation that a node reads from the store, and that no other node sent it, is passed on as well.
+#[test]
+fn a_cancellation_that_was_read_from_the_store_is_told_to_the_leader() {
+    let mut simulation = Simulation::new(5, 4);
+    let leader = simulation.leader().unwrap();
+    let Followers { first, .. } = followers(leader);
+    let leader = node_name(leader);
+    let controller = simulation.nodes[first].running_mut();
+    let cancelled = |version| Versioned {
+        record: OverRecord {
+            cancelled: true,
+            tasks: 4,
+        },
+        version,
+    };
+    // What the leader's replica is known to hold is not sent to it.
+    let revision = controller.replica.revision;
+    controller
+        .cancellations
+        .peer_replica_reached(&leader, revision);
+    controller.learn_final_state("wk-8", &cancelled(revision));
+    assert!(controller.cancellations.message_for(&leader).is_none());
+    controller.learn_final_state("wk-9", &cancelled(revision + 1));
+    assert_eq!(
+        controller
+            .cancellations
+            .message_for(&leader)
+            .unwrap()
+            .0
+            .jobs[0]
+            .job,
+        "wk-9"
+    );
+    assert!(controller.replica.over("wk-8").is_some() && controller.replica.over("wk-9").is_some());
+}
--- /dev/null
+++ b/src/controller/tests/fault_combinations/partitions.rs
@@ -0,0 +1,154 @@
+//! Network partitions of controllers, workers and zones.
+
+use super::super::simulation::faults::IsolatedZone;
+use super::super::simulation::{Simulation, LEASE, SECOND};
+use super::{all_run, next_node, submit_long_jobs, third_node};
+use crate::protocol::{JobSpec, Kind};
+use crate::scheduler::tests::spec;
+use std::time::Duration;
+
+/// What a controller may lose for a time.
+#[derive(Debug, Clone, Copy)]
+enum Loss {
+    Network,
+    Store,
+    Workers,
+    Processor,
+}
+
+impl Loss {
+    fn begin(self, simulation: &mut Simulation, node: usize, duration: Duration) {
+        match self {
+            Loss::Network => simulation.disconnect(node),
+            Loss::Store => simulation.store.refuse(node),
+            Loss::Workers => {
+                simulation.faults.cut_from_workers.insert(node);
+            }
+            Loss::Processor => simulation.pause(node, duration),
+        }
+    }
+
+    /// The loss is over; a pause ends by itself.
+    fn end(simulation: &mut Simulation, node: usize) {
+        simulation.reconnect(node);
+    }
+}
+
+/// A controller loses the whole network, the store, the workers or its processor, for less and for much more than any lease,
+/// as leader and as follower, and returns.
+#[test]
+fn a_controller_back_after_a_partition_or_pause_takes_no_leadership_and_violates_no_rule() {
+    for loss in [Loss::Network, Loss::Store, Loss::Workers, Loss::Processor] {
+        for leads in [true, false] {
+            for duration in [5 * SECOND, 75 * SECOND] {
+                let mut simulation = Simulation::new(31, 6);
+                simulation.submit(spec("wk-1", 4), 40 * SECOND);
+                simulation.submit(spec("wk-2", 6), 150 * SECOND);
+                simulation.run(3 * SECOND);
+                let leader = simulation.leader().unwrap();
+                let node = if leads { leader } else { next_node(leader) };
+                loss.begin(&mut simulation, node, duration);
+                simulation.run(2 * SECOND);
+                let third = third_node(node, next_node(node));
+                simulation.submit(spec("wk-3", 4), 10 * SECOND);
+                // The user asks again while no other controller can take the cancellation.
+                let mut cancelled = false;
+                for _ in 0..6 {
+                    cancelled = cancelled || simulation.cancel(third, "wk-2");
+                    simulation.run(duration.saturating_sub(2 * SECOND) / 6);
+                }
+                assert!(cancelled, "{loss:?}");
+                if duration > 10 * SECOND {
+                    // Another controller leads, and serves what was submitted meanwhile.
+                    assert!(
+                        simulation
+                            .leader()
+                            .is_some_and(|leader| !leads || leader != node),
+                        "{loss:?}"
+                    );
+                    assert!(simulation.final_state("wk-3").is_some(), "{loss:?} {leads}");
+                }
+                let epoch = simulation.epoch();
+                Loss::end(&mut simulation, node);
+                simulation.run(15 * SECOND);
+                // Its return takes the leadership from nobody.
+                assert!(
+                    simulation.epoch() == epoch || duration < 10 * SECOND,
+                    "{loss:?} {leads}"
+                );
+                simulation.assert_no_violations();
+                simulation.assert_settles();
+            }
+        }
+    }
+}
+
+#[test]
+fn jobs_settle_after_workers_reached_no_controller_but_direct_orders_reached_them() {
+    let mut simulation = Simulation::new(3, 4);
+    simulation.submit(spec("wk-1", 10), 30 * SECOND);
+    simulation.run(4 * SECOND);
+    assert!(simulation.running("wk-1") > 0);
+    let until = simulation.now() + 3 * LEASE;
+    for worker in simulation.workers.values_mut() {
+        worker.mute_until = until;
+    }
+    simulation.faults.cloud_down = true;
+    simulation.submit(spec("wk-2", 4), 5 * SECOND);
+    simulation.run(3 * LEASE + SECOND);
+    simulation.faults.cloud_down = false;
+    simulation.assert_settles();
+}
+
+#[test]
+fn a_deposed_leader_that_keeps_its_workers_keeps_no_cancelled_task_running() {
+    let mut simulation = Simulation::new(6, 6);
+    submit_long_jobs(&mut simulation, 0..5);
+    simulation.run(10 * SECOND);
+    let old = simulation.leader().unwrap();
+    simulation.store.refuse(old);
+    simulation.cut_peers(40 * SECOND);
+    simulation.run(6 * SECOND);
+    let new_leader = simulation.leader().unwrap();
+    assert_ne!(new_leader, old);
+    assert!(
+        simulation.cancel(new_leader, "wk-0")
+            && simulation.cancel(third_node(new_leader, old), "wk-1")
+    );
+    simulation.run(15 * SECOND);
+    assert!(simulation.running("wk-0") + simulation.running("wk-1") == 0);
+    simulation.store.accept(old);
+    simulation.run(40 * SECOND);
+    assert!(all_run(&simulation, 2..5));
+    simulation.assert_no_violations();
+}
+
+#[test]
+fn cancellations_and_services_hold_while_a_zone_with_a_controller_is_isolated() {
+    for leads in [true, false] {
+        let mut simulation = Simulation::new(14, 8);
+        let service = JobSpec {
+            kind: Kind::Service,
+            scatter: true,
+            ..spec("wk-1", 4)
+        };
+        simulation.submit(service, Duration::ZERO);
+        simulation.submit(spec("wk-2", 10), 60 * SECOND);
+        simulation.submit(spec("wk-3", 4), 600 * SECOND);
+        simulation.run(6 * SECOND);
+        let leader = simulation.leader().unwrap();
+        let node = if leads { leader } else { next_node(leader) };
+        simulation.faults.isolated_zone = Some(IsolatedZone { zone: "a", node });
+        simulation.store.refuse(node);
+        simulation.run(3 * SECOND);
+        assert!(simulation.cancel(next_node(next_node(leader)), "wk-3"));
+        simulation.run(2 * LEASE);
+        simulation.faults.isolated_zone = None;
+        simulation.store.accept(node);
+        simulation.run(5 * SECOND);
+        assert_eq!(simulation.running("wk-3"), 0);
+        simulation.settle(120 * SECOND);
+        assert_eq!(simulation.running("wk-1"), 4);
+        simulation.assert_no_violations();
+    }
+}
--- /dev/null
+++ b/src/controller/tests/fault_combinations/stale_messages.rs
@@ -0,0 +1,68 @@
+//! Heartbeats, orders and answers that arrive late or twice.
+
+use super::super::simulation::{Simulation, LEASE, MILLISECOND, NODES, SECOND};
+use super::{job_id, next_node};
+use crate::scheduler::tests::spec;
+use std::time::Duration;
+
+#[test]
+fn jobs_settle_when_orders_are_delayed_and_workers_hang() {
+    let mut simulation = Simulation::new(2, 4);
+    simulation.faults.delayed_orders = 0.8;
+    simulation.faults.order_delay = 1500 * MILLISECOND;
+    for round in 0..6 {
+        simulation.submit(spec(&job_id(round), 4), 9 * SECOND);
+        simulation.run(300 * MILLISECOND);
+        let machine = simulation.nth_machine(round);
+        simulation.hang_worker(&machine, 7 * SECOND);
+        simulation.run(6 * SECOND);
+        if round % 2 == 1 {
+            let id = job_id(round);
+            if simulation.is_cancellable(&id) {
+                simulation.cancel(round % NODES, &id);
+            }
+        }
+    }
+    simulation.faults.delayed_orders = 0.0;
+    simulation.assert_settles();
+}
+
+#[test]
+fn a_heartbeat_delayed_beyond_a_failover_violates_no_rule() {
+    for delay in [3500, 6000, 13_000, 30_000].map(Duration::from_millis) {
+        let mut simulation = Simulation::new(4, 4);
+        simulation.submit(spec("wk-1", 8), 25 * SECOND);
+        simulation.run(5 * SECOND);
+        assert_eq!(simulation.running("wk-1"), 8);
+        let leader = simulation.leader().unwrap();
+        for worker in simulation.workers.values_mut() {
+            worker.delay_next_heartbeat = delay;
+        }
+        simulation.run(SECOND);
+        simulation.crash(leader, 500 * MILLISECOND);
+        assert!(simulation.cancel(next_node(leader), "wk-1") || delay != 3500 * MILLISECOND);
+        simulation.submit(spec("wk-2", 8), 5 * SECOND);
+        simulation.assert_settles();
+    }
+}
+
+#[test]
+fn old_heartbeats_of_earlier_sessions_and_attempts_violate_no_rule() {
+    let mut simulation = Simulation::new(16, 4);
+    simulation.faults.duplicated_heartbeats = 1.0;
+    simulation.submit(spec("wk-1", 8), 6 * SECOND);
+    for round in 0..6 {
+        simulation.submit(spec(&format!("wk-1{round}"), 3), 4 * SECOND);
+        simulation.run(5 * SECOND);
+        let machine = simulation.nth_machine(round);
+        if round % 2 == 0 {
+            simulation.deafen_worker(&machine, LEASE + SECOND);
+        }
+        if round == 3 {
+            let leader = simulation.leader().unwrap();
+            simulation.crash(leader, 100 * MILLISECOND);
+        }
+    }
+    simulation.faults.duplicated_heartbeats = 0.0;
+    simulation.assert_settles();
+}
--- /dev/null
+++ b/src/controller/tests/fault_combinations/store_refusals.rs
@@ -0,0 +1,147 @@
+//! The store refuses the leader alone, with or without an outage for all after it, while users cancel jobs elsewhere.
+
+use super::super::simulation::{Simulation, CANCEL, LEASE, MILLISECOND, SECOND};
+use super::{all_run, job_id, next_node, submit_long_jobs};
+use crate::scheduler::tests::spec;
+use std::time::Duration;
+
+/// The store refuses the leader alone, another controller confirms cancellations, and then the store is down for all for
+/// longer than `cancel_s`, while the workers keep reporting to the old leader.
+#[test]
+fn cancelled_tasks_stop_when_the_store_refuses_the_leader_and_then_goes_down() {
+    for (refused_ms, cancelled_after_ms, peers) in [
+        (1000, 500, true),
+        (1000, 500, false),
+        (2500, 2000, false),
+        (5000, 300, false),
+        (14_000, 1000, false),
+        (20_000, 4000, true),
+    ] {
+        let refusal = Duration::from_millis(refused_ms);
+        let until_cancelled = Duration::from_millis(cancelled_after_ms).min(refusal);
+        let mut simulation = Simulation::new(7, 6);
+        submit_long_jobs(&mut simulation, 0..6);
+        simulation.run(10 * SECOND);
+        assert_eq!(simulation.running("wk-0"), 4);
+        let leader = simulation.leader().unwrap();
+        if !peers {
+            simulation.cut_peers(Duration::MAX);
+        }
+        // More work waits for the room that a cancellation makes.
+        simulation.submit(spec("wk-7", 8), 600 * SECOND);
+        simulation.run(500 * MILLISECOND);
+        simulation.store.refuse(leader);
+        simulation.run(until_cancelled);
+        for id in ["wk-0", "wk-1", "wk-7"] {
+            assert!(simulation.cancel(next_node(leader), id));
+        }
+        simulation.run(refusal.saturating_sub(until_cancelled));
+        simulation.begin_store_outage();
+        simulation.store.accept(leader);
+        simulation.run(CANCEL + 20 * SECOND);
+        for id in ["wk-0", "wk-1", "wk-7"] {
+            assert_eq!(
+                simulation.running(id),
+                0,
+                "{id}, refused for {refused_ms} ms"
+            );
+            assert!(simulation.cancellation_is_confirmed(id));
+        }
+        simulation.end_store_outage();
+        simulation.reconnect_peers();
+        simulation.run(60 * SECOND);
+        // The jobs that nobody cancelled run.
+        assert!(all_run(&simulation, 2..6));
+        simulation.assert_no_violations();
+    }
+}
+
+/// The same at the moment of the refusal, a second before the outage; with a hung worker, with the controllers cut from each
+/// other, and with a crash of the leader.
+#[test]
+fn cancelled_tasks_stop_when_cancelled_at_the_moment_of_the_refusal() {
+    for leader_crashes in [false, true] {
+        let mut simulation = Simulation::new(8, 6);
+        submit_long_jobs(&mut simulation, 0..6);
+        simulation.run(10 * SECOND);
+        let leader = simulation.leader().unwrap();
+        simulation.cut_peers(Duration::MAX);
+        simulation.store.refuse(leader);
+        for id in ["wk-0", "wk-1", "wk-2"] {
+            assert!(simulation.cancel(next_node(leader), id));
+        }
+        let machine = simulation.machines_of("wk-0")[0].clone();
+        simulation.hang_worker(&machine, LEASE.saturating_sub(3 * SECOND));
+        simulation.run(SECOND);
+        simulation.begin_store_outage();
+        simulation.store.accept(leader);
+        simulation.run(5 * SECOND);
+        if leader_crashes {
+            simulation.crash(leader, 300 * MILLISECOND);
+        }
+        simulation.run(CANCEL);
+        assert!((0..3).all(|n| simulation.running(&job_id(n)) == 0));
+        simulation.end_store_outage();
+        simulation.reconnect_peers();
+        simulation.run(60 * SECOND);
+        assert!(all_run(&simulation, 3..6));
+        simulation.assert_no_violations();
+    }
+}
+
+#[test]
+fn repeated_short_refusals_do_not_keep_cancelled_tasks_running() {
+    let mut simulation = Simulation::new(9, 6);
+    submit_long_jobs(&mut simulation, 0..4);
+    simulation.run(10 * SECOND);
+    let leader = simulation.leader().unwrap();
+    simulation.cut_peers(Duration::MAX);
+    simulation.faults.watches_stay_stalled = true;
+    simulation.store.refuse(leader);
+    simulation.run(200 * MILLISECOND);
+    assert!(simulation.cancel(next_node(leader), "wk-0"));
+    // The leader lease is renewed between the refusals, but the leader's replica never advances.
+    for _ in 0..30 {
+        simulation.run(1200 * MILLISECOND);
+        simulation.store.accept(leader);
+        simulation.run(600 * MILLISECOND);
+        simulation.store.refuse(leader);
+    }
+    assert_eq!(simulation.running("wk-0"), 0);
+    simulation.store.accept(leader);
+    simulation.faults.watches_stay_stalled = false;
+    simulation.reconnect_peers();
+    simulation.run(30 * SECOND);
+    assert!(all_run(&simulation, 1..4));
+    simulation.assert_no_violations();
+}
+
+/// A cancellation is confirmed once the leader knows of it, or can start nothing any more. Starts whose lines in the start log
+/// were durable before it may still be sent by a leader that the store refuses and that no other controller reaches.
+#[test]
+fn no_start_is_sent_after_a_confirmed_cancellation() {
+    for peers in [true, false] {
+        for offset in 0..12 {
+            let mut simulation = Simulation::new(21, 4);
+            simulation.start_log_write = 400 * MILLISECOND;
+            simulation.submit(spec("wk-1", 6), 60 * SECOND);
+            simulation.run(50 * offset * MILLISECOND);
+            let leader = simulation.leader().unwrap();
+            if !peers {
+                simulation.cut_peers(20 * SECOND);
+            }
+            simulation.store.refuse(leader);
+            if !simulation.cancel(next_node(leader), "wk-1") {
+                // Not known there yet.
+                continue;
+            }
+            simulation.run(6 * SECOND);
+            simulation.store.accept(leader);
+            simulation.run(20 * SECOND);
+            assert!(
+                simulation.cancellation_is_confirmed("wk-1") && simulation.running("wk-1") == 0
+            );
+            simulation.assert_no_violations();
+        }
+    }
+}
--- a/src/controller/tests/large_fleets.rs
+++ b/src/controller/tests/large_fleets.rs
@@ -1,9 +1,10 @@
 //! A controller and thousands of machines.
 
-use super::world::World;
+use super::simulation::Simulation;
 use crate::protocol::{FencingToken, Report};
 
-fn report(machine: String) -> Report {
+/// The first heartbeat of a machine.
+fn heartbeat(machine: String) -> Report {
     Report {
         machine,
         address: "127.0.0.1:9".into(),
@@ -18,18 +19,18 @@
     }
 }
 
-/// A leader that finds a fleet which no rental names remembers all of it; made-up names cost bounded memory.
+/// A leader remembers all machines of a fleet that no rental names; made-up names cost bounded memory.
 #[test]
 fn a_whole_fleet_that_no_rental_names_is_remembered() {
-    let mut w = World::new(6, 3);
-    let leader = w.leader().unwrap();
-    let controller = w.nodes[leader].controller.as_mut().unwrap();
-    (0..4500).for_each(|n| {
-        controller.handle_heartbeat(&report(format!("x-{n:06}")));
-    });
+    let mut simulation = Simulation::new(6, 3);
+    let leader = simulation.leader().unwrap();
+    let controller = simulation.nodes[leader].running_mut();
+    for n in 0..4500 {
+        controller.handle_heartbeat(&heartbeat(format!("x-{n:06}")));
+    }
     assert_eq!(controller.unregistered.len(), 4500);
-    (0..100_000).for_each(|n| {
-        controller.handle_heartbeat(&report(format!("y-{n:06}")));
-    });
+    for n in 0..100_000 {
+        controller.handle_heartbeat(&heartbeat(format!("y-{n:06}")));
+    }
     assert!(controller.unregistered.len() <= 20_000);
 }
--- a/src/controller/tests/mod.rs
+++ b/src/controller/tests/mod.rs
@@ -1,8 +1,11 @@
-//! Whole controllers in a scripted world.
+//! Whole controllers in a simulated cluster.
+//!
+//! [`simulation`] is the simulator, [`fault_combinations`] brings about chosen combinations of faults in order, and
+//! [`random_schedules`] draws them from seeds.
 
-mod cancellations;
+mod cancellation_broadcast;
 mod failover;
+mod fault_combinations;
 mod large_fleets;
-mod meetings;
-mod schedules;
-mod world;
+mod random_schedules;
+mod simulation;
--- /dev/null
+++ b/src/controller/tests/simulation/cloud.rs
@@ -0,0 +1,140 @@
+//! The cloud: machines of one type in two zones, rented and released by the leader.
+
+use super::workers::Worker;
+use super::{Simulation, NODES};
+use crate::protocol::{Guard, MachineType};
+use crate::scheduler::{Hardware, MachineState, Origin};
+use crate::store::{self, Decided, RentalRecord};
+use crate::time::millis;
+use rand::Rng;
+use std::time::Duration;
+
+/// The zones.
+pub(super) const ZONES: [&str; 2] = ["a", "b"];
+
+/// Time between two of a leader's rounds with the cloud.
+const ROUND: Duration = Duration::from_millis(400);
+
+/// Time from the rental of a machine to its first heartbeat.
+const BOOT: Duration = Duration::from_secs(3);
+
+/// Most machines that are released in a round.
+const RELEASE_LIMIT: usize = 100;
+
+/// The cloud.
+pub(super) struct Cloud {
+    /// How many machines the leader is to keep.
+    target: u32,
+    /// Number of rentals so far.
+    rentals: u64,
+}
+
+impl Cloud {
+    /// A cloud of which the leader rents that many machines.
+    pub(super) fn new(target: u32) -> Cloud {
+        Cloud { target, rentals: 0 }
+    }
+
+    /// How many machines the leader is to keep.
+    pub(super) fn target(&self) -> u32 {
+        self.target
+    }
+}
+
+/// The only machine type.
+pub(super) fn machine_type() -> MachineType {
+    MachineType {
+        name: "m8".into(),
+        cpus: 8.0,
+        gpus: 0.0,
+        memory_gb: 32.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.3,
+        boot_s: 5.0,
+        zones: ZONES.map(String::from).to_vec(),
+    }
+}
+
+fn rental_record(zone: &str, machine: &str) -> RentalRecord {
+    RentalRecord {
+        machine_type: "m8".into(),
+        zone: zone.into(),
+        spot: false,
+        count: 1,
+        machines: Some(vec![machine.into()]),
+    }
+}
+
+impl Simulation {
+    /// A leader's round with the cloud: machines that went silent are released, missing ones rented.
+    pub(super) fn cloud_round(&mut self, node: usize) {
+        let now = self.now();
+        if now < self.nodes[node].next_cloud_round_at || self.faults.cloud_down {
+            return;
+        }
+        self.nodes[node].next_cloud_round_at = now + ROUND;
+        let Some(epoch) = self.nodes[node].running().write_guard() else {
+            return;
+        };
+        self.release_machines(node);
+        if self.workers.len() < self.cloud.target as usize {
+            self.rent_machine(node, &epoch);
+        }
+    }
+
+    /// Releases the machines that are silent for too long or that the scheduler gives back.
+    fn release_machines(&mut self, node: usize) {
+        let now = self.now();
+        let controller = self.nodes[node].running_mut();
+        let workers = &controller.settings.platform.deployment.workers;
+        let silent_ms = millis((2.0 * workers.report_s + 2.0).max(0.4 * workers.lease_s));
+        let most_ms = 4 * millis(workers.lease_s);
+        let scheduler = controller.scheduler.as_mut().unwrap();
+        for machine in scheduler.silent(silent_ms, most_ms) {
+            scheduler.enter(machine, MachineState::Releasing, "silent");
+        }
+        for machine in scheduler.leaving(RELEASE_LIMIT) {
+            scheduler.machine_gone(&machine);
+            controller.gone.insert(machine.clone());
+            controller.released.insert(machine.clone(), now.as_millis());
+            self.workers.remove(&machine);
+        }
+    }
+
+    /// Rents a machine in the zone that has fewer.
+    fn rent_machine(&mut self, node: usize, epoch: &Guard) {
+        self.cloud.rentals += 1;
+        let number = self.cloud.rentals;
+        let machine = format!("n-{number:04}");
+        let in_first_zone = self
+            .workers
+            .values()
+            .filter(|worker| worker.zone == ZONES[0])
+            .count();
+        let zone = ZONES[usize::from(in_first_zone * 2 > self.workers.len())];
+        let record = rental_record(zone, &machine);
+        let txn = store::rental_txn(epoch, &format!("r-{number}"), 0, &record);
+        if !matches!(self.transact(node, &txn), Ok(Decided::Applied(_))) {
+            return;
+        }
+        let hardware = Hardware {
+            machine_type: "m8",
+            zone,
+            spot: false,
+        };
+        self.nodes[node]
+            .leading_mut()
+            .add_machine(&machine, hardware, Origin::Rented);
+        self.boot(machine, zone);
+    }
+
+    /// A machine boots; its worker reports to any controller first.
+    fn boot(&mut self, machine: String, zone: &str) {
+        let up_at = self.now() + BOOT;
+        let first_node = self.rng.gen_range(0..NODES);
+        let worker = Worker::booting(zone, first_node, up_at);
+        self.workers.insert(machine, worker);
+    }
+}
--- /dev/null
+++ b/src/controller/tests/simulation/cluster/dispatch.rs
@@ -0,0 +1,84 @@
+//! Scheduling rounds, and the sending of direct orders to workers.
+
+use super::super::network::{Dispatch, Message, DIRECT_TIMEOUT};
+use super::super::{Simulation, STEP};
+use crate::controller::state::{RoundOutcome, SendLimits};
+use crate::protocol::Command;
+use crate::scheduler::Direct;
+use crate::time::whole_millis;
+use rand::Rng;
+use std::time::Duration;
+
+/// What is sent in a round.
+const SEND_LIMITS: SendLimits = SendLimits {
+    messages: 16,
+    probes: 8,
+};
+
+/// Longest delay of direct orders.
+const LONGEST_ORDER_DELAY_MS: u64 = 20_000;
+
+fn starts_tasks(direct: &Direct) -> bool {
+    direct
+        .orders
+        .iter()
+        .any(|order| matches!(order, Command::Start { .. }))
+}
+
+impl Simulation {
+    /// A scheduling round of a leader: decides, and sends what was decided.
+    pub(super) fn scheduling_round(&mut self, node: usize) {
+        let controller = self.nodes[node].running_mut();
+        let sends = match controller.run_scheduling_round(SEND_LIMITS) {
+            RoundOutcome::Send(sends) => sends,
+            RoundOutcome::Idle => return,
+            RoundOutcome::StepDown(_) => return self.step_down(node),
+        };
+        let starts = sends.iter().any(starts_tasks);
+        let (incarnation, term) = (
+            self.nodes[node].incarnation,
+            self.nodes[node].running().term(),
+        );
+        let dispatch = |direct| Dispatch {
+            node,
+            incarnation,
+            term,
+            direct,
+        };
+        let dispatches: Vec<Dispatch> = sends.into_iter().map(dispatch).collect();
+        if !self.faults.pause_before_send.is_zero() && starts {
+            let pause = std::mem::take(&mut self.faults.pause_before_send);
+            self.pause(node, pause);
+            self.delay_sending(pause, dispatches);
+        } else if !self.faults.connection_delay.is_zero() {
+            self.delay_sending(self.faults.connection_delay, dispatches);
+        } else {
+            self.send_orders(dispatches);
+        }
+    }
+
+    fn delay_sending(&mut self, delay: Duration, dispatches: Vec<Dispatch>) {
+        for dispatch in dispatches {
+            self.send(delay, Message::UnsentOrders(dispatch));
+        }
+    }
+
+    /// Direct orders leave their controller; some are delayed on their way, which may be longer than it waits for the answer.
+    pub(in super::super) fn send_orders(&mut self, dispatches: Vec<Dispatch>) {
+        for dispatch in dispatches {
+            self.record_sent_orders(&dispatch.direct.orders);
+            let delayed_orders = self.faults.delayed_orders;
+            let delay = if delayed_orders > 0.0 && self.rng.gen_bool(delayed_orders) {
+                let shortest_ms = whole_millis(self.faults.order_delay);
+                Duration::from_millis(self.rng.gen_range(shortest_ms..LONGEST_ORDER_DELAY_MS))
+            } else {
+                STEP
+            };
+            if delay >= DIRECT_TIMEOUT {
+                self.lose_direct_answer(DIRECT_TIMEOUT, dispatch.clone());
+            }
+            let sent_at = self.now();
+            self.send(delay, Message::DirectOrders { dispatch, sent_at });
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -0,0 +1,134 @@
+//! Elections and the leader lease.
+
+use super::super::Simulation;
+use crate::coordination::leadership::{Authority, LeadershipEvent, Term};
+use crate::store::Decided;
+use crate::time::{duration, Timestamp};
+use std::time::Duration;
+
+/// Time between two renewals of a leader lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// After a lost election a controller waits for so long.
+const LOST_ELECTION_BACKOFF: Duration = Duration::from_millis(200);
+
+/// A controller that has stepped down does not campaign for so long.
+const STEP_DOWN_BACKOFF: Duration = Duration::from_secs(10);
+
+/// An epoch that was won; its leader begins once its replica shows the claim.
+#[derive(Clone, Copy)]
+pub(super) struct ClaimedEpoch {
+    epoch: u64,
+    version: u64,
+    sent_at: Timestamp,
+    deadline: Timestamp,
+}
+
+impl Simulation {
+    /// Campaigns, begins an epoch, or renews the leader lease.
+    pub(super) fn drive_leadership(&mut self, node: usize) {
+        if let Some(claimed) = self.nodes[node].claimed_epoch {
+            self.begin_epoch(node, claimed);
+        } else if let Some(term) = self.nodes[node].running().term() {
+            self.renew_leader_lease(node, term);
+        } else if self.may_campaign(node) {
+            self.campaign(node);
+        }
+    }
+
+    /// A new leader begins once its replica shows its own claim.
+    fn begin_epoch(&mut self, node: usize, claimed: ClaimedEpoch) {
+        let now = self.now();
+        let controller = self.nodes[node].running_mut();
+        if controller.replica.revision >= claimed.version && controller.term().is_some() {
+            controller.apply_leadership_event(LeadershipEvent::RevisionRead {
+                requested_at: claimed.sent_at,
+                revision: claimed.version,
+            });
+            controller.start_epoch(claimed.epoch);
+            self.nodes[node].claimed_epoch = None;
+        } else if now > claimed.deadline {
+            controller.apply_leadership_event(LeadershipEvent::TermEnded);
+            self.nodes[node].claimed_epoch = None;
+        }
+    }
+
+    fn renew_leader_lease(&mut self, node: usize, term: Term) {
+        let now = self.now();
+        if now < self.nodes[node].next_renewal_at {
+            return;
+        }
+        self.nodes[node].next_renewal_at = now + RENEWAL_INTERVAL;
+        let revision = self.store.revision();
+        let answers = self.store.answers(node);
+        let controller = self.nodes[node].running_mut();
+        if !answers {
+            if controller.authority() == Authority::None {
+                controller.apply_leadership_event(LeadershipEvent::TermEnded);
+            }
+            return;
+        }
+        if !self.store.renew_lease(term.lease, now) {
+            controller.apply_leadership_event(LeadershipEvent::TermEnded);
+            return;
+        }
+        controller.apply_leadership_event(LeadershipEvent::RevisionRead {
+            requested_at: now,
+            revision,
+        });
+        controller.apply_leadership_event(LeadershipEvent::LeaseRenewed { requested_at: now });
+        if controller.scheduler.is_some() && controller.authority() == Authority::None {
+            self.step_down(node);
+        }
+    }
+
+    fn may_campaign(&self, node: usize) -> bool {
+        self.store.answers(node) && self.nodes[node].running().may_campaign()
+    }
+
+    /// Claims the next epoch under a new lease.
+    fn campaign(&mut self, node: usize) {
+        let now = self.now();
+        let controller = self.nodes[node].running_mut();
+        let ttl = duration(controller.settings.operator.hold_s);
+        controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
+        let lease = self.store.grant_lease(now, ttl);
+        let claim = self.nodes[node].running_mut().claim_epoch(lease);
+        let won = claim.and_then(|claim| match self.transact(node, &claim.txn) {
+            Ok(Decided::Applied(version)) => Some((claim.record.number, version)),
+            _ => None,
+        });
+        let controller = self.nodes[node].running_mut();
+        if let Some((epoch, version)) = won {
+            let term = Term {
+                epoch,
+                epoch_version: version,
+                lease,
+            };
+            controller.apply_leadership_event(LeadershipEvent::CampaignWon {
+                term,
+                lease_requested_at: now,
+            });
+            self.nodes[node].claimed_epoch = Some(ClaimedEpoch {
+                epoch,
+                version,
+                sent_at: now,
+                deadline: now + ttl * 3 / 4,
+            });
+        } else {
+            controller.apply_leadership_event(LeadershipEvent::CampaignLost);
+            controller.back_off_campaigns(LOST_ELECTION_BACKOFF);
+            self.store.revoke_lease(lease);
+        }
+    }
+
+    /// A leader steps down and ends its lease, if it can.
+    pub(super) fn step_down(&mut self, node: usize) {
+        let controller = self.nodes[node].running_mut();
+        let lease = controller.term().map(|term| term.lease);
+        controller.step_down(STEP_DOWN_BACKOFF);
+        if let Some(lease) = lease.filter(|_| self.store.answers(node)) {
+            self.store.revoke_lease(lease);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/tests/simulation/cluster/writes.rs
@@ -0,0 +1,133 @@
+//! A leader's durable writes: the start log, and the rounds of results, rentals and cancellations.
+
+use super::super::Simulation;
+use crate::coordination::leadership::Term;
+use crate::protocol::{Guard, Txn};
+use crate::scheduler::Append;
+use crate::store::{self, Decided, StoreError};
+use crate::time::Timestamp;
+use std::time::Duration;
+
+/// Time between two rounds of a leader's durable writes.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
+
+/// After so long a write counts as unanswered.
+const UNANSWERED_WRITE: Duration = Duration::from_millis(1500);
+
+/// A write of the start log whose answer is under way.
+pub(super) struct PendingAppend {
+    append: Append,
+    term: Term,
+    outcome: Result<Decided, StoreError>,
+    answered_at: Timestamp,
+}
+
+impl Simulation {
+    /// Takes the answer to the last write of the start log, and makes the next.
+    pub(super) fn drive_start_log(&mut self, node: usize) {
+        let now = self.now();
+        let under_way = |pending: &PendingAppend| now < pending.answered_at;
+        if self.nodes[node]
+            .pending_append
+            .as_ref()
+            .is_some_and(under_way)
+        {
+            return;
+        }
+        if let Some(pending) = self.nodes[node].pending_append.take() {
+            self.finish_append(node, pending);
+        }
+        let Some(write) = self.nodes[node].running_mut().next_start_log_write() else {
+            return;
+        };
+        let outcome = self.transact(node, &write.txn);
+        let answer = if outcome == Err(StoreError::Unknown) {
+            UNANSWERED_WRITE
+        } else {
+            self.start_log_write
+        };
+        self.nodes[node].pending_append = Some(PendingAppend {
+            append: write.append,
+            term: write.term,
+            outcome,
+            answered_at: now + answer,
+        });
+    }
+
+    /// The controller learns what became of a write; where that is in doubt, it reads the key.
+    fn finish_append(&mut self, node: usize, pending: PendingAppend) {
+        let certain = matches!(
+            pending.outcome,
+            Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused)
+        );
+        let found = if !certain && self.store.answers(node) {
+            let key = store::starts_key(pending.append.slot);
+            self.store.get::<String>(&key)
+        } else {
+            None
+        };
+        let controller = self.nodes[node].running_mut();
+        controller.finish_start_log_write(
+            pending.term,
+            pending.append,
+            &pending.outcome,
+            found.as_ref(),
+        );
+    }
+
+    /// A round of a leader's durable writes.
+    pub(super) fn flush(&mut self, node: usize) {
+        let now = self.now();
+        if now < self.nodes[node].next_flush_at {
+            return;
+        }
+        self.nodes[node].next_flush_at = now + FLUSH_INTERVAL;
+        let Some(epoch) = self.nodes[node].running().write_guard() else {
+            return;
+        };
+        self.write_completions(node, &epoch);
+        self.write_results(node, &epoch);
+        self.forget_machines(node, &epoch);
+        let cleanup = self.nodes[node].running_mut().final_job_cleanup(&epoch);
+        if let Some(txn) = cleanup {
+            // What fails here is tried again in the next round.
+            let _ = self.transact(node, &txn);
+        }
+    }
+
+    fn is_applied(&mut self, node: usize, txn: &Txn) -> bool {
+        matches!(self.transact(node, txn), Ok(Decided::Applied(_)))
+    }
+
+    /// Writes the final states of jobs whose tasks are all done.
+    fn write_completions(&mut self, node: usize, epoch: &Guard) {
+        for completion in self.nodes[node].running_mut().job_completions(epoch) {
+            if self.is_applied(node, &completion.txn) {
+                let controller = self.nodes[node].running_mut();
+                controller.finish_job(&completion.job, completion.tasks);
+            }
+        }
+    }
+
+    /// Writes the results of tasks of unfinished jobs.
+    fn write_results(&mut self, node: usize, epoch: &Guard) {
+        let results = self.nodes[node].running_mut().results_to_store(epoch);
+        if let Some(write) = results {
+            if self.is_applied(node, &write.txn) {
+                let controller = self.nodes[node].running_mut();
+                controller.record_stored_results(epoch, &write.chunks);
+            }
+        }
+    }
+
+    /// Takes released machines out of the rentals.
+    fn forget_machines(&mut self, node: usize, epoch: &Guard) {
+        let cleanup = self.nodes[node].running_mut().rental_cleanup(epoch);
+        if let Some(cleanup) = cleanup {
+            if self.is_applied(node, &cleanup.txn) {
+                let controller = self.nodes[node].running_mut();
+                controller.finish_rental_cleanup(&cleanup.machines);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/tests/simulation/delivery.rs
@@ -0,0 +1,187 @@
+//! What a message does when it arrives.
+
+use super::network::{Dispatch, Message, DIRECT_TIMEOUT, HEARTBEAT_TIMEOUT};
+use super::{Simulation, STEP};
+use crate::controller::HeartbeatOutcome;
+use crate::protocol::{Report, ReportReply, Txn};
+use crate::time::Timestamp;
+use std::time::Duration;
+
+/// After how long a late transaction is tried again while the store is down.
+const RETRY_WHILE_DOWN: Duration = Duration::from_secs(1);
+
+impl Simulation {
+    /// Hands a message to its receiver.
+    pub(super) fn deliver(&mut self, message: Message) {
+        match message {
+            Message::LateWrite(txn) => self.deliver_late_write(txn),
+            Message::Heartbeat { node, report, copy } => self.deliver_heartbeat(node, report, copy),
+            Message::HeartbeatAnswer {
+                machine,
+                session,
+                sent_at,
+                node,
+                answer,
+            } => self.deliver_heartbeat_answer(&machine, session, sent_at, node, answer),
+            Message::UnsentOrders(dispatch) => self.send_delayed_orders(dispatch),
+            Message::DirectOrders { dispatch, sent_at } => {
+                self.deliver_direct_orders(dispatch, sent_at);
+            }
+            Message::DirectAnswer { dispatch, report } => {
+                self.deliver_direct_answer(&dispatch, report.as_ref());
+            }
+        }
+    }
+
+    /// The store carries out late what it did not answer; after an outage, if there is one.
+    fn deliver_late_write(&mut self, txn: Txn) {
+        if self.store.is_down() {
+            self.send(RETRY_WHILE_DOWN, Message::LateWrite(txn));
+        } else {
+            self.commit(&txn);
+        }
+    }
+
+    /// A controller takes a heartbeat, once it is not paused any more, and answers it.
+    fn deliver_heartbeat(&mut self, node: usize, report: Report, copy: bool) {
+        let (now, paused_until) = (self.now(), self.nodes[node].paused_until);
+        if now < paused_until {
+            let again = Message::Heartbeat { node, report, copy };
+            return self.send(paused_until.saturating_duration_since(now), again);
+        }
+        let Some(controller) = self.nodes[node].controller.as_mut() else {
+            return;
+        };
+        let answer = controller.handle_heartbeat(&report);
+        if let (HeartbeatOutcome::Reply(ReportReply { orders, .. }), false) = (&answer, copy) {
+            self.record_sent_orders(orders);
+        }
+        let Some(worker) = self.workers.get(&report.machine) else {
+            return;
+        };
+        let lost = copy
+            || worker.session != report.session
+            || worker.sequence < report.seq
+            || now < worker.deaf_until
+            || !self.faults.node_reaches_zone(node, &worker.zone);
+        if lost {
+            return;
+        }
+        let answer = Message::HeartbeatAnswer {
+            sent_at: worker.awaiting_answer_since.unwrap_or_default(),
+            machine: report.machine,
+            session: report.session,
+            node,
+            answer,
+        };
+        self.send(STEP, answer);
+    }
+
+    /// A worker takes the answer to its heartbeat, if it still waits for it.
+    fn deliver_heartbeat_answer(
+        &mut self,
+        machine: &str,
+        session: u64,
+        sent_at: Timestamp,
+        node: usize,
+        answer: HeartbeatOutcome,
+    ) {
+        let (now, image_fetch) = (self.now(), self.image_fetch);
+        let Some(worker) = self.workers.get_mut(machine) else {
+            return;
+        };
+        let waits =
+            worker.awaiting_answer_since == Some(sent_at) && now <= sent_at + HEARTBEAT_TIMEOUT;
+        if now < worker.hung_until || !waits || worker.session != session {
+            return;
+        }
+        if let Some(orders) = worker.take_answer(now, sent_at, node, answer) {
+            worker.execute(machine, &orders, now, image_fetch, &self.jobs);
+        }
+    }
+
+    /// What was decided before a pause or before its connection was open is sent only if it still may be.
+    fn send_delayed_orders(&mut self, dispatch: Dispatch) {
+        let node = &mut self.nodes[dispatch.node];
+        if node.incarnation != dispatch.incarnation {
+            return;
+        }
+        let Some(controller) = node.controller.as_mut() else {
+            return;
+        };
+        if controller.may_send_direct(dispatch.term, &dispatch.direct) {
+            self.send_orders(vec![dispatch]);
+        } else {
+            controller.handle_direct_answer(dispatch.term, &dispatch.direct, None);
+        }
+    }
+
+    /// A worker takes direct orders: it executes them unless a newer leader or its next incarnation has made them void.
+    fn deliver_direct_orders(&mut self, dispatch: Dispatch, sent_at: Timestamp) {
+        let (now, image_fetch) = (self.now(), self.image_fetch);
+        let machine = dispatch.direct.machine.clone();
+        let Some(worker) = self.workers.get_mut(&machine) else {
+            return self.lose_direct_answer(DIRECT_TIMEOUT, dispatch);
+        };
+        let reached = self.faults.node_reaches_zone(dispatch.node, &worker.zone);
+        if now < worker.deaf_until || !reached {
+            return self.lose_direct_answer(DIRECT_TIMEOUT, dispatch);
+        }
+        if now < worker.hung_until {
+            let hung_until = worker.hung_until;
+            return self.postpone_direct_orders(dispatch, sent_at, hung_until);
+        }
+        if worker.accept_token(dispatch.direct.token, dispatch.direct.session) {
+            worker.execute(
+                &machine,
+                &dispatch.direct.orders,
+                now,
+                image_fetch,
+                &self.jobs,
+            );
+        }
+        let report = worker.next_heartbeat(&machine);
+        if now < sent_at + DIRECT_TIMEOUT {
+            let report = Some(report);
+            self.send(STEP, Message::DirectAnswer { dispatch, report });
+        }
+    }
+
+    /// A worker that hangs executes direct orders when it goes on, though nobody waits for the answer any more.
+    fn postpone_direct_orders(
+        &mut self,
+        dispatch: Dispatch,
+        sent_at: Timestamp,
+        hung_until: Timestamp,
+    ) {
+        let now = self.now();
+        if now < sent_at + DIRECT_TIMEOUT {
+            let rest = (sent_at + DIRECT_TIMEOUT).saturating_duration_since(now);
+            self.lose_direct_answer(rest, dispatch.clone());
+        }
+        let again = Message::DirectOrders {
+            dispatch,
+            sent_at: Timestamp::ZERO,
+        };
+        self.send(hung_until.saturating_duration_since(now) + STEP, again);
+    }
+
+    /// A controller gives up waiting for the answer to direct orders after that time.
+    pub(super) fn lose_direct_answer(&mut self, delay: Duration, dispatch: Dispatch) {
+        let lost = Message::DirectAnswer {
+            dispatch,
+            report: None,
+        };
+        self.send(delay, lost);
+    }
+
+    fn deliver_direct_answer(&mut self, dispatch: &Dispatch, report: Option<&Report>) {
+        let node = &mut self.nodes[dispatch.node];
+        if node.incarnation != dispatch.incarnation {
+            return;
+        }
+        if let Some(controller) = node.controller.as_mut() {
+            controller.handle_direct_answer(dispatch.term, &dispatch.direct, report);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/tests/simulation/invariants.rs
@@ -0,0 +1,207 @@
+//! The safety rules, checked after each step and at each change that could violate one.
+
+use super::Simulation;
+use crate::protocol::{split_task, Change, Command, Txn};
+use crate::store::{Decided, OverRecord};
+use std::collections::HashMap;
+use std::time::Duration;
+
+/// A cancelled task has ended so long after the confirmation of its cancellation; `cancel_s` of the tests' settings.
+pub(crate) const CANCEL: Duration = Duration::from_secs(42);
+
+/// Tolerance of a sum of CPUs.
+const CPUS_TOLERANCE: f64 = 1e-9;
+
+/// A task that runs on a machine.
+pub(super) struct RunningTask<'a> {
+    pub machine: &'a str,
+    pub zone: &'a str,
+    pub task: &'a str,
+}
+
+impl RunningTask<'_> {
+    fn job(&self) -> &str {
+        split_task(self.task).unwrap().0
+    }
+}
+
+/// A final state that a transaction writes.
+struct FinalState<'a> {
+    key: &'a str,
+    job: &'a str,
+    record: OverRecord,
+}
+
+impl FinalState<'_> {
+    fn written_by(change: &Change) -> Option<FinalState<'_>> {
+        let Change::Put { put, value, .. } = change else {
+            return None;
+        };
+        let (_, job) = put.split_once("/over/")?;
+        Some(FinalState {
+            key: put,
+            job,
+            record: value.deserialized().unwrap(),
+        })
+    }
+}
+
+impl Simulation {
+    /// Records that a rule was violated.
+    pub(super) fn violate(&mut self, what: impl std::fmt::Display) {
+        let violation = format!("{}: {what}", self.now().as_millis());
+        self.violations.push(violation);
+    }
+
+    /// No rule was violated so far.
+    pub(crate) fn assert_no_violations(&self) {
+        assert!(self.violations.is_empty(), "{:#?}", self.violations);
+    }
+
+    /// Tasks whose program runs.
+    pub(super) fn running_tasks(&self) -> impl Iterator<Item = RunningTask<'_>> {
+        self.workers.iter().flat_map(|(machine, worker)| {
+            let running = worker.attempts.iter().filter(|(_, a)| a.is_running());
+            running.map(move |((task, _), _)| RunningTask {
+                machine,
+                zone: &worker.zone,
+                task,
+            })
+        })
+    }
+
+    fn running_tasks_of<'a>(&'a self, id: &'a str) -> impl Iterator<Item = RunningTask<'a>> {
+        self.running_tasks().filter(move |task| task.job() == id)
+    }
+
+    /// Number of tasks of a job that run.
+    pub(crate) fn running(&self, id: &str) -> usize {
+        self.running_tasks_of(id).count()
+    }
+
+    /// Machines on which a job runs.
+    pub(crate) fn machines_of(&self, id: &str) -> Vec<String> {
+        let mut machines: Vec<String> = self
+            .running_tasks_of(id)
+            .map(|task| task.machine.to_string())
+            .collect();
+        machines.dedup();
+        machines
+    }
+
+    /// A cancelled task ends in time, and a team stays within its limit.
+    pub(super) fn check_invariants(&mut self) {
+        let now = self.now();
+        let mut cpus_in_use = 0.0;
+        let mut late = Vec::new();
+        for running in self.running_tasks() {
+            let job = &self.jobs[running.job()];
+            cpus_in_use += job.spec.cpus;
+            let confirmed_at = job.cancellation_confirmed_at;
+            if confirmed_at.is_some_and(|at| now > at + CANCEL) {
+                late.push(format!(
+                    "ran_cancelled: {} on {}",
+                    running.task, running.machine
+                ));
+            }
+        }
+        for violation in late {
+            self.violate(violation);
+        }
+        let over_limit = |limit| cpus_in_use > limit + CPUS_TOLERANCE;
+        if self.team_limit.is_some_and(over_limit) {
+            self.violate(format!("quota: {cpus_in_use}"));
+        }
+    }
+
+    /// A task begins to run: it runs nowhere else, and where its job wants it.
+    pub(super) fn check_begun_task(&mut self, machine: &str, task: &str) {
+        let elsewhere: Vec<String> = self
+            .running_tasks()
+            .filter(|other| other.task == task && other.machine != machine)
+            .map(|other| other.machine.to_string())
+            .collect();
+        if !elsewhere.is_empty() {
+            self.violate(format!(
+                "ran_twice: {task} starts on {machine}, is on {elsewhere:?}"
+            ));
+        }
+        let (id, _) = split_task(task).unwrap();
+        let wanted_zone = self.jobs[id].spec.zone.as_ref();
+        if wanted_zone.is_some_and(|zone| *zone != self.workers[machine].zone) {
+            self.violate(format!("wrong_place: {task} on {machine}"));
+        }
+        self.check_spread(id, task);
+    }
+
+    /// A job that is to be scattered has at most half of its tasks in a zone, and one that is to be together is in one zone.
+    fn check_spread(&mut self, id: &str, task: &str) {
+        let spec = &self.jobs[id].spec;
+        if !spec.scatter && !spec.together {
+            return;
+        }
+        let mut by_zone: HashMap<&str, u32> = HashMap::new();
+        for running in self.running_tasks_of(id) {
+            *by_zone.entry(running.zone).or_default() += 1;
+        }
+        let zone_limit = spec.tasks.div_ceil(2);
+        let scattered = by_zone.values().all(|tasks| *tasks <= zone_limit);
+        if (spec.scatter && !scattered) || (spec.together && by_zone.len() > 1) {
+            let violation = format!("wrong_place: {task}, {by_zone:?}");
+            self.violate(violation);
+        }
+    }
+
+    /// Orders leave a controller: none may start a task of a job whose cancellation was confirmed to its user.
+    pub(super) fn record_sent_orders(&mut self, orders: &[Command]) {
+        let now = self.now();
+        for order in orders {
+            let Command::Start { task, .. } = order else {
+                continue;
+            };
+            let (id, _) = split_task(task).unwrap();
+            let confirmed_at = self.jobs[id].cancellation_confirmed_at;
+            if confirmed_at.is_some_and(|at| at < now) {
+                self.violate(format!(
+                    "start of {task} sent after its confirmed cancellation"
+                ));
+            }
+        }
+    }
+
+    /// The store commits a transaction; the final states that users were told stay true.
+    pub(super) fn commit(&mut self, txn: &Txn) -> Decided {
+        let written: Vec<FinalState> = txn
+            .apply
+            .iter()
+            .filter_map(FinalState::written_by)
+            .collect();
+        let rewritten: Vec<&str> = written
+            .iter()
+            .filter(|state| self.store.contains(state.key))
+            .map(|state| state.job)
+            .collect();
+        let decided = self.store.commit(txn);
+        if let Decided::Applied(_) = decided {
+            for job in rewritten {
+                self.violate(format!("went_back: {job}"));
+            }
+            for state in &written {
+                self.check_final_state(state.job, state.record);
+            }
+        }
+        decided
+    }
+
+    /// A job is cancelled only if its user asked for it, and done only if all its tasks are.
+    fn check_final_state(&mut self, id: &str, record: OverRecord) {
+        let job = &self.jobs[id];
+        let all_done = job.done.len() >= job.spec.tasks as usize;
+        if record.cancelled && !job.cancellation_requested {
+            self.violate(format!("went_back: {id} cancelled by nobody"));
+        }
+        if !record.cancelled && !all_done {
+            self.violate(format!("not_done: {id}"));
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/tests/simulation/store.rs
@@ -0,0 +1,263 @@
+//! The consensus-backed key-value store: compare-and-swap transactions, a log of changes for watches, and leader leases.
+//!
+//! It is one map, so every transaction is linearizable. It can be down for everybody or refuse single nodes, and
+//! [`Simulation::transact`] draws which transactions get no answer and are carried out late.
+
+use super::network::Message;
+use super::Simulation;
+use crate::protocol::{Change, Event, Guard, Txn};
+use crate::store::{self, Decided, EpochRecord, Mirror, StoreError, Versioned};
+use crate::time::Timestamp;
+use ciborium::Value;
+use rand::Rng;
+use serde::de::DeserializeOwned;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// Bounds of the time until a transaction without answer is carried out.
+const LATE_WRITE_MS: std::ops::Range<u64> = 2000..12_000;
+
+/// A key's value.
+struct StoredValue {
+    value: Value,
+    version: u64,
+    /// The lease with which the key ends.
+    lease: Option<u64>,
+}
+
+/// A lease of the store.
+struct StoreLease {
+    expires_at: Timestamp,
+    ttl: Duration,
+}
+
+/// The store.
+#[derive(Default)]
+pub(crate) struct SimulatedStore {
+    keys: BTreeMap<String, StoredValue>,
+    events: Vec<Event>,
+    revision: u64,
+    leases: BTreeMap<u64, StoreLease>,
+    last_lease: u64,
+    down: bool,
+    refused_nodes: BTreeSet<usize>,
+}
+
+impl SimulatedStore {
+    /// Whether the store answers a node.
+    pub(super) fn answers(&self, node: usize) -> bool {
+        !self.down && !self.refused_nodes.contains(&node)
+    }
+
+    /// Whether the store answers nobody.
+    pub(super) fn is_down(&self) -> bool {
+        self.down
+    }
+
+    /// Refuses a node until it is accepted again.
+    pub(crate) fn refuse(&mut self, node: usize) {
+        self.refused_nodes.insert(node);
+    }
+
+    /// Ends the refusal of a node.
+    pub(crate) fn accept(&mut self, node: usize) {
+        self.refused_nodes.remove(&node);
+    }
+
+    /// Goes down for everybody.
+    pub(super) fn go_down(&mut self) {
+        self.down = true;
+    }
+
+    /// Comes back, if it was down; every lease has its full time again.
+    pub(super) fn come_back(&mut self, now: Timestamp) {
+        if !self.down {
+            return;
+        }
+        self.down = false;
+        for lease in self.leases.values_mut() {
+            lease.expires_at = now + lease.ttl;
+        }
+    }
+
+    /// Revision of the newest change.
+    pub(super) fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Version of a key, 0 if there is none.
+    pub(crate) fn version(&self, key: &str) -> u64 {
+        self.keys.get(key).map_or(0, |stored| stored.version)
+    }
+
+    /// Whether a key exists.
+    pub(crate) fn contains(&self, key: &str) -> bool {
+        self.keys.contains_key(key)
+    }
+
+    /// Reads a record.
+    pub(super) fn get<T: DeserializeOwned>(&self, key: &str) -> Option<Versioned<T>> {
+        let stored = self.keys.get(key)?;
+        Some(Versioned {
+            record: stored.value.deserialized().ok()?,
+            version: stored.version,
+        })
+    }
+
+    /// Commits a transaction whose guards all hold.
+    pub(super) fn commit(&mut self, txn: &Txn) -> Decided {
+        let changed = |guard: &&Guard| self.version(&guard.key) != guard.version;
+        let failed: Vec<String> = txn
+            .guards
+            .iter()
+            .filter(changed)
+            .map(|guard| guard.key.clone())
+            .collect();
+        if !failed.is_empty() {
+            return Decided::Failed(failed);
+        }
+        if txn.apply.iter().any(|change| self.lease_is_lost(change)) {
+            return Decided::Failed(vec!["hold".into()]);
+        }
+        if !txn.apply.is_empty() {
+            self.revision += 1;
+        }
+        for change in &txn.apply {
+            self.apply(change);
+        }
+        Decided::Applied(self.revision)
+    }
+
+    fn lease_is_lost(&self, change: &Change) -> bool {
+        matches!(change, Change::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease))
+    }
+
+    fn apply(&mut self, change: &Change) {
+        match change {
+            Change::Put { put, value, lease } => {
+                let stored = StoredValue {
+                    value: value.clone(),
+                    version: self.revision,
+                    lease: *lease,
+                };
+                self.keys.insert(put.clone(), stored);
+                self.events.push(Event::Put {
+                    put: put.clone(),
+                    value: value.clone(),
+                    version: self.revision,
+                });
+            }
+            Change::Delete { key } => self.delete(key),
+        }
+    }
+
+    fn delete(&mut self, key: &str) {
+        if self.keys.remove(key).is_some() {
+            self.events.push(Event::Delete {
+                key: key.to_string(),
+                version: self.revision,
+            });
+        }
+    }
+
+    /// Grants a lease.
+    pub(super) fn grant_lease(&mut self, now: Timestamp, ttl: Duration) -> u64 {
+        self.last_lease += 1;
+        let lease = StoreLease {
+            expires_at: now + ttl,
+            ttl,
+        };
+        self.leases.insert(self.last_lease, lease);
+        self.last_lease
+    }
+
+    /// Renews a lease; false if it has ended.
+    pub(super) fn renew_lease(&mut self, lease: u64, now: Timestamp) -> bool {
+        let Some(lease) = self.leases.get_mut(&lease) else {
+            return false;
+        };
+        lease.expires_at = now + lease.ttl;
+        true
+    }
+
+    /// Ends a lease and deletes its keys.
+    pub(super) fn revoke_lease(&mut self, lease: u64) {
+        if self.leases.remove(&lease).is_none() {
+            return;
+        }
+        let keys: Vec<String> = self
+            .keys
+            .iter()
+            .filter(|(_, stored)| stored.lease == Some(lease))
+            .map(|(key, _)| key.clone())
+            .collect();
+        for key in keys {
+            self.revision += 1;
+            self.delete(&key);
+        }
+    }
+
+    /// Ends the leases that were not renewed in time. None ends during an outage.
+    pub(super) fn expire_leases(&mut self, now: Timestamp) {
+        if self.down {
+            return;
+        }
+        let expired: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| now > lease.expires_at)
+            .map(|(id, _)| *id)
+            .collect();
+        for lease in expired {
+            self.revoke_lease(lease);
+        }
+    }
+
+    /// The changes after a revision, as a watch shows them.
+    pub(super) fn events_after(&self, revision: u64) -> Vec<Event> {
+        let newer = |event: &&Event| match event {
+            Event::Put { version, .. } | Event::Delete { version, .. } => *version > revision,
+        };
+        self.events.iter().filter(newer).cloned().collect()
+    }
+
+    /// A replica as a controller reads it at its start: everything but final states.
+    pub(super) fn replica(&self) -> Mirror {
+        let (mut replica, mut seen) = (Mirror::default(), Vec::new());
+        for (key, stored) in self.keys.iter().filter(|(key, _)| !key.contains("/over/")) {
+            replica.put(key, &stored.value, stored.version, &mut seen);
+        }
+        (replica.revision, replica.loaded) = (self.revision, true);
+        replica
+    }
+}
+
+impl Simulation {
+    /// A controller's transaction; it may get no answer.
+    pub(super) fn transact(&mut self, node: usize, txn: &Txn) -> Result<Decided, StoreError> {
+        if !self.store.answers(node) {
+            return Err(StoreError::Refused);
+        }
+        let late_writes = self.faults.late_writes;
+        if late_writes > 0.0 && self.rng.gen_bool(late_writes) {
+            let delay = Duration::from_millis(self.rng.gen_range(LATE_WRITE_MS));
+            self.send(delay, Message::LateWrite(txn.clone()));
+            return Err(StoreError::Unknown);
+        }
+        Ok(self.commit(txn))
+    }
+
+    /// The number of the current epoch.
+    pub(crate) fn epoch(&self) -> u64 {
+        self.store
+            .get::<EpochRecord>(&store::epoch_key())
+            .map_or(0, |epoch| epoch.record.number)
+    }
+
+    /// The guard of the current epoch.
+    pub(crate) fn epoch_guard(&self) -> Guard {
+        let key = store::epoch_key();
+        let version = self.store.version(&key);
+        store::guard(key, version)
+    }
+}
--- /dev/null
+++ b/src/controller/tests/simulation/workers/orders.rs
@@ -0,0 +1,108 @@
+//! What a worker does with orders, whether they come in the answer to a heartbeat or directly.
+
+use super::super::users::SubmittedJob;
+use super::{Attempt, Worker, CHANGE_HEARTBEAT};
+use crate::protocol::{split_task, Command, ExitReason, Kind, TaskState};
+use crate::time::Timestamp;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// CPUs of a machine.
+const MACHINE_CPUS: f64 = 8.0;
+
+/// CPUs of a task.
+const TASK_CPUS: f64 = 2.0;
+
+/// When a service's task ends.
+const NEVER: Timestamp = Timestamp::from_millis(u64::MAX);
+
+impl Worker {
+    /// Executes orders.
+    pub(in super::super) fn execute(
+        &mut self,
+        machine: &str,
+        orders: &[Command],
+        now: Timestamp,
+        image_fetch: Duration,
+        jobs: &BTreeMap<String, SubmittedJob>,
+    ) {
+        if !orders.is_empty() {
+            tracing::info!(now = now.as_millis(), machine, ?orders, "executes");
+        }
+        for order in orders {
+            match order {
+                Command::Start { task, attempt } => {
+                    self.start(task, *attempt, now + image_fetch, jobs);
+                }
+                Command::Stop { task, attempt, .. } => self.stop(task, *attempt),
+                Command::Forget { task, attempt } => self.forget(task, *attempt),
+            }
+            self.report_within(now, CHANGE_HEARTBEAT);
+        }
+    }
+
+    fn start(
+        &mut self,
+        task: &str,
+        attempt: u64,
+        ready_at: Timestamp,
+        jobs: &BTreeMap<String, SubmittedJob>,
+    ) {
+        let key = (task.to_string(), attempt);
+        if self.attempts.contains_key(&key) {
+            return;
+        }
+        let refusal = self.refusal_of(task);
+        let state = match refusal {
+            Some(_) => TaskState::Exited,
+            None => TaskState::Fetching,
+        };
+        let (id, number) = split_task(task).unwrap();
+        let started = Attempt {
+            state,
+            reason: refusal,
+            ready_at,
+            ends_at: jobs[id].end_of_task(number, ready_at).unwrap_or(NEVER),
+        };
+        self.attempts.insert(key, started);
+    }
+
+    /// Why a start of a task is refused.
+    fn refusal_of(&self, task: &str) -> Option<ExitReason> {
+        let active = self.attempts.iter().filter(|(_, a)| !a.has_exited());
+        if active.clone().any(|((other, _), _)| other == task) {
+            return Some(ExitReason::Busy);
+        }
+        let cpus = active.count() as f64 * TASK_CPUS;
+        (cpus + TASK_CPUS > MACHINE_CPUS).then_some(ExitReason::NoRoom)
+    }
+
+    fn stop(&mut self, task: &str, attempt: u64) {
+        let key = (task.to_string(), attempt);
+        if let Some(attempt) = self.attempts.get_mut(&key).filter(|a| !a.has_exited()) {
+            (attempt.state, attempt.reason) = (TaskState::Exited, Some(ExitReason::Stopped));
+        }
+    }
+
+    fn forget(&mut self, task: &str, attempt: u64) {
+        let key = (task.to_string(), attempt);
+        if self.attempts.get(&key).is_some_and(Attempt::has_exited) {
+            self.attempts.remove(&key);
+        }
+    }
+}
+
+impl SubmittedJob {
+    /// When a task ends that begins at that time; a service's never does. One that has ended before ends at once.
+    fn end_of_task(&self, number: u32, begins_at: Timestamp) -> Option<Timestamp> {
+        if self.spec.kind == Kind::Service {
+            return None;
+        }
+        let run_time = if self.done.contains(&number) {
+            Duration::ZERO
+        } else {
+            self.run_time_of(number)
+        };
+        Some(begins_at + run_time)
+    }
+}
