--- a/benches/load/cloud.rs
+++ b/benches/load/cloud.rs
@@ -1,54 +1,77 @@
 //! A stand-in for the cloud: machines of one type that are up as soon as they are rented.
 
+use crate::topology::{worker_address, ZONE};
 use crate::worker;
 use actix_web::{web, HttpResponse};
 use hollowswitch::protocol::{
     decode, encode, Catalogue, ListedMachine, MachineList, MachineNames, MachineType, RentRequest,
 };
 use std::collections::BTreeMap;
-use std::net::Ipv4Addr;
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard};
 
 /// Name of the only machine type.
 const MACHINE_TYPE: &str = "standard";
-/// Name of the only zone.
-pub(crate) const ZONE: &str = "a";
 /// Boot time of a machine in seconds.
 const BOOT_S: f64 = 1.0;
 
 /// The stand-in.
 pub(crate) struct Cloud {
-    /// Most machines it rents.
-    pub capacity: usize,
+    /// Most machines that it rents out.
+    capacity: usize,
+    /// CPUs of a machine.
+    cpus: f64,
     /// What the workers of its machines need.
-    pub worker: worker::Settings,
+    worker: worker::Settings,
+    /// The rented machines by name.
     machines: Mutex<BTreeMap<String, ListedMachine>>,
 }
 
 impl Cloud {
     /// A cloud of which nothing is rented yet.
-    pub(crate) fn new(capacity: usize, worker: worker::Settings) -> Self {
+    pub(crate) fn new(capacity: usize, cpus: f64, worker: worker::Settings) -> Self {
         Cloud {
             capacity,
+            cpus,
             worker,
             machines: Mutex::default(),
         }
     }
 
-    fn machines(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, ListedMachine>> {
-        self.machines.lock().expect("no handler panics")
+    /// Rents out as many of the machines as there are, and runs their workers; returns the machines' names.
+    fn rent(&self, request: &RentRequest) -> Vec<String> {
+        let mut machines = self.machines();
+        let rented = machines.len();
+        let wanted = rented + request.count as usize;
+        let mut names = Vec::new();
+        for number in rented..self.capacity.min(wanted) {
+            let name = format!("n-{number:06}");
+            let address = worker_address(number);
+            let machine = ListedMachine {
+                id: name.clone(),
+                address: format!("{address}:{}", self.worker.port),
+                machine_type: request.machine_type.clone(),
+                zone: request.zone.clone(),
+                spot: request.spot,
+                state: "running".into(),
+                age_s: BOOT_S,
+            };
+            let worker = worker::run(machine.clone(), address, self.worker.clone());
+            actix_web::rt::spawn(worker);
+            machines.insert(name.clone(), machine);
+            names.push(name);
+        }
+        names
     }
-}
 
-/// Each worker has an address of its own in the loopback range.
-fn address(index: usize) -> Ipv4Addr {
-    Ipv4Addr::new(127, 1, (index / 250) as u8, (index % 250 + 1) as u8)
+    fn machines(&self) -> MutexGuard<'_, BTreeMap<String, ListedMachine>> {
+        self.machines.lock().expect("no handler panics")
+    }
 }
 
 async fn flavors(cloud: web::Data<Cloud>) -> HttpResponse {
     let machine_type = MachineType {
         name: MACHINE_TYPE.into(),
-        cpus: cloud.worker.cpus,
+        cpus: cloud.cpus,
         gpus: 0.0,
         memory_gb: 256.0,
         cache_gb: 50.0,
@@ -67,31 +90,10 @@
     let Ok(request) = decode::<RentRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    let mut machines = cloud.machines();
-    let from = machines.len();
-    let names: Vec<String> = (from..cloud.capacity.min(from + request.count as usize))
-        .map(|i| format!("n-{i:06}"))
-        .collect();
+    let names = cloud.rent(&request);
     if names.is_empty() {
         return HttpResponse::ServiceUnavailable().body("no capacity");
     }
-    for (i, name) in names.iter().enumerate() {
-        let machine = ListedMachine {
-            id: name.clone(),
-            address: format!("{}:{}", address(from + i), cloud.worker.port),
-            machine_type: request.machine_type.clone(),
-            zone: request.zone.clone(),
-            spot: request.spot,
-            state: "running".into(),
-            age_s: BOOT_S,
-        };
-        actix_web::rt::spawn(worker::run(
-            machine.clone(),
-            address(from + i),
-            cloud.worker.clone(),
-        ));
-        machines.insert(name.clone(), machine);
-    }
     HttpResponse::Ok().body(encode(&MachineNames { machines: names }))
 }
 
--- a/benches/load/process.rs
+++ b/benches/load/process.rs
@@ -7,14 +7,14 @@
 /// Length of a processor tick of the kernel in milliseconds.
 const TICK_MS: f64 = 10.0;
 
-/// A running controller, ended with this value.
-pub(crate) struct Controller {
+/// A running controller; its process ends when this value is dropped.
+pub(crate) struct ControllerProcess {
     /// Its name.
     pub name: String,
     child: Child,
 }
 
-/// What a process has used up to a moment.
+/// What a process has used since its start.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Usage {
     /// Processor time in milliseconds.
@@ -23,18 +23,22 @@
     pub resident_kb: u64,
     /// Most memory held so far, in KiB.
     pub peak_kb: u64,
-    /// Times at which it waited for something.
+    /// How often it waited for something.
     pub waits: u64,
 }
 
-impl Controller {
+impl ControllerProcess {
     /// Starts a controller.
-    pub(crate) fn start(name: &str, program: &str, settings: &Path) -> io::Result<Controller> {
+    pub(crate) fn start(
+        name: &str,
+        program: &str,
+        settings: &Path,
+    ) -> io::Result<ControllerProcess> {
         let child = Command::new(program)
             .arg("--config")
             .arg(settings)
             .spawn()?;
-        Ok(Controller {
+        Ok(ControllerProcess {
             name: name.to_string(),
             child,
         })
@@ -66,8 +70,9 @@
     }
 }
 
-impl Drop for Controller {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
+        // It may have ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/benches/load/store.rs
+++ b/benches/load/store.rs
@@ -1,4 +1,6 @@
-//! A stand-in for the state service: one map in memory, spoken to over the wire protocol.
+//! A stand-in for the consensus-backed key-value store: one map in memory behind the wire protocol.
+//!
+//! Its leases do not end, since no controller ends in these runs.
 
 use actix_web::{web, HttpResponse};
 use ciborium::Value;
@@ -12,15 +14,21 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// How many changes a watch can be behind.
+/// By how many changes a watch can lag behind.
 const HISTORY: usize = 10_000;
 
+/// A key's value and version.
+struct StoredValue {
+    value: Value,
+    version: u64,
+}
+
 /// The content of the store.
 #[derive(Default)]
 struct Content {
     revision: u64,
-    leases: u64,
-    keys: BTreeMap<String, (Value, u64)>,
+    last_lease: u64,
+    keys: BTreeMap<String, StoredValue>,
     history: VecDeque<Event>,
 }
 
@@ -58,22 +66,20 @@
         .body(encode(body))
 }
 
-fn missing(revision: u64) -> HttpResponse {
-    cbor(
-        404,
-        &TxnReply {
-            failed: Vec::new(),
-            revision,
-        },
-    )
+fn transaction_reply(status: u16, failed: Vec<String>, revision: u64) -> HttpResponse {
+    cbor(status, &TxnReply { failed, revision })
 }
 
 impl Content {
-    fn change(&mut self, change: Change) {
+    fn apply(&mut self, change: Change) {
         let version = self.revision;
         let event = match change {
             Change::Put { put, value, .. } => {
-                self.keys.insert(put.clone(), (value.clone(), version));
+                let stored = StoredValue {
+                    value: value.clone(),
+                    version,
+                };
+                self.keys.insert(put.clone(), stored);
                 Event::Put {
                     put,
                     value,
@@ -91,36 +97,26 @@
         }
     }
 
-    fn run(&mut self, txn: Txn) -> HttpResponse {
-        let version = |key: &str| self.keys.get(key).map_or(0, |(_, version)| *version);
+    /// Commits a transaction whose guards all hold.
+    fn commit(&mut self, txn: Txn) -> HttpResponse {
+        let version = |key: &str| self.keys.get(key).map_or(0, |stored| stored.version);
         let failed: Vec<String> = txn
             .guards
             .iter()
-            .filter(|g| version(&g.key) != g.version)
-            .map(|g| g.key.clone())
+            .filter(|guard| version(&guard.key) != guard.version)
+            .map(|guard| guard.key.clone())
             .collect();
         if !failed.is_empty() {
-            return cbor(
-                409,
-                &TxnReply {
-                    failed,
-                    revision: self.revision,
-                },
-            );
+            return transaction_reply(409, failed, self.revision);
         }
         self.revision += u64::from(!txn.apply.is_empty());
         for change in txn.apply {
-            self.change(change);
+            self.apply(change);
         }
-        cbor(
-            200,
-            &TxnReply {
-                failed: Vec::new(),
-                revision: self.revision,
-            },
-        )
+        transaction_reply(200, Vec::new(), self.revision)
     }
 
+    /// The keys of a listing, up to its limit.
     fn page(&self, query: &Query) -> Page {
         let after = if query.after.is_empty() {
             Bound::Included(query.starts.clone())
@@ -131,20 +127,19 @@
             .keys
             .range((after, Bound::Unbounded))
             .take_while(|(key, _)| key.starts_with(&query.starts));
-        let items = rows.by_ref().take(query.limit);
-        let items = items.map(|(key, (value, version))| Item {
+        let item = |(key, stored): (&String, &StoredValue)| Item {
             key: key.clone(),
-            value: value.clone(),
-            version: *version,
-        });
-        let items = items.collect();
+            value: stored.value.clone(),
+            version: stored.version,
+        };
         Page {
-            items,
+            items: rows.by_ref().take(query.limit).map(item).collect(),
             more: rows.next().is_some(),
             revision: self.revision,
         }
     }
 
+    /// The changes that a watch has yet to see.
     fn events_after(&self, revision: u64, prefix: &str) -> Vec<Event> {
         let newer = |event: &&Event| match event {
             Event::Put { put, version, .. } => *version > revision && put.starts_with(prefix),
@@ -160,36 +155,35 @@
     }
 }
 
-async fn multi(store: web::Data<Store>, body: web::Bytes) -> HttpResponse {
+async fn commit(store: web::Data<Store>, body: web::Bytes) -> HttpResponse {
     let Ok(txn) = decode::<Txn>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
     let mut content = store.content();
-    let response = content.run(txn);
+    let response = content.commit(txn);
     store.changed.send_replace(content.revision);
     response
 }
 
 async fn get(store: web::Data<Store>, key: web::Path<String>) -> HttpResponse {
     let content = store.content();
-    let Some((value, version)) = content.keys.get(key.as_str()) else {
-        return missing(content.revision);
+    let Some(stored) = content.keys.get(key.as_str()) else {
+        return transaction_reply(404, Vec::new(), content.revision);
+    };
+    let item = Item {
+        key: key.into_inner(),
+        value: stored.value.clone(),
+        version: stored.version,
     };
-    cbor(
-        200,
-        &Item {
-            key: key.into_inner(),
-            value: value.clone(),
-            version: *version,
-        },
-    )
+    cbor(200, &item)
 }
 
 async fn list(store: web::Data<Store>, query: web::Query<Query>) -> HttpResponse {
     cbor(200, &store.content().page(&query))
 }
 
-async fn watched(store: web::Data<Store>, query: web::Query<Query>) -> HttpResponse {
+/// Answers a watch when something has changed, or when its time is over.
+async fn watch_prefix(store: web::Data<Store>, query: web::Query<Query>) -> HttpResponse {
     let after = query.after.parse().unwrap_or(0);
     let until = Instant::now() + Duration::from_millis(query.hold_ms);
     let mut changed = store.changed.subscribe();
@@ -208,26 +202,22 @@
 
 async fn open_lease(store: web::Data<Store>) -> HttpResponse {
     let mut content = store.content();
-    content.leases += 1;
-    cbor(
-        200,
-        &LeaseReply {
-            lease: content.leases,
-        },
-    )
+    content.last_lease += 1;
+    let lease = content.last_lease;
+    cbor(200, &LeaseReply { lease })
 }
 
 async fn renew_lease() -> HttpResponse {
     HttpResponse::Ok().finish()
 }
 
-/// The routes of the state service. Its leases do not end: no controller ends in these runs.
+/// The routes of the store.
 pub(crate) fn routes(config: &mut web::ServiceConfig) {
     config
-        .route("/multi", web::post().to(multi))
+        .route("/multi", web::post().to(commit))
         .route("/keys", web::get().to(list))
         .route("/keys/{key:.*}", web::get().to(get))
-        .route("/watch", web::get().to(watched))
+        .route("/watch", web::get().to(watch_prefix))
         .route("/holds", web::post().to(open_lease))
         .route("/holds/{id}/extend", web::post().to(renew_lease))
         .route("/holds/{id}", web::delete().to(renew_lease));
--- a/benches/load/users.rs
+++ b/benches/load/users.rs
@@ -1,4 +1,4 @@
-//! A stand-in for users: a queue of jobs at the start, more at a steady rate, and polls of unfinished jobs.
+//! A stand-in for users: services at the start, arrays at a steady rate, and polls of unfinished jobs.
 
 use crate::http;
 use hollowswitch::protocol::{decode, encode, JobSpec, JobState, JobView, Kind, Priority};
@@ -9,15 +9,19 @@
 use tokio::net::TcpStream;
 
 /// Time between two polls of a job.
-const POLL: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// Time until a request that failed is repeated.
 const RETRY: Duration = Duration::from_secs(1);
 /// Time allowed for an answer.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Tasks of a service.
+const REPLICAS: u32 = 4;
+/// Number of images among which the jobs take turns.
+const IMAGES: usize = 12;
+
 /// What the users submit.
-#[derive(Clone)]
-pub(crate) struct Load {
+pub(crate) struct Workload {
     /// The controllers' addresses.
     pub controllers: Vec<SocketAddr>,
     /// Services at the start.
@@ -25,51 +29,68 @@
     /// Arrays a second.
     pub arrays_per_s: f64,
     /// Tasks of an array.
-    pub tasks: u32,
+    pub tasks_per_array: u32,
     /// CPUs of a task.
-    pub cpus: f64,
+    pub cpus_per_task: f64,
 }
 
 /// What became of the requests.
 #[derive(Default)]
-pub(crate) struct Counts {
+pub(crate) struct RequestCounts {
     /// Jobs accepted.
     pub accepted: u64,
-    /// Jobs that a poll told to be done.
+    /// Jobs that a poll showed to be done.
     pub done: u64,
     /// Requests without a good answer.
     pub failed: u64,
 }
 
-fn job(number: u64, load: &Load, service: bool) -> JobSpec {
-    JobSpec {
-        id: format!("wk-{number:06}"),
-        class: if service { "service" } else { "array" }.into(),
-        team: "team".into(),
-        kind: if service { Kind::Service } else { Kind::Array },
-        priority: if service {
-            Priority::Production
-        } else {
-            Priority::Normal
-        },
-        tasks: if service { 4 } else { load.tasks },
-        cpus: load.cpus,
-        gpus: 0.0,
-        memory_gb: 1.0,
-        image: format!("image-{}", number % 12),
-        image_gb: 0.5,
-        types: None,
-        zone: None,
-        together: false,
-        scatter: false,
-        spot: false,
-        estimate_s: if service { 0.0 } else { 60.0 },
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
+impl Workload {
+    /// A service: four replicas that run for ever.
+    fn service(&self, number: usize) -> JobSpec {
+        JobSpec {
+            class: "service".into(),
+            kind: Kind::Service,
+            priority: Priority::Production,
+            tasks: REPLICAS,
+            estimate_s: 0.0,
+            ..self.array(number)
+        }
+    }
+
+    /// An array: tasks that end.
+    fn array(&self, number: usize) -> JobSpec {
+        JobSpec {
+            id: format!("wk-{number:06}"),
+            class: "array".into(),
+            team: "team".into(),
+            kind: Kind::Array,
+            priority: Priority::Normal,
+            tasks: self.tasks_per_array,
+            cpus: self.cpus_per_task,
+            gpus: 0.0,
+            memory_gb: 1.0,
+            image: format!("image-{}", number % IMAGES),
+            image_gb: 0.5,
+            types: None,
+            zone: None,
+            together: false,
+            scatter: false,
+            spot: false,
+            estimate_s: 60.0,
+            checkpoint_s: 0.0,
+            save_s: 0.0,
+            deadline_s: None,
+        }
+    }
+
+    /// The controller that a user asks.
+    fn controller(&self, number: usize) -> SocketAddr {
+        self.controllers[number % self.controllers.len()]
     }
 }
 
+/// One request on a connection of its own.
 async fn call(to: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
     let exchange = async {
         let mut stream = TcpStream::connect(to).await.ok()?;
@@ -80,44 +101,53 @@
     Some((http::status(&head)?, body))
 }
 
-/// Submits a job, and asks about it until it is done.
-async fn follow(spec: JobSpec, load: Load, number: u64, counts: Rc<RefCell<Counts>>) {
-    let to = load.controllers[number as usize % load.controllers.len()];
+/// A user: submits a job, and polls it until it is done.
+async fn submit_and_poll(to: SocketAddr, job: JobSpec, counts: Rc<RefCell<RequestCounts>>) {
+    submit(to, &job, &counts).await;
+    counts.borrow_mut().accepted += 1;
+    poll_until_done(to, &job.id, &counts).await;
+    counts.borrow_mut().done += 1;
+}
+
+/// Submits a job until it is accepted.
+async fn submit(to: SocketAddr, job: &JobSpec, counts: &RefCell<RequestCounts>) {
     loop {
-        let answer = call(to, "POST", "/v1/jobs", &encode(&spec)).await;
+        let answer = call(to, "POST", "/v1/jobs", &encode(job)).await;
         if matches!(answer, Some((200 | 201, _))) {
-            break;
+            return;
         }
         counts.borrow_mut().failed += 1;
         tokio::time::sleep(RETRY).await;
     }
-    counts.borrow_mut().accepted += 1;
+}
+
+async fn poll_until_done(to: SocketAddr, id: &str, counts: &RefCell<RequestCounts>) {
+    let path = format!("/v1/jobs/{id}");
     loop {
-        tokio::time::sleep(POLL).await;
-        let answer = call(to, "GET", &format!("/v1/jobs/{}", spec.id), &[]).await;
-        match answer {
-            Some((200, body)) if finished(&body) => break,
+        tokio::time::sleep(POLL_INTERVAL).await;
+        match call(to, "GET", &path, &[]).await {
+            Some((200, body)) if is_done(&body) => return,
             Some((200, _)) => {}
             _ => counts.borrow_mut().failed += 1,
         }
     }
-    counts.borrow_mut().done += 1;
 }
 
-fn finished(body: &[u8]) -> bool {
+fn is_done(body: &[u8]) -> bool {
     decode::<JobView>(body).is_ok_and(|view| view.state == JobState::Done)
 }
 
-/// Runs the users for ever.
-pub(crate) async fn run(load: Load, counts: Rc<RefCell<Counts>>) {
-    let services = load.services as u64;
-    for number in 0..services {
-        let spec = job(number, &load, true);
-        actix_web::rt::spawn(follow(spec, load.clone(), number, counts.clone()));
+/// Runs the users for ever: all services at the start, then arrays at a steady rate.
+pub(crate) async fn run(workload: Workload, counts: Rc<RefCell<RequestCounts>>) {
+    let start = |number, job| {
+        let to = workload.controller(number);
+        actix_web::rt::spawn(submit_and_poll(to, job, counts.clone()));
+    };
+    for number in 0..workload.services {
+        start(number, workload.service(number));
     }
-    for number in services.. {
-        tokio::time::sleep(Duration::from_secs_f64(1.0 / load.arrays_per_s)).await;
-        let spec = job(number, &load, false);
-        actix_web::rt::spawn(follow(spec, load.clone(), number, counts.clone()));
+    for number in workload.services.. {
+        tokio::time::sleep(Duration::from_secs_f64(1.0 / workload.arrays_per_s)).await;
+        start(number, workload.array(number));
     }
 }
