--- a/src/api/server/tests.rs
+++ b/src/api/server/tests.rs
@@ -1,9 +1,9 @@
-//! Connections.
+//! How many connections are accepted and kept open.
 
 use super::*;
 
 #[test]
-fn more_workers_than_sockets_take_turns() {
+fn connections_are_not_kept_open_when_three_quarters_are_taken() {
     let c = Connections::new(8);
     let mut open: Vec<Connection> = (0..6).map(|_| c.enter()).collect();
     assert!(c.keep());
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn no_more_connections_are_accepted_than_there_may_be() {
+fn no_connection_is_accepted_beyond_the_limit() {
     use futures_util::FutureExt;
     let c = Connections::new(2);
     let first = c.enter();
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,10 +1,10 @@
-//! The doors.
+//! The HTTP responses that outcomes are mapped to.
 
 use super::*;
 use std::time::Duration;
 
 #[test]
-fn a_user_who_is_told_to_come_back_is_told_when_and_may_go_elsewhere() {
+fn a_busy_response_says_when_to_retry_and_closes_the_connection() {
     let r = job_response(JobOutcome::RetryAfter(Duration::from_secs(7)));
     assert_eq!(
         (
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_answer_to_a_worker_is_void_once_the_right_behind_it_has_ended() {
+fn an_answer_to_a_worker_is_withheld_once_its_authority_has_expired() {
     let now = Instant::now();
     let decided = |valid_until| {
         let outcome = HeartbeatOutcome::Reply(wire::ReportReply {
--- a/src/clients/permit/tests.rs
+++ b/src/clients/permit/tests.rs
@@ -1,4 +1,4 @@
-//! A call with scripted steps.
+//! A call whose steps are counted, under a permission that ends before any of them.
 
 use super::*;
 use std::cell::Cell;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_call_takes_no_step_once_it_is_not_permitted_any_more() {
+fn a_call_takes_no_step_once_its_permission_has_ended() {
     for permitted_steps in 0..5 {
         let steps = Rc::new(Cell::new(0));
         let permitted = {
