--- a/src/autoscaler.rs
+++ b/src/autoscaler.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::clients::cloud::RENT_MOST;
+use crate::clients::cloud::MAX_RENT_COUNT;
 use crate::resources::Resources;
 use crate::scheduler::{
     MachineIndex, MachineState, Offer, Scheduler, UnmetDemand, Utilization, ZoneIndex,
@@ -122,7 +122,7 @@
     for offer in offers {
         match requests
             .iter_mut()
-            .find(|r| r.offer == offer && r.count < RENT_MOST)
+            .find(|r| r.offer == offer && r.count < MAX_RENT_COUNT)
         {
             Some(request) => request.count += 1,
             None => requests.push(RentalRequest { offer, count: 1 }),
@@ -284,7 +284,7 @@
             if let Some((index, machine_type)) = best.filter(|_| short > 0) {
                 let count = (short as f64 / (machine_type.cpus * 1000.0))
                     .ceil()
-                    .min(f64::from(RENT_MOST)) as u32;
+                    .min(f64::from(MAX_RENT_COUNT)) as u32;
                 out.push(RentalRequest {
                     offer: Offer {
                         machine_type: index,
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -1,9 +1,9 @@
 //! Clients of the services around a controller: the cloud and the workers, and the HTTP exchange that all clients share.
+//!
+//! A client encodes one request, makes one call within a time limit, and maps the response to a typed outcome. Retries and
+//! rate limits are a matter of the caller.
 
 pub mod cloud;
+pub mod http;
 pub mod permit;
-#[allow(
-    clippy::missing_errors_doc,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod worker;
--- a/src/clients/permit.rs
+++ b/src/clients/permit.rs
@@ -1,8 +1,8 @@
-//! Calls that go on only while they are permitted.
+//! Calls that make progress only while they are permitted.
 //!
-//! A process may stand still for seconds while its clocks run on, at any point: between the check of an authority and the
-//! connection, or between the connection and the request. What was permitted before it is not permitted after it, so the
-//! check is repeated before each step of the call.
+//! A process may be paused for seconds at any point: between the check of an authority and the connection, or between the
+//! connection and the request. What was permitted before the pause may not be permitted after it, so the check is repeated
+//! before each step of the call.
 
 #[cfg(test)]
 mod tests;
@@ -11,7 +11,8 @@
 use std::pin::pin;
 use std::task::Poll;
 
-/// Runs a call; `None` if `permitted` was false before one of its steps. Its request may have been sent by then.
+/// Runs a call and checks `permitted` before each of its steps. `None` if it was false once: the call was dropped there, but
+/// its request may have been sent by then.
 pub async fn while_permitted<F: Future>(
     permitted: impl Fn() -> bool,
     call: F,
--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -1,96 +1,57 @@
-//! HTTP calls out of this process: the one exchange that every client uses, and direct orders to workers.
+//! Commands that a controller sends directly to a worker, without waiting for its next heartbeat.
 
+use super::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest};
 use crate::protocol::{decode, encode, DirectOrders, Report};
 use crate::scheduler::Direct;
+use awc::http::{Method, StatusCode};
 use std::time::Duration;
 
-/// The client all calls go through; every call sets its own time limit.
-#[must_use]
-pub fn http_client(connections: usize) -> awc::Client {
-    let connector = awc::Connector::new()
-        .limit(connections)
-        .conn_keep_alive(Duration::from_secs(20))
-        .timeout(Duration::from_millis(1500));
-    awc::Client::builder()
-        .connector(connector)
-        .disable_timeout()
-        .finish()
-}
-
-/// Why an exchange has brought no answer.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum ExchangeError {
-    /// No connection, no answer within the time, or one that breaks off.
-    #[error("no answer")]
-    NoAnswer,
-    /// The answer is larger than this process is ready to hold.
-    #[error("answer too large")]
-    TooLarge,
-}
+const TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_LIMIT: usize = 8 << 20;
 
-/// One request and its answer within the time. `close`: its connection is not kept. There are many workers, and
-/// the client closes an idle connection only when it calls the same host again: kept ones once used up all sockets, so
-/// that a leader could not renew its leader lease.
-pub async fn exchange(
-    http: &awc::Client,
-    method: awc::http::Method,
-    url: &str,
-    body: Option<Vec<u8>>,
-    within: Duration,
-    limit: usize,
-    close: bool,
-) -> Result<(u16, Vec<u8>), ExchangeError> {
-    let call = async {
-        let mut request = http
-            .request(method, url)
-            .insert_header(("content-type", "application/cbor"));
-        if close {
-            request = request.force_close();
-        }
-        let sent = match body {
-            Some(body) => request.send_body(body),
-            None => request.send(),
-        };
-        let mut answer = sent.await.map_err(|_| ExchangeError::NoAnswer)?;
-        let body = answer
-            .body()
-            .limit(limit)
-            .await
-            .map_err(|error| match error {
-                awc::error::PayloadError::Overflow => ExchangeError::TooLarge,
-                _ => ExchangeError::NoAnswer,
-            })?;
-        Ok((answer.status().as_u16(), body.to_vec()))
-    };
-    tokio::time::timeout(within, call)
-        .await
-        .unwrap_or(Err(ExchangeError::NoAnswer))
+/// Why no report has followed direct commands: it is unknown whether they were executed, or will be.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum CommandError {
+    /// No response.
+    #[error(transparent)]
+    Exchange(#[from] ExchangeError),
+    /// A status of which this client makes nothing.
+    #[error("unexpected status {0}")]
+    Status(StatusCode),
+    /// The response is no report.
+    #[error("response not understood")]
+    Malformed,
+    /// The worker at this address belongs to another machine.
+    #[error("the address belongs to machine {0}")]
+    OtherMachine(String),
 }
 
-/// Sends direct orders. The report after them, or none if it is unknown whether they were or will be executed.
-pub async fn send_direct(http: &awc::Client, d: &Direct) -> Option<Report> {
+/// Sends direct commands and returns the worker's report after them. A worker that rejects the commands (409) reports, too.
+///
+/// # Errors
+/// If no report of this machine arrives.
+pub async fn send_commands(http: &awc::Client, commands: &Direct) -> Result<Report, CommandError> {
     let body = encode(&DirectOrders {
-        token: d.token,
-        session: d.session,
-        orders: d.orders.clone(),
+        token: commands.token,
+        session: commands.session,
+        orders: commands.orders.clone(),
     });
-    let url = format!("http://{}/orders", d.address);
-    let within = Duration::from_secs(2);
-    let (status, body) = exchange(
-        http,
-        awc::http::Method::POST,
-        &url,
-        Some(body),
-        within,
-        8 << 20,
-        true,
-    )
-    .await
-    .ok()?;
-    let report: Report = if matches!(status, 200 | 409) {
-        decode(&body).ok()?
-    } else {
-        return None;
+    let request = HttpRequest {
+        method: Method::POST,
+        url: format!("http://{}/orders", commands.address),
+        body: Some(body),
+        timeout: TIMEOUT,
+        response_limit: RESPONSE_LIMIT,
+        connection: ConnectionReuse::Close,
     };
-    (report.machine == d.machine).then_some(report)
+    let response = exchange(http, request).await?;
+    if !matches!(response.status, StatusCode::OK | StatusCode::CONFLICT) {
+        return Err(CommandError::Status(response.status));
+    }
+    let report: Report = decode(&response.body).map_err(|_| CommandError::Malformed)?;
+    if report.machine != commands.machine {
+        return Err(CommandError::OtherMachine(report.machine));
+    }
+    Ok(report)
 }
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -7,7 +7,7 @@
 };
 use super::state::ControllerState;
 use crate::clients::cloud::CloudClient;
-use crate::clients::worker;
+use crate::clients::http::http_client;
 use crate::config::Settings;
 use crate::store::StoreClient;
 use actix::prelude::*;
@@ -25,7 +25,7 @@
     /// A controller that has yet to be started.
     pub(crate) fn new(settings: Settings) -> Controller {
         let limits = &settings.platform.deployment.machine_limits;
-        let http = worker::http_client((limits.max_connections / 8).clamp(8, 100));
+        let http = http_client((limits.max_connections / 8).clamp(8, 100));
         let incarnation = rand::thread_rng().gen::<u64>() >> 1;
         let external = settings.platform.external.clone();
         let state = ControllerState::new(settings, incarnation, Clock::start());
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -3,7 +3,7 @@
 use super::handles::{pause, Handles};
 use super::state::{UnregisteredMachine, CLOUD_SHARE, UNREGISTERED_LIMIT};
 use crate::autoscaler::RentalRequest;
-use crate::clients::cloud::{Rented, RELEASE_MOST};
+use crate::clients::cloud::{MachinePage, RentOutcome, MAX_RELEASE_COUNT};
 use crate::clients::permit::while_permitted;
 use crate::clients::worker;
 use crate::coordination::leadership::{Authority, Term};
@@ -57,7 +57,7 @@
             {
                 types_at = Some(now);
                 self.await_cloud_call().await;
-                if let Some(types) = self.cloud.catalogue().await {
+                if let Ok(types) = self.cloud.machine_types().await {
                     self.state.borrow_mut().set_machine_types(&types);
                     self.store_types(types).await;
                 }
@@ -242,11 +242,9 @@
         }
         let term = self.state.borrow().term();
         let permitted = || self.state.borrow().may_send(term);
-        let ok = while_permitted(permitted, self.cloud.release(&names))
-            .await
-            .unwrap_or(false);
+        let released = while_permitted(permitted, self.cloud.release(&names)).await;
         let mut controller = self.state.borrow_mut();
-        if ok {
+        if matches!(released, Some(Ok(()))) {
             tracing::info!(machines = ?names, "released");
             let now = controller.now().as_millis();
             controller.released.retain(|_, at| now < *at + 600_000);
@@ -268,7 +266,7 @@
         let controller = self.state.borrow();
         match controller.scheduler.as_ref() {
             Some(scheduler) if controller.authority() == Authority::Full => {
-                scheduler.leaving(RELEASE_MOST)
+                scheduler.leaving(MAX_RELEASE_COUNT)
             }
             _ => Vec::new(),
         }
@@ -342,7 +340,7 @@
                 session,
                 orders: Vec::new(),
             };
-            if worker::send_direct(&self.http, &probe).await.is_none() {
+            if worker::send_commands(&self.http, &probe).await.is_err() {
                 return;
             }
         }
@@ -398,7 +396,7 @@
     /// Takes in one page of the list; returns where the next one begins.
     pub(super) async fn list(&self, after: &str) -> Option<String> {
         self.await_cloud_call().await;
-        let (machines, more) = self.cloud.list(after).await?;
+        let MachinePage { machines, next } = self.cloud.list_page(after).await.ok()?;
         let mut controller = self.state.borrow_mut();
         let now = controller.now().as_millis();
         let controller = &mut *controller;
@@ -408,7 +406,6 @@
             (controller.settings.platform.deployment.cloud.list_lag_s * 2000.0) as u64 + 2000;
         let settled = now > controller.leading_since().as_millis() + lag_ms;
         let scheduler = controller.scheduler.as_mut()?;
-        let next = machines.last().map(|m| m.id.clone());
         for m in machines {
             match scheduler.index(&m.id) {
                 Some(i) if m.state == "failed" => {
@@ -432,7 +429,7 @@
                 }
             }
         }
-        next.filter(|_| more)
+        next
     }
 
     /// Repeats rental requests whose answer is not known; true while some remain.
@@ -529,14 +526,14 @@
         };
         let term = self.state.borrow().term();
         let permitted = || self.state.borrow().may_send(term);
-        let rented = while_permitted(permitted, self.cloud.rent(&request))
+        let outcome = while_permitted(permitted, self.cloud.rent(&request))
             .await
-            .unwrap_or(Rented::Unknown);
-        tracing::info!(request = name, kind = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, ?rented, "rental");
-        let got = match rented {
-            Rented::Machines(m) => m,
-            Rented::NoCapacity => Vec::new(),
-            Rented::Refused | Rented::Unknown => return false,
+            .unwrap_or(RentOutcome::Unknown);
+        tracing::info!(request = name, kind = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, ?outcome, "rental");
+        let got = match outcome {
+            RentOutcome::Rented(m) => m,
+            RentOutcome::NoCapacity => Vec::new(),
+            RentOutcome::Refused | RentOutcome::Unknown => return false,
         };
         self.note_offer(&record, got.len());
         record.machines = Some(got);
--- a/src/controller/scheduling_loop.rs
+++ b/src/controller/scheduling_loop.rs
@@ -51,9 +51,9 @@
         in_flight.set(in_flight.get() + 1);
         actix::spawn(async move {
             let permitted = || handles.read_state(|state| state.may_send_direct(term, &message));
-            let answer = while_permitted(permitted, worker::send_direct(&handles.http, &message))
+            let answer = while_permitted(permitted, worker::send_commands(&handles.http, &message))
                 .await
-                .flatten();
+                .and_then(Result::ok);
             in_flight.set(in_flight.get() - 1);
             handles.with_state(|state| {
                 state.handle_direct_answer(term, &message, answer.as_ref());
--- a/src/coordination/peers/client.rs
+++ b/src/coordination/peers/client.rs
@@ -1,8 +1,8 @@
 //! The requests to peers.
 
 use super::messages::{decode, encode, Cancelled, View, MESSAGE_SIZE_LIMIT};
-use crate::clients::worker::exchange;
-use awc::http::Method;
+use crate::clients::http::{exchange, ConnectionReuse, HttpRequest};
+use awc::http::{Method, StatusCode};
 use serde::{de::DeserializeOwned, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,19 +30,17 @@
     url: String,
     message: &T,
 ) -> Option<R> {
-    let (status, body) = exchange(
-        http,
-        Method::POST,
-        &url,
-        Some(encode(message)),
-        TIMEOUT,
-        MESSAGE_SIZE_LIMIT,
-        false,
-    )
-    .await
-    .ok()?;
-    if status != 200 {
+    let request = HttpRequest {
+        method: Method::POST,
+        url,
+        body: Some(encode(message)),
+        timeout: TIMEOUT,
+        response_limit: MESSAGE_SIZE_LIMIT,
+        connection: ConnectionReuse::Keep,
+    };
+    let response = exchange(http, request).await.ok()?;
+    if response.status != StatusCode::OK {
         return None;
     }
-    decode(&body)
+    decode(&response.body)
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -2,7 +2,7 @@
 
 use super::records::record;
 use super::{Mirror, Versioned, ROOT};
-use crate::clients::worker::ExchangeError;
+use crate::clients::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest};
 use crate::protocol::{self as wire, Item, Txn};
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -67,25 +67,25 @@
         body: Option<Vec<u8>>,
         within: Duration,
     ) -> Result<(u16, Vec<u8>), StoreError> {
-        let answer = crate::clients::worker::exchange(
-            &self.http,
+        let request = HttpRequest {
             method,
-            &format!("{}{path}", self.base),
+            url: format!("{}{path}", self.base),
             body,
-            within,
-            ANSWER_LIMIT,
-            false,
-        )
-        .await
-        .map_err(|error| match error {
-            ExchangeError::TooLarge => StoreError::TooLarge,
-            ExchangeError::NoAnswer => StoreError::Unknown,
-        })?;
-        match answer.0 {
+            timeout: within,
+            response_limit: ANSWER_LIMIT,
+            connection: ConnectionReuse::Keep,
+        };
+        let response = exchange(&self.http, request)
+            .await
+            .map_err(|error| match error {
+                ExchangeError::TooLarge => StoreError::TooLarge,
+                _ => StoreError::Unknown,
+            })?;
+        match response.status.as_u16() {
             429 => Err(StoreError::Busy),
             503 => Err(StoreError::Refused),
             404 | 410 => Err(StoreError::Gone),
-            _ => Ok(answer),
+            status => Ok((status, response.body)),
         }
     }
 
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -360,7 +360,7 @@
                 .await;
             std::future::pending::<()>().await;
         });
-        StoreClient::new(crate::clients::worker::http_client(1), address)
+        StoreClient::new(crate::clients::http::http_client(1), address)
             .watch(1, 0)
             .await
             .unwrap_err()
--- a/tests/compat/stored_records/load.rs
+++ b/tests/compat/stored_records/load.rs
@@ -63,7 +63,7 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let server = actix::spawn(serve_pages(listener, pages()));
-        let http = hollowswitch::clients::worker::http_client(1);
+        let http = hollowswitch::clients::http::http_client(1);
         let replica = StoreClient::new(http, address).load().await.unwrap();
         (replica, server.await.unwrap())
     });
