--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -1,7 +1,7 @@
 //! The leader's dealings with the cloud.
 
 use super::handles::{pause, Handles};
-use super::state::{UnregisteredMachine, CLOUD_SHARE, UNREGISTERED_LIMIT};
+use super::state::{UnregisteredMachine, WorkerContact, CLOUD_SHARE};
 use crate::autoscaler::RentalRequest;
 use crate::clients::cloud::{MachinePage, RentOutcome, MAX_RELEASE_COUNT};
 use crate::clients::permit::while_permitted;
@@ -246,14 +246,13 @@
         let mut controller = self.state.borrow_mut();
         if matches!(released, Some(Ok(()))) {
             tracing::info!(machines = ?names, "released");
-            let now = controller.now().as_millis();
-            controller.released.retain(|_, at| now < *at + 600_000);
+            let now = controller.now();
+            controller.rental_reconciliation.expire_releases(now);
             for n in names {
-                controller.released.insert(n.clone(), now);
                 if let Some(scheduler) = controller.scheduler.as_mut() {
                     scheduler.machine_gone(&n);
                 }
-                controller.gone.insert(n);
+                controller.rental_reconciliation.record_release(n, now);
             }
             self.round_requested.notify_one();
         } else {
@@ -281,7 +280,7 @@
         {
             let mut controller = self.state.borrow_mut();
             while some.len() < room {
-                let Some(next) = controller.unregistered.pop_first() else {
+                let Some(next) = controller.rental_reconciliation.pop_unregistered() else {
                     break;
                 };
                 some.push(next);
@@ -304,7 +303,7 @@
             machine_type,
             zone,
             spot,
-            ask,
+            worker,
         }: UnregisteredMachine,
     ) {
         let (token, epoch) = {
@@ -332,7 +331,7 @@
             }
             (crate::scheduler::first_token(number), version)
         };
-        if let Some((address, session)) = ask {
+        if let Some(WorkerContact { address, session }) = worker {
             let probe = Direct {
                 machine: machine.clone(),
                 address,
@@ -412,21 +411,15 @@
                     scheduler.enter(i, MachineState::Releasing, "failed");
                 }
                 Some(i) => scheduler.listed(i, m.state == "running", &m.address, millis(m.age_s)),
-                None if !settled
-                    || controller.released.contains_key(&m.id)
-                    || controller.unregistered.len() >= UNREGISTERED_LIMIT => {}
-                None => {
-                    let (machine_type, zone, spot) = (m.machine_type, m.zone, m.spot);
-                    controller.unregistered.insert(
-                        m.id,
-                        UnregisteredMachine {
-                            machine_type,
-                            zone,
-                            spot,
-                            ask: None,
-                        },
-                    );
-                }
+                None if !settled => {}
+                None => controller
+                    .rental_reconciliation
+                    .add_unregistered(&m.id, || UnregisteredMachine {
+                        machine_type: m.machine_type,
+                        zone: m.zone,
+                        spot: m.spot,
+                        worker: None,
+                    }),
             }
         }
         next
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -11,6 +11,7 @@
 mod leader_report;
 mod leadership_status;
 mod peer_views;
+mod rental_reconciliation;
 mod replica_changes;
 mod round_timing;
 mod scheduling_round;
@@ -19,6 +20,7 @@
 
 pub(super) use durable_writes::FLUSH_INTERVAL;
 pub(super) use epoch_start::EpochClaim;
+pub(super) use rental_reconciliation::{UnregisteredMachine, WorkerContact};
 pub(super) use replica_changes::LeaderKeyChange;
 pub(super) use round_timing::MIN_ROUND_INTERVAL;
 pub(super) use scheduling_round::{RoundOutcome, SendLimits, StepDownReason};
@@ -26,6 +28,7 @@
 
 use self::leader_report::LeaderReport;
 use self::leadership_status::LeadershipStatus;
+use self::rental_reconciliation::RentalReconciliation;
 use self::round_timing::{PauseDetector, RoundDeadlines};
 use self::store_contact::StoreContact;
 use super::clock::Clock;
@@ -41,12 +44,8 @@
 use crate::scheduler::Scheduler;
 use crate::store::{LeaderRecord, Mirror, StoreError};
 use crate::time::{duration, Timestamp};
-use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// Most unregistered machines that are remembered at a time, so that reports in made-up names cost bounded memory; some times
-/// the largest fleet. The rest is remembered when it reports or is listed again.
-pub(super) const UNREGISTERED_LIMIT: usize = 16_384;
 /// Share of the cloud's request rate that a leader uses; the rest is for a node that has yet to read the machine types, and
 /// for the leader before, whose calls may still be under way.
 pub(super) const CLOUD_SHARE: f64 = 0.9;
@@ -58,16 +57,6 @@
 /// Over how long the leader's changes are measured.
 const CHANGES_MS: u64 = 2000;
 
-/// A machine that no rental in the store names.
-pub(super) struct UnregisteredMachine {
-    pub(super) machine_type: String,
-    pub(super) zone: String,
-    pub(super) spot: bool,
-    /// Its worker's address and session, if it is known by a report only: that may be a late copy, long after the
-    /// machine was released, so that the worker is asked first.
-    pub(super) ask: Option<(String, u64)>,
-}
-
 /// The state of a controller.
 pub(super) struct ControllerState {
     pub(super) settings: Settings,
@@ -85,9 +74,7 @@
     leader_report: LeaderReport,
     peer_health: PeerHealth,
     pub(super) cancellations: Cancellations,
-    pub(super) released: HashMap<String, u64>,
-    pub(super) gone: HashSet<String>,
-    pub(super) unregistered: BTreeMap<String, UnregisteredMachine>,
+    pub(super) rental_reconciliation: RentalReconciliation,
     pub(super) rental_requests_made: u64,
     pub(super) pending_reads: PendingReads,
     pub(super) user_changes: Pacer,
@@ -128,9 +115,7 @@
             leader_report: LeaderReport::default(),
             peer_health: PeerHealth::default(),
             cancellations: Cancellations::default(),
-            released: HashMap::new(),
-            gone: HashSet::new(),
-            unregistered: BTreeMap::new(),
+            rental_reconciliation: RentalReconciliation::default(),
             rental_requests_made: 0,
             pending_reads: PendingReads::default(),
             user_changes: Pacer::new(user_changes),
@@ -219,8 +204,7 @@
     pub(super) fn apply_leadership_event(&mut self, event: LeadershipEvent) {
         if self.leadership_status.apply(event) {
             self.scheduler = None;
-            self.unregistered.clear();
-            self.gone.clear();
+            self.rental_reconciliation.clear_on_step_down();
         }
     }
 
--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -131,7 +131,8 @@
 
     /// Removes released machines from their rental records. A record without machines is deleted.
     pub(in crate::controller) fn rental_cleanup(&self, epoch: &Guard) -> Option<RentalCleanup> {
-        if self.gone.is_empty() {
+        let reconciliation = &self.rental_reconciliation;
+        if !reconciliation.has_machines_to_remove() {
             return None;
         }
         let max_changes = self.max_batch_changes();
@@ -144,15 +145,17 @@
             let Some(machines) = &rental.record.machines else {
                 continue;
             };
-            let outdated =
-                machines.is_empty() || machines.iter().any(|machine| self.gone.contains(machine));
+            let outdated = machines.is_empty()
+                || machines
+                    .iter()
+                    .any(|machine| reconciliation.is_to_remove(machine));
             if !outdated || txn.apply.len() >= max_changes {
                 continue;
             }
             let (released, kept): (Vec<String>, Vec<String>) = machines
                 .iter()
                 .cloned()
-                .partition(|machine| self.gone.contains(machine));
+                .partition(|machine| reconciliation.is_to_remove(machine));
             removed.extend(released);
             let key = store::rental_key(name);
             txn.guards.push(guard(key.clone(), rental.version));
@@ -166,9 +169,7 @@
 
     /// Machines were removed from their rental records.
     pub(in crate::controller) fn finish_rental_cleanup(&mut self, machines: &[String]) {
-        for machine in machines {
-            self.gone.remove(machine);
-        }
+        self.rental_reconciliation.mark_removed(machines);
     }
 
     /// Deletes what jobs that are final have left in the store.
--- a/src/controller/state/heartbeats.rs
+++ b/src/controller/state/heartbeats.rs
@@ -1,6 +1,6 @@
 //! The answers to the heartbeats of workers.
 
-use super::{ControllerState, UnregisteredMachine, UNREGISTERED_LIMIT};
+use super::{ControllerState, UnregisteredMachine, WorkerContact};
 use crate::controller::messages::HeartbeatOutcome;
 use crate::coordination::leadership::{Authority, LeadershipEvent};
 use crate::protocol::Report;
@@ -47,19 +47,16 @@
     }
 
     fn record_unregistered_machine(&mut self, report: &Report) {
-        if !self.released.contains_key(&report.machine)
-            && self.unregistered.len() < UNREGISTERED_LIMIT
-        {
-            self.unregistered.insert(
-                report.machine.clone(),
-                UnregisteredMachine {
-                    machine_type: report.machine_type.clone(),
-                    zone: report.zone.clone(),
-                    spot: report.spot,
-                    ask: Some((report.address.clone(), report.session)),
-                },
-            );
-        }
+        self.rental_reconciliation
+            .add_unregistered(&report.machine, || UnregisteredMachine {
+                machine_type: report.machine_type.clone(),
+                zone: report.zone.clone(),
+                spot: report.spot,
+                worker: Some(WorkerContact {
+                    address: report.address.clone(),
+                    session: report.session,
+                }),
+            });
     }
 
     /// The moment at which an answer to a worker that is decided now becomes void.
--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -97,8 +97,8 @@
         }
         for machine in scheduler.leaving(RELEASE_LIMIT) {
             scheduler.machine_gone(&machine);
-            controller.gone.insert(machine.clone());
-            controller.released.insert(machine.clone(), now.as_millis());
+            let reconciliation = &mut controller.rental_reconciliation;
+            reconciliation.record_release(machine.clone(), now);
             self.workers.remove(&machine);
         }
     }
