--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -1,11 +1,19 @@
-//! What to rent next.
+//! What is rented next, and what is avoided.
 
 use super::*;
 use crate::protocol::MachineType;
-use crate::scheduler::{DenseIndex, Hardware, MachineTypeIndex, Origin, Params};
+use crate::resources::Resources;
+use crate::scheduler::{DenseIndex, Hardware, MachineTypeIndex, Origin, Params, ZoneIndex};
 use std::collections::HashMap;
 
 const BOOT_S: f64 = 20.0;
+const IDLE_LIMIT: Duration = Duration::from_secs(45);
+const HORIZON: Duration = Duration::from_secs(35);
+const REST: Duration = Duration::from_secs(2);
+
+fn at(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
+}
 
 /// A scheduler with two machine types; the first is the cheaper one.
 fn scheduler() -> Scheduler {
@@ -51,96 +59,99 @@
     }
 }
 
+/// Ordinary machines of a type.
+fn offer(machine_type: usize) -> Offer {
+    Offer {
+        machine_type: MachineTypeIndex::from_position(machine_type),
+        zone: ZoneIndex::from_position(0),
+        spot: false,
+    }
+}
+
 fn request(offer: Offer, count: u32) -> RentalRequest {
     RentalRequest { offer, count }
 }
 
 #[test]
 fn an_offer_rests_after_a_request_while_others_are_wanted() {
-    let mut fleet = Fleet::default();
-    let urgent = Offer {
-        machine_type: MachineTypeIndex::from_position(0),
-        zone: ZoneIndex::from_position(0),
-        spot: false,
-    };
+    let mut autoscaler = Autoscaler::default();
+    let urgent = offer(0);
     let other = Offer {
         spot: true,
         ..urgent
     };
     let both = || vec![request(urgent, 2), request(other, 50)];
     assert_eq!(
-        fleet.next_request(both(), 2000, 1000),
+        autoscaler.next_request(both(), REST, at(1000)),
         Some(request(urgent, 2))
     );
     // Urgent work that comes in a few tasks at a time does not take every call.
     assert_eq!(
-        fleet.next_request(both(), 2000, 1700),
+        autoscaler.next_request(both(), REST, at(1700)),
         Some(request(other, 50))
     );
     // Both rest: the most urgent goes first.
     assert_eq!(
-        fleet.next_request(both(), 2000, 2400),
+        autoscaler.next_request(both(), REST, at(2400)),
         Some(request(urgent, 2))
     );
     assert_eq!(
-        fleet.next_request(vec![request(urgent, 1)], 2000, 2500),
+        autoscaler.next_request(vec![request(urgent, 1)], REST, at(2500)),
         Some(request(urgent, 1))
     );
-    assert_eq!(fleet.next_request(Vec::new(), 2000, 2600), None);
+    assert_eq!(autoscaler.next_request(Vec::new(), REST, at(2600)), None);
     assert_eq!(
-        fleet.next_request(both(), 2000, 9000),
+        autoscaler.next_request(both(), REST, at(9000)),
         Some(request(urgent, 2))
     );
 }
 
 #[test]
 fn an_offer_whose_machines_never_come_up_is_left_for_a_while_if_another_fits() {
-    let (mut scheduler, mut fleet) = (scheduler(), Fleet::default());
-    let cheap = Offer {
-        machine_type: MachineTypeIndex::from_position(0),
-        zone: ZoneIndex::from_position(0),
-        spot: false,
-    };
-    let dear = Offer {
-        machine_type: MachineTypeIndex::from_position(1),
-        ..cheap
-    };
+    let (mut scheduler, mut autoscaler) = (scheduler(), Autoscaler::default());
+    let (cheap, dear) = (offer(0), offer(1));
     let hardware = Hardware {
         machine_type: "cheap",
         zone: "a",
         spot: false,
     };
-    let wanted = |fleet: &Fleet, scheduler: &Scheduler, now| {
-        fleet.rental_requests(scheduler, &[need(3)], now)
+    let wanted = |autoscaler: &Autoscaler, scheduler: &Scheduler, now| {
+        autoscaler.requests_for_demand(scheduler, &[need(3)], at(now))
     };
-    assert_eq!(wanted(&fleet, &scheduler, 1000), vec![request(cheap, 3)]);
+    assert_eq!(
+        wanted(&autoscaler, &scheduler, 1000),
+        vec![request(cheap, 3)]
+    );
     (0..3).for_each(|n| scheduler.add_machine(&format!("n-{n}"), hardware, Origin::Rented));
     scheduler.at(60_000);
-    fleet.returns(&mut scheduler, 45_000, 35_000, 60_000);
+    autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(60_000));
     assert!(scheduler.leaving(9).is_empty());
     scheduler.at(62_000);
-    fleet.returns(&mut scheduler, 45_000, 35_000, 62_000);
+    autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(62_000));
     assert_eq!(scheduler.leaving(9).len(), 3);
     // Asked for again at once, it once cost a boot time again and again.
-    assert_eq!(wanted(&fleet, &scheduler, 62_000), vec![request(dear, 3)]);
+    assert_eq!(
+        wanted(&autoscaler, &scheduler, 62_000),
+        vec![request(dear, 3)]
+    );
     let only_cheap = UnmetDemand {
         types: Some(vec![MachineTypeIndex::from_position(0)]),
         ..need(1)
     };
-    assert!(fleet
-        .rental_requests(&scheduler, std::slice::from_ref(&only_cheap), 62_000)
+    assert!(autoscaler
+        .requests_for_demand(&scheduler, std::slice::from_ref(&only_cheap), at(62_000))
         .is_empty());
-    // Not for ever: it is tried again, with twice the patience.
+    // Not for ever: it is tried again, and its machines may take twice as long.
     assert_eq!(
-        fleet.rental_requests(&scheduler, &[only_cheap], 123_000),
+        autoscaler.requests_for_demand(&scheduler, &[only_cheap], at(123_000)),
         vec![request(cheap, 1)]
     );
     scheduler.at(123_000);
     scheduler.add_machine("n-9", hardware, Origin::Rented);
     scheduler.at(123_000 + 115_000);
-    fleet.returns(&mut scheduler, 45_000, 35_000, 238_000);
+    autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(238_000));
     assert_eq!(scheduler.leaving(9).len(), 3);
     scheduler.at(123_000 + 121_000);
-    fleet.returns(&mut scheduler, 45_000, 35_000, 244_000);
+    autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(244_000));
     assert_eq!(scheduler.leaving(9).len(), 4);
 }
--- a/src/controller/provisioning.rs
+++ b/src/controller/provisioning.rs
@@ -2,7 +2,7 @@
 
 use super::handles::{pause, Handles};
 use super::state::{UnregisteredMachine, WorkerContact, CLOUD_SHARE};
-use crate::autoscaler::RentalRequest;
+use crate::autoscaler::{RentalRequest, ScalingPolicy};
 use crate::clients::cloud::{MachinePage, RentOutcome, MAX_RELEASE_COUNT};
 use crate::clients::permit::while_permitted;
 use crate::clients::worker;
@@ -11,9 +11,8 @@
 use crate::scheduler::{Direct, MachineState, Offer, Origin};
 use crate::store;
 use crate::store::{guard, put, Decided, RentalRecord};
-use crate::time::millis;
+use crate::time::{duration, millis};
 use std::cell::Cell;
-use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -125,15 +124,15 @@
         let rental_requests = self.decide();
         let next = {
             let mut controller = self.state.borrow_mut();
-            let now = controller.now().as_millis();
-            let call_ms =
-                1000.0 / (controller.settings.platform.deployment.cloud.rps * CLOUD_SHARE);
+            let now = controller.now();
+            let calls_per_s = controller.settings.platform.deployment.cloud.rps * CLOUD_SHARE;
+            let rest = duration(REST_CALLS / calls_per_s);
             controller
-                .fleet
-                .next_request(rental_requests, (REST_CALLS * call_ms) as u64, now)
+                .autoscaler
+                .next_request(rental_requests, rest, now)
         };
         match next {
-            Some(request) => self.rent(request.offer, request.count).await,
+            Some(request) => self.rent(&request).await,
             None => false,
         }
     }
@@ -183,51 +182,13 @@
         if controller.authority() != Authority::Full {
             return Vec::new();
         }
-        let now = controller.now().as_millis();
+        let now = controller.now();
         let controller = &mut *controller;
-        let w = &controller.settings.platform.deployment.workers;
-        // Long enough for two probes; a machine silent for longer rarely comes back within its lease.
-        let silent_ms = millis((2.0 * w.report_s + 2.0).max(0.4 * w.lease_s));
-        let idle_ms = millis(controller.settings.operator.idle_return_s);
-        // Dead machines are listed as failed; what is silent for so long though its whole zone is, is not worth its price.
-        let lost_ms = (4000.0 * w.lease_s) as u64;
-        let Some(scheduler) = controller.scheduler.as_mut() else {
-            return Vec::new();
-        };
-        scheduler.at(now);
-        for i in scheduler.silent(silent_ms, lost_ms) {
-            scheduler.enter(i, MachineState::Releasing, "silent");
+        let policy = ScalingPolicy::new(&controller.settings);
+        match controller.scheduler.as_mut() {
+            Some(scheduler) => controller.autoscaler.decide(scheduler, &policy, now),
+            None => Vec::new(),
         }
-        let demands = scheduler.unmet_demand(true);
-        let wanted: u32 = demands.iter().map(|n| n.tasks).sum();
-        let pending: u32 = scheduler.jobs().map(crate::scheduler::Job::pending).sum();
-        if tracing::enabled!(tracing::Level::DEBUG) {
-            let mut by_offer: BTreeMap<Offer, [u64; 4]> = BTreeMap::new();
-            for l in scheduler.utilization() {
-                let sum = by_offer.entry(l.offer).or_default();
-                *sum = [
-                    sum[0] + 1,
-                    sum[1] + l.cpus,
-                    sum[2] + l.used,
-                    sum[3] + l.services,
-                ];
-            }
-            tracing::debug!(pending, wanted, machines_cpus_used_services = ?by_offer, "look ahead");
-        }
-        let boot_s = scheduler
-            .machine_types()
-            .map(|(_, t)| t.boot_s)
-            .fold(f64::INFINITY, f64::min)
-            .min(600.0);
-        // Until a machine that is rented now is up, with some room for slow ones.
-        let rise_ms = (boot_s * 1500.0) as u64 + 5000;
-        controller
-            .fleet
-            .surplus(scheduler, &demands, idle_ms + millis(boot_s), rise_ms, now);
-        controller.fleet.returns(scheduler, idle_ms, rise_ms, now);
-        let mut rental_requests = controller.fleet.rental_requests(scheduler, &demands, now);
-        rental_requests.extend(controller.fleet.ahead(scheduler, rise_ms, now));
-        rental_requests
     }
 
     pub(super) async fn release(&self) {
@@ -447,7 +408,8 @@
     }
 
     /// Rents: the request's name is stored before the call.
-    pub(super) async fn rent(&self, offer: Offer, count: u32) -> bool {
+    pub(super) async fn rent(&self, request: &RentalRequest) -> bool {
+        let RentalRequest { offer, count } = *request;
         let (name, record, epoch) = {
             let mut controller = self.state.borrow_mut();
             controller.rental_requests_made += 1;
@@ -554,7 +516,7 @@
 
     pub(super) fn note_offer(&self, r: &RentalRecord, got: usize) {
         let mut controller = self.state.borrow_mut();
-        let now = controller.now().as_millis();
+        let now = controller.now();
         let controller = &mut *controller;
         let Some(scheduler) = controller.scheduler.as_ref() else {
             return;
@@ -565,15 +527,14 @@
         ) else {
             return;
         };
-        let offer = Offer {
-            machine_type,
-            zone,
-            spot: r.spot,
+        let request = RentalRequest {
+            offer: Offer {
+                machine_type,
+                zone,
+                spot: r.spot,
+            },
+            count: r.count,
         };
-        if got < r.count as usize {
-            controller.fleet.refused(offer, now);
-        } else {
-            controller.fleet.filled(offer);
-        }
+        controller.autoscaler.record_rental(&request, got, now);
     }
 }
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -34,7 +34,7 @@
 use super::clock::Clock;
 use crate::admission::rate::{RateMeter, TokenBucket};
 use crate::admission::write_admission::{users_share, Pacer};
-use crate::autoscaler::Fleet;
+use crate::autoscaler::Autoscaler;
 use crate::config::Settings;
 use crate::coordination::cancellations::Cancellations;
 use crate::coordination::leadership::{Authority, Leadership, LeadershipEvent, Term};
@@ -69,7 +69,7 @@
     store_contact: StoreContact,
     round_deadlines: RoundDeadlines,
     pause_detector: PauseDetector,
-    pub(super) fleet: Fleet,
+    pub(super) autoscaler: Autoscaler,
     pub(super) machine_types: Vec<MachineType>,
     leader_report: LeaderReport,
     peer_health: PeerHealth,
@@ -110,7 +110,7 @@
             store_contact: StoreContact::default(),
             round_deadlines: RoundDeadlines::default(),
             pause_detector: PauseDetector::default(),
-            fleet: Fleet::default(),
+            autoscaler: Autoscaler::default(),
             machine_types: Vec::new(),
             leader_report: LeaderReport::default(),
             peer_health: PeerHealth::default(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,13 +10,6 @@
     reason = "this module has yet to be cleaned"
 )]
 pub mod api;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::needless_for_each,
-    clippy::too_many_lines,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod autoscaler;
 pub mod clients;
 pub mod config;
