--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -60,7 +60,7 @@
         actix::spawn(handles().run_scheduling_loop());
         actix::spawn(handles().run_start_log_loop());
         actix::spawn(handles().run_flush_loop());
-        actix::spawn(handles().fleet());
+        actix::spawn(handles().run_cloud_loop());
         actix::spawn(handles().run_peer_view_loop());
         actix::spawn(handles().run_cancellation_broadcast());
     }
--- /dev/null
+++ b/src/controller/cloud/adoption.rs
@@ -0,0 +1,133 @@
+//! Adoption: machines that no rental record names get one, so that they are used or returned.
+
+use super::Handles;
+use crate::clients::worker;
+use crate::controller::state::ControllerState;
+use crate::controller::state::{UnregisteredMachine, WorkerContact};
+use crate::coordination::leadership::Term;
+use crate::scheduler::{first_token, Direct, Origin};
+use crate::store::{self, guard, Decided, RentalRecord};
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// Most adoptions under way at a time.
+const CONCURRENT_ADOPTIONS: usize = 16;
+
+/// How many adoptions are under way.
+#[derive(Debug, Clone, Default)]
+pub(super) struct AdoptionSlots {
+    used: Rc<Cell<usize>>,
+}
+
+impl AdoptionSlots {
+    fn free(&self) -> usize {
+        CONCURRENT_ADOPTIONS.saturating_sub(self.used.get())
+    }
+
+    fn acquire(&self) {
+        self.used.set(self.used.get() + 1);
+    }
+
+    fn release(&self) {
+        self.used.set(self.used.get() - 1);
+    }
+}
+
+impl Handles {
+    /// Starts to adopt unregistered machines, a few at a time and beside the other calls: late copies of the heartbeats of
+    /// machines that an earlier leader has released name workers that never answer, and asked one after the other they would
+    /// delay every release and rental.
+    pub(super) fn adopt_unregistered(&self, slots: &AdoptionSlots) {
+        for _ in 0..slots.free() {
+            let next = self.with_state(|state| state.rental_reconciliation.pop_unregistered());
+            let Some((name, machine)) = next else {
+                return;
+            };
+            let (handles, slots) = (self.clone(), slots.clone());
+            slots.acquire();
+            actix::spawn(async move {
+                handles.adopt(&name, machine).await;
+                slots.release();
+            });
+        }
+    }
+
+    /// Adopts a machine, if its worker runs. One that is known by a heartbeat only is asked, since that may be a late copy.
+    async fn adopt(&self, name: &str, machine: UnregisteredMachine) {
+        let Some(term) = self.read_state(|state| state.term_to_adopt(name, &machine)) else {
+            return;
+        };
+        if let Some(worker) = &machine.worker {
+            let probe = empty_command(name, worker, term);
+            if worker::send_commands(&self.http, &probe).await.is_err() {
+                return;
+            }
+        }
+        let record = RentalRecord {
+            machine_type: machine.machine_type,
+            zone: machine.zone,
+            spot: machine.spot,
+            count: 1,
+            machines: Some(vec![name.to_string()]),
+        };
+        if !self.store_adoption(name, &record, term).await {
+            return;
+        }
+        tracing::info!(machine = %name, "unregistered machine adopted");
+        // The leader of a later epoch knows it from the store.
+        let same_epoch = |present: Term| present.epoch_version == term.epoch_version;
+        if self
+            .read_state(ControllerState::term)
+            .is_some_and(same_epoch)
+        {
+            self.add_machines(&record, Origin::Found);
+        }
+    }
+
+    /// Stores the rental record of an unregistered machine. Whether it is in the store now.
+    async fn store_adoption(&self, name: &str, record: &RentalRecord, term: Term) -> bool {
+        let rental = format!("found-{name}");
+        let epoch = guard(store::epoch_key(), term.epoch_version);
+        let txn = store::rental_txn(&epoch, &rental, 0, record);
+        match self.leader_transaction(&txn).await {
+            Ok(Decided::Applied(_)) => true,
+            // An earlier try without an answer was executed after all: without this the machine was never used, nor
+            // returned, until the next failover.
+            Ok(Decided::Failed(keys)) if keys == [store::rental_key(&rental)] => {
+                self.read_state(|state| {
+                    let stored = state.replica.rentals.get(&rental);
+                    stored.is_some_and(|stored| stored.record == *record)
+                })
+            }
+            // It is remembered again when it reports or is listed again.
+            _ => false,
+        }
+    }
+}
+
+impl ControllerState {
+    /// The term in which a machine may be adopted, if it may: it is not known by now, and no rental without an answer can
+    /// have brought it.
+    fn term_to_adopt(&self, name: &str, machine: &UnregisteredMachine) -> Option<Term> {
+        let term = self.term()?;
+        let mut rentals = self.replica.rentals.values().map(|rental| &rental.record);
+        let may_be_rented = rentals.any(|rental| {
+            rental.machines.is_none()
+                && rental.machine_type == machine.machine_type
+                && rental.zone == machine.zone
+        });
+        let is_unknown = !self.scheduler.as_ref()?.knows(name);
+        (is_unknown && !may_be_rented).then_some(term)
+    }
+}
+
+/// Direct commands that ask a worker for a report and nothing else.
+fn empty_command(machine: &str, worker: &WorkerContact, term: Term) -> Direct {
+    Direct {
+        machine: machine.to_string(),
+        address: worker.address.clone(),
+        token: first_token(term.epoch),
+        session: worker.session,
+        orders: Vec::new(),
+    }
+}
--- /dev/null
+++ b/src/controller/cloud/machine_types.rs
@@ -0,0 +1,85 @@
+//! The catalogue of machine types: asked for regularly, and kept in the store.
+
+use super::{Handles, Round};
+use crate::coordination::leadership::Term;
+use crate::protocol::{MachineType, Txn};
+use crate::store::{self, guard, put};
+use crate::time::Timestamp;
+use std::time::Duration;
+
+/// Time between two requests while the machine types are known, and while they are not.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(20);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+
+/// When the machine types were last asked for.
+#[derive(Debug, Default)]
+pub(super) struct MachineTypeRefresh {
+    requested_at: Option<Timestamp>,
+}
+
+impl MachineTypeRefresh {
+    fn is_due(&self, round: Round) -> bool {
+        let interval = if round.lacks_machine_types {
+            RETRY_INTERVAL
+        } else {
+            REFRESH_INTERVAL
+        };
+        (round.leads || round.lacks_machine_types)
+            && self
+                .requested_at
+                .is_none_or(|requested_at| round.now > requested_at + interval)
+    }
+}
+
+impl Handles {
+    /// Asks the cloud for the machine types, if it is time.
+    pub(super) async fn refresh_machine_types(
+        &self,
+        refresh: &mut MachineTypeRefresh,
+        round: Round,
+    ) {
+        if !refresh.is_due(round) {
+            return;
+        }
+        refresh.requested_at = Some(round.now);
+        self.await_cloud_call().await;
+        // Without an answer the known types stay, and the cloud is asked again after the interval.
+        if let Ok(types) = self.cloud.machine_types().await {
+            self.with_state(|state| state.set_machine_types(&types));
+            self.store_machine_types(&types).await;
+        }
+    }
+
+    /// Keeps the machine types in the store, so that a node that starts while the cloud is down knows them.
+    async fn store_machine_types(&self, types: &[MachineType]) {
+        let guards = self.read_state(|state| {
+            let Term { epoch_version, .. } = state.term()?;
+            let stored = state.replica.catalogue.as_ref();
+            if stored.is_some_and(|stored| have_same_shape(&stored.record, types)) {
+                return None;
+            }
+            let version = stored.map_or(0, |stored| stored.version);
+            Some(vec![
+                guard(store::epoch_key(), epoch_version),
+                guard(store::catalogue_key(), version),
+            ])
+        });
+        let Some(guards) = guards else {
+            return;
+        };
+        let txn = Txn {
+            guards,
+            apply: vec![put(store::catalogue_key(), &types, None)],
+        };
+        // A failure costs nothing: the types are compared with the store again after the next refresh.
+        let _ = self.leader_transaction(&txn).await;
+    }
+}
+
+/// Whether two catalogues have the same types, by name, whole CPUs and zones. Prices change too often to be stored.
+fn have_same_shape(a: &[MachineType], b: &[MachineType]) -> bool {
+    let same = |(a, b): (&MachineType, &MachineType)| {
+        a.name == b.name && a.cpus.trunc() == b.cpus.trunc() && a.zones == b.zones
+    };
+    a.len() == b.len() && a.iter().zip(b).all(same)
+}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -8,19 +8,13 @@
 mod actor;
 mod cancellation_broadcast;
 mod clock;
+mod cloud;
 mod election_loop;
 mod flush_loop;
 mod handles;
 mod job_status;
 mod messages;
 mod peer_view_loop;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::too_many_lines,
-    reason = "this module has yet to be cleaned"
-)]
-mod provisioning;
 mod read_barrier;
 mod scheduling_loop;
 mod start_log_loop;
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -32,6 +32,7 @@
 use self::round_timing::{PauseDetector, RoundDeadlines};
 use self::store_contact::StoreContact;
 use super::clock::Clock;
+use super::cloud::REQUEST_RATE_SHARE;
 use crate::admission::rate::{RateMeter, TokenBucket};
 use crate::admission::write_admission::{users_share, Pacer};
 use crate::autoscaler::Autoscaler;
@@ -46,10 +47,6 @@
 use crate::time::{duration, Timestamp};
 use std::time::Duration;
 
-/// Share of the cloud's request rate that a leader uses; the rest is for a node that has yet to read the machine types, and
-/// for the leader before, whose calls may still be under way.
-pub(super) const CLOUD_SHARE: f64 = 0.9;
-
 /// Share of the store's request rate that users' single reads may take on all nodes together; the rest is for leader leases, watches,
 /// the ordering of polls, changes and the leader's books.
 const USER_READS: f64 = 0.25;
@@ -100,7 +97,7 @@
         let state = &settings.platform.deployment.state;
         let user_changes = users_share(state.write_rps, settings.platform.peers.len() + 1, None);
         let user_reads = state.rps * USER_READS / (settings.platform.peers.len() + 1) as f64;
-        let cloud_rps = settings.platform.deployment.cloud.rps * CLOUD_SHARE;
+        let cloud_rps = settings.platform.deployment.cloud.rps * REQUEST_RATE_SHARE;
         ControllerState {
             settings,
             clock,
