--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -3,6 +3,9 @@
 //!
 //! All CPUs here are counted in thousandths.
 
+#[cfg(test)]
+mod tests;
+
 use crate::scheduler::{Scheduler, UnmetDemand, Utilization, ZoneIndex};
 use crate::time::Timestamp;
 use std::collections::{HashMap, VecDeque};
@@ -13,8 +16,8 @@
 /// Time covered by one sample of demand. When a sample was kept for each decision, hundreds were read at every one.
 const SAMPLE_LENGTH: Duration = Duration::from_secs(1);
 
-/// What a CPU counts.
-pub(super) const THOUSANDTHS: f64 = 1000.0;
+/// What a whole CPU counts.
+pub(super) const MILLI_PER_CPU: f64 = 1000.0;
 
 /// CPUs by the index of their zone.
 pub(super) type CpusByZone = HashMap<ZoneIndex, u64>;
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -1,6 +1,6 @@
 //! Scale out: what to rent for unmet demand and for the forecast head-room.
 
-use super::headroom::{cpus_in, CpusByZone, THOUSANDTHS};
+use super::headroom::{cpus_in, CpusByZone, MILLI_PER_CPU};
 use super::offers::OfferBackoffs;
 use crate::clients::cloud::MAX_RENT_COUNT;
 use crate::protocol::MachineType;
@@ -214,7 +214,7 @@
             in_zone(machine_type) && offers.is_available(offer_of(*index), now)
         })
         .min_by(|(_, a), (_, b)| cpu_price(a).total_cmp(&cpu_price(b)))?;
-    let machines = (cpus as f64 / (machine_type.cpus * THOUSANDTHS)).ceil();
+    let machines = (cpus as f64 / (machine_type.cpus * MILLI_PER_CPU)).ceil();
     let count = super::floor(machines.min(f64::from(MAX_RENT_COUNT)));
     Some(RentalRequest {
         offer: offer_of(index),
