--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,6 +1,9 @@
 //! The HTTP responses that outcomes are mapped to.
 
 use super::*;
+use crate::controller::JobRejection;
+use crate::protocol::{JobState, JobView};
+use actix_web::body::MessageBody;
 use std::time::Duration;
 
 #[test]
@@ -47,3 +50,53 @@
     };
     assert_eq!(heartbeat_response(elsewhere, now).status().as_u16(), 421);
 }
+
+#[test]
+fn each_outcome_of_a_request_about_a_job_has_its_status_and_body() {
+    let view = || JobView {
+        id: "wk-1".into(),
+        state: JobState::Queued,
+        done: Some(0),
+        running: Some(0),
+    };
+    let answered = |outcome| {
+        let response = job_response(outcome);
+        let status = response.status().as_u16();
+        (status, response.into_body().try_into_bytes().unwrap())
+    };
+    assert_eq!(answered(JobOutcome::Accepted(view())).0, 201);
+    assert_eq!(answered(JobOutcome::Known(view())).0, 200);
+    let (status, body) = answered(JobOutcome::NotFound);
+    assert_eq!((status, &body[..]), (404, &b"\xa1eerrorkno such job"[..]));
+    let rejected = |reason| {
+        let (status, body) = answered(JobOutcome::Rejected(reason));
+        assert_eq!(status, 422);
+        // A map of one entry whose key is "error"; the length of the text takes one or two bytes.
+        assert_eq!(&body[..7], b"\xa1eerror");
+        let text_at = if body[7] == 0x78 { 9 } else { 8 };
+        String::from_utf8(body[text_at..].to_vec()).unwrap()
+    };
+    assert_eq!(rejected(JobRejection::UnknownTeam), "unknown team");
+    assert_eq!(
+        rejected(JobRejection::NoMachineTypeFits),
+        "no allowed machine type is large enough"
+    );
+    assert_eq!(
+        rejected(JobRejection::ExceedsTeamLimit),
+        "more than the team's limit"
+    );
+    let (status, body) = answered(JobOutcome::RETRY_SOON);
+    assert_eq!((status, &body[..]), (503, &b"\xa1eerroritry again"[..]));
+}
+
+#[test]
+fn the_time_to_retry_is_in_whole_seconds_rounded_up() {
+    let retry_after = |millis| {
+        let response = job_response(JobOutcome::RetryAfter(Duration::from_millis(millis)));
+        let header = response.headers().get("retry-after").unwrap();
+        header.to_str().unwrap().to_string()
+    };
+    assert_eq!(retry_after(1), "1");
+    assert_eq!(retry_after(2000), "2");
+    assert_eq!(retry_after(2001), "3");
+}
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -6,6 +6,9 @@
 //!    accepted once that transaction is durable. The leader learns of the job from its watch.
 //! 4. If the transaction's conditions fail, the job exists already; if it is not answered, the record is read back.
 
+#[cfg(test)]
+mod tests;
+
 use super::final_outcome;
 use crate::config::Team;
 use crate::controller::handles::Handles;
@@ -147,7 +150,7 @@
 fn exceeds_team_limit(spec: &JobSpec, team: &Team) -> bool {
     let simultaneous_tasks = match spec.kind {
         Kind::Array => 1.0,
-        _ => f64::from(spec.tasks),
+        Kind::Service | Kind::Gang => f64::from(spec.tasks),
     };
     // A limit of zero is none.
     let exceeds =
