--- a/src/controller/job_status.rs
+++ b/src/controller/job_status.rs
@@ -2,6 +2,7 @@
 
 use super::state::ControllerState;
 use crate::protocol::{JobState, JobView};
+use crate::scheduler::TaskCounts;
 use crate::store::OverRecord;
 
 impl ControllerState {
@@ -15,10 +16,10 @@
         let counts = self
             .scheduler
             .as_ref()
-            .and_then(|p| p.counts(id))
+            .and_then(|p| p.task_counts(id))
             .or_else(|| self.reported_task_counts(id));
         self.replica.live.get(id)?;
-        let (done, running) = counts.unwrap_or_default();
+        let TaskCounts { done, running } = counts.unwrap_or_default();
         let state = if running > 0 {
             JobState::Running
         } else {
--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -67,10 +67,10 @@
         let complete = self.scheduler.as_ref().map(Scheduler::complete_jobs);
         let complete = complete.into_iter().flatten().take(MAX_COMPLETIONS);
         complete
-            .map(|(job, version, tasks)| JobCompletion {
-                txn: store::complete_txn(epoch, &job, version, tasks),
-                job,
-                tasks,
+            .map(|job| JobCompletion {
+                txn: store::complete_txn(epoch, &job.id, job.version, job.tasks),
+                job: job.id,
+                tasks: job.tasks,
             })
             .collect()
     }
--- a/src/controller/state/epoch_start.rs
+++ b/src/controller/state/epoch_start.rs
@@ -2,7 +2,7 @@
 
 use super::ControllerState;
 use crate::protocol::Txn;
-use crate::scheduler::{Origin, Params, Scheduler};
+use crate::scheduler::{Origin, Params, Scheduler, StoredSlot};
 use crate::store::{self, EpochRecord, Mirror};
 
 /// An epoch that this controller wants to lead.
@@ -29,9 +29,12 @@
         scheduler.set_types(&self.machine_types);
         self.add_rented_machines(&mut scheduler);
         self.add_stored_jobs(&mut scheduler);
-        let start_log = self.replica.starts.iter();
-        scheduler
-            .inherit(start_log.map(|(slot, entry)| (*slot, entry.version, entry.record.as_str())));
+        let start_log = self.replica.starts.iter().map(|(number, slot)| StoredSlot {
+            number: *number,
+            version: slot.version,
+            text: &slot.record,
+        });
+        scheduler.replay_start_log(start_log);
         if self.leadership_status.previous_epoch_without_start_log() {
             scheduler.wait_for_lease_expiry();
         }
--- a/src/controller/state/leader_report.rs
+++ b/src/controller/state/leader_report.rs
@@ -1,5 +1,6 @@
 //! What the leader last reported of itself to this controller.
 
+use crate::scheduler::TaskCounts;
 use crate::time::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 #[derive(Default)]
 pub(super) struct LeaderReport {
     /// Done and running tasks by job, for display.
-    task_counts: HashMap<String, (u32, u32)>,
+    task_counts: HashMap<String, TaskCounts>,
     change_rate: Option<ChangeRate>,
 }
 
@@ -42,12 +43,12 @@
     pub(super) fn replace_task_counts(&mut self, task_counts: Vec<(String, u32, u32)>) {
         self.task_counts = task_counts
             .into_iter()
-            .map(|(job, done, running)| (job, (done, running)))
+            .map(|(job, done, running)| (job, TaskCounts { done, running }))
             .collect();
     }
 
     /// The task counts of a job.
-    pub(super) fn task_counts(&self, job: &str) -> Option<(u32, u32)> {
+    pub(super) fn task_counts(&self, job: &str) -> Option<TaskCounts> {
         self.task_counts.get(job).copied()
     }
 
--- a/src/controller/state/peer_views.rs
+++ b/src/controller/state/peer_views.rs
@@ -4,7 +4,15 @@
 use crate::admission::write_admission::users_share;
 use crate::coordination::leadership::Authority;
 use crate::coordination::peers::View;
-use crate::scheduler::Scheduler;
+use crate::scheduler::{Scheduler, TaskCounts};
+
+/// The done and running tasks of every job, as views have them.
+fn all_task_counts(scheduler: &Scheduler) -> Vec<(String, u32, u32)> {
+    scheduler
+        .all_task_counts()
+        .map(|(job, counts)| (job.to_string(), counts.done, counts.running))
+        .collect()
+}
 
 impl ControllerState {
     /// The view of this controller.
@@ -13,7 +21,7 @@
         View {
             task_counts: scheduler
                 .filter(|_| self.authority() != Authority::None)
-                .map(Scheduler::all_counts),
+                .map(all_task_counts),
             ..self.view_without_task_counts()
         }
     }
@@ -51,7 +59,7 @@
     }
 
     /// The task counts of a job as the leader reported them last.
-    pub(in crate::controller) fn reported_task_counts(&self, job: &str) -> Option<(u32, u32)> {
+    pub(in crate::controller) fn reported_task_counts(&self, job: &str) -> Option<TaskCounts> {
         self.leader_report.task_counts(job)
     }
 
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -103,7 +103,7 @@
             return;
         }
         if scheduler.place() {
-            scheduler.make_room();
+            scheduler.preempt_for_production();
         }
         let took = self.clock.now().saturating_duration_since(now);
         self.round_deadlines.placement_done(now, took);
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -3,7 +3,7 @@
 use super::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::Txn;
-use crate::scheduler::Append;
+use crate::scheduler::SlotWrite;
 use crate::store::{self, guard, Decided, StoreError, Versioned};
 
 /// Most bytes that a request to the state service may have.
@@ -18,7 +18,7 @@
 /// A write of the start log.
 pub(in crate::controller) struct StartLogWrite {
     /// What is written.
-    pub(in crate::controller) append: Append,
+    pub(in crate::controller) append: SlotWrite,
     /// The term in which it was decided.
     pub(in crate::controller) term: Term,
     /// The transaction.
@@ -35,7 +35,10 @@
         let max_bytes = kib_to_bytes(limits.value_kb)
             .min(MAX_REQUEST_BYTES - BYTES_PER_CONDITION * max_conditions)
             .saturating_sub(VALUE_OVERHEAD_BYTES);
-        let append = self.scheduler.as_mut()?.append(max_bytes, max_conditions)?;
+        let append = self
+            .scheduler
+            .as_mut()?
+            .next_log_write(max_bytes, max_conditions)?;
         let epoch = guard(store::epoch_key(), term.epoch_version);
         let txn = store::log_txn(&epoch, &append);
         Some(StartLogWrite { append, term, txn })
@@ -45,7 +48,7 @@
     pub(in crate::controller) fn finish_start_log_write(
         &mut self,
         term: Term,
-        append: Append,
+        append: SlotWrite,
         outcome: &Result<Decided, StoreError>,
         slot: Option<&Versioned<String>>,
     ) {
@@ -62,13 +65,13 @@
             }
         }
         match (outcome, slot) {
-            (Ok(Decided::Applied(version)), _) => scheduler.appended(append, *version),
+            (Ok(Decided::Applied(version)), _) => scheduler.log_write_applied(append, *version),
             (_, Some(slot)) if slot.record == append.text => {
-                scheduler.appended(append, slot.version);
+                scheduler.log_write_applied(append, slot.version);
             }
             (_, slot) => {
                 let slot = slot.map(|slot| (slot.version, slot.record.as_str()));
-                scheduler.not_appended(append, slot);
+                scheduler.log_write_failed(append, slot);
             }
         }
     }
--- a/src/controller/tests/simulation/cluster/writes.rs
+++ b/src/controller/tests/simulation/cluster/writes.rs
@@ -3,7 +3,7 @@
 use super::super::Simulation;
 use crate::coordination::leadership::Term;
 use crate::protocol::{Guard, Txn};
-use crate::scheduler::Append;
+use crate::scheduler::SlotWrite;
 use crate::store::{self, Decided, StoreError};
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 /// A write of the start log whose answer is under way.
 pub(super) struct PendingAppend {
-    append: Append,
+    append: SlotWrite,
     term: Term,
     outcome: Result<Decided, StoreError>,
     answered_at: Timestamp,
--- /dev/null
+++ b/src/scheduler/capacity_pool.rs
@@ -0,0 +1,135 @@
+//! A scratch copy of machines' free resources, on which placements are tried.
+
+use super::attempt::TaskAttempt;
+use super::index::{MachineIndex, Table, ZoneIndex};
+use super::job::Job;
+use super::machine::Machine;
+use super::Scheduler;
+use crate::resources::Resources;
+use std::collections::HashMap;
+
+/// How many tasks of a job are planned in each zone, in addition to its active ones.
+#[derive(Default)]
+pub(super) struct PlannedByZone(HashMap<ZoneIndex, u32>);
+
+impl PlannedByZone {
+    /// Plans tasks in a zone.
+    pub(super) fn add(&mut self, zone: ZoneIndex, tasks: u32) {
+        *self.0.entry(zone).or_default() += tasks;
+    }
+
+    /// How many more tasks of the job may be in a zone.
+    pub(super) fn allowance(&self, job: &Job, zone: ZoneIndex) -> u32 {
+        let planned = self.0.get(&zone).copied().unwrap_or(0);
+        job.zone_allowance(zone).saturating_sub(planned)
+    }
+}
+
+/// Machines in the order in which they are filled, spot machines first, and what is left of their free resources.
+pub(super) struct CapacityPool {
+    order: Vec<MachineIndex>,
+    free: Table<MachineIndex, Resources>,
+}
+
+impl CapacityPool {
+    /// A pool of machines with their free resources.
+    fn new(
+        scheduler: &Scheduler,
+        machines: impl Iterator<Item = (MachineIndex, Resources)>,
+    ) -> CapacityPool {
+        let mut pool = CapacityPool {
+            order: Vec::new(),
+            free: Table::filled(Resources::ZERO, scheduler.machines.len()),
+        };
+        let mut ordinary = Vec::new();
+        for (machine, free) in machines {
+            if scheduler.machine(machine).spot {
+                pool.order.push(machine);
+            } else {
+                ordinary.push(machine);
+            }
+            pool.free[machine] = free;
+        }
+        pool.order.append(&mut ordinary);
+        pool
+    }
+
+    /// The machines that accept tasks, with what is free there or being freed.
+    pub(super) fn of_accepting_machines(scheduler: &Scheduler) -> CapacityPool {
+        let machines = scheduler
+            .machines()
+            .filter(|(_, machine)| scheduler.accepts_tasks(machine))
+            .map(|(index, machine)| (index, scheduler.free_after_stops(machine)));
+        CapacityPool::new(scheduler, machines)
+    }
+
+    /// The machines that are coming up.
+    pub(super) fn of_machines_coming_up(scheduler: &Scheduler) -> CapacityPool {
+        let machines = scheduler
+            .machines()
+            .filter(|(_, machine)| scheduler.on_its_way(machine))
+            .map(|(index, machine)| (index, machine.free));
+        CapacityPool::new(scheduler, machines)
+    }
+
+    /// Allocates resources for up to `tasks` tasks of a job, as its zone rules allow; returns for how many there are none.
+    pub(super) fn allocate(
+        &mut self,
+        scheduler: &Scheduler,
+        job: &Job,
+        tasks: u32,
+        planned: &mut PlannedByZone,
+    ) -> u32 {
+        let mut left = tasks;
+        for &index in &self.order {
+            if left == 0 {
+                break;
+            }
+            let mut count = job.task_resources.count_fitting(self.free[index]).min(left);
+            let machine = scheduler.machine(index);
+            if count == 0 || !job.allows_machine(machine) {
+                continue;
+            }
+            if job.has_zone_rule() {
+                count = count.min(planned.allowance(job, machine.zone));
+                planned.add(machine.zone, count);
+            }
+            let allocated = job.task_resources.saturating_mul(count);
+            self.free[index] = self.free[index].saturating_sub(allocated);
+            left -= count;
+        }
+        left
+    }
+
+    /// What is left of a machine's free resources.
+    pub(super) fn free(&self, machine: MachineIndex) -> Resources {
+        self.free[machine]
+    }
+
+    /// Changes what is left of a machine's free resources.
+    pub(super) fn set_free(&mut self, machine: MachineIndex, free: Resources) {
+        self.free[machine] = free;
+    }
+
+    /// Removes machines that have too little left for the smallest request.
+    pub(super) fn remove_full(&mut self, smallest_request: Resources) {
+        let free = &self.free;
+        self.order
+            .retain(|machine| smallest_request.fits(free[*machine]));
+    }
+}
+
+impl Scheduler {
+    /// What is free on a machine, with what is being stopped there.
+    fn free_after_stops(&self, machine: &Machine) -> Resources {
+        if machine.stopping == 0 {
+            return machine.free;
+        }
+        machine
+            .tasks
+            .iter()
+            .filter(|task| self.attempt(**task).is_some_and(TaskAttempt::is_stopping))
+            .map(|task| self.job(task.job).task_resources)
+            .fold(machine.free, Resources::saturating_add)
+    }
+}
--- /dev/null
+++ b/src/scheduler/job_table.rs
@@ -0,0 +1,187 @@
+//! The table of all unfinished jobs, in the order of their age, and of their results that are not durable yet.
+
+use super::attempt::TaskId;
+use super::index::{JobIndex, Table};
+use super::job::Job;
+use crate::store::CHUNK;
+use std::collections::{BTreeMap, HashMap};
+use std::ops::{Index, IndexMut};
+
+/// A range of a job's tasks whose results are stored together.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ChunkId {
+    job: JobIndex,
+    chunk: u32,
+}
+
+/// Results of a range of a job's tasks, to be stored.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct DoneChunk {
+    /// Job.
+    pub job: String,
+    /// Version of its record.
+    pub version: u64,
+    /// Chunk.
+    pub chunk: u32,
+    /// Bits to be stored.
+    pub bits: Vec<u8>,
+}
+
+/// All unfinished jobs, and cancelled ones of which something may still run.
+#[derive(Default)]
+pub(super) struct JobTable {
+    jobs: Table<JobIndex, Option<Job>>,
+    /// Indices of jobs that are gone, for new ones.
+    free: Vec<JobIndex>,
+    by_id: HashMap<String, JobIndex>,
+    /// All jobs, the oldest submission first.
+    by_submission: Vec<JobIndex>,
+    /// Chunks with results that are not stored yet, and since when.
+    unsaved: BTreeMap<ChunkId, u64>,
+}
+
+impl JobTable {
+    /// Adds a job.
+    pub(super) fn insert(&mut self, job: Job) -> JobIndex {
+        let submitted_at = job.submitted_at;
+        let id = job.id().to_string();
+        let index = self.free.pop().unwrap_or_else(|| self.jobs.push(None));
+        self.jobs[index] = Some(job);
+        let position = self
+            .by_submission
+            .partition_point(|other| self[*other].submitted_at <= submitted_at);
+        self.by_submission.insert(position, index);
+        self.by_id.insert(id, index);
+        index
+    }
+
+    /// Removes a job.
+    pub(super) fn remove(&mut self, index: JobIndex) -> Option<Job> {
+        let job = self.jobs[index].take()?;
+        self.by_submission.retain(|other| *other != index);
+        self.free.push(index);
+        self.unsaved.retain(|chunk, _| chunk.job != index);
+        self.by_id.remove(job.id());
+        Some(job)
+    }
+
+    /// A job, if it is present.
+    pub(super) fn get(&self, index: JobIndex) -> Option<&Job> {
+        self.jobs.get(index)?.as_ref()
+    }
+
+    /// The index of the job with an id.
+    pub(super) fn index_of(&self, id: &str) -> Option<JobIndex> {
+        self.by_id.get(id).copied()
+    }
+
+    /// All jobs.
+    pub(super) fn values(&self) -> impl Iterator<Item = &Job> {
+        self.jobs.values().flatten()
+    }
+
+    /// All jobs, to be changed.
+    pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Job> {
+        self.jobs.values_mut().flatten()
+    }
+
+    /// All jobs with their indices, the oldest submission first.
+    pub(super) fn by_submission(&self) -> impl Iterator<Item = (JobIndex, &Job)> {
+        self.by_submission
+            .iter()
+            .map(|index| (*index, &self[*index]))
+    }
+
+    /// How many jobs there are.
+    pub(super) fn len(&self) -> usize {
+        self.by_submission.len()
+    }
+
+    /// The job at a position in the order of submission.
+    pub(super) fn nth_oldest(&self, position: usize) -> JobIndex {
+        self.by_submission[position]
+    }
+
+    /// Cancelled jobs of which nothing can run any more.
+    pub(super) fn stopped(&self) -> Vec<JobIndex> {
+        let stopped = |job: &Job| job.cancelled && job.active.is_empty();
+        self.jobs
+            .iter()
+            .filter(|(_, job)| job.as_ref().is_some_and(stopped))
+            .map(|(index, _)| index)
+            .collect()
+    }
+
+    /// A task has finished, and its result has to be stored.
+    pub(super) fn mark_unsaved(&mut self, task: TaskId, now: u64) {
+        let chunk = ChunkId {
+            job: task.job,
+            chunk: task.number / CHUNK,
+        };
+        self.unsaved.entry(chunk).or_insert(now);
+    }
+
+    /// Results that are not stored yet, at most `max_chunks`, the oldest first. Those of complete jobs are left out: the jobs
+    /// are made final as a whole.
+    pub(super) fn unsaved(&self, max_chunks: usize) -> Vec<DoneChunk> {
+        let mut oldest: Vec<(u64, ChunkId)> = self
+            .unsaved
+            .iter()
+            .map(|(chunk, since)| (*since, *chunk))
+            .collect();
+        oldest.sort_unstable();
+        oldest
+            .into_iter()
+            .filter_map(|(_, chunk)| self.done_chunk(chunk))
+            .take(max_chunks)
+            .collect()
+    }
+
+    fn done_chunk(&self, chunk: ChunkId) -> Option<DoneChunk> {
+        let job = self
+            .get(chunk.job)
+            .filter(|job| !job.cancelled && !job.is_complete())?;
+        Some(DoneChunk {
+            job: job.id().to_string(),
+            version: job.version,
+            chunk: chunk.chunk,
+            bits: job.done.chunk(chunk.chunk).to_vec(),
+        })
+    }
+
+    /// Results are durable.
+    pub(super) fn record_saved(&mut self, stored: &DoneChunk, now: u64) {
+        let Some(index) = self.index_of(&stored.job) else {
+            return;
+        };
+        let job = &mut self[index];
+        job.saved.insert_chunk(stored.chunk, &stored.bits);
+        let all_saved = job.done.chunk(stored.chunk) == job.saved.chunk(stored.chunk);
+        let chunk = ChunkId {
+            job: index,
+            chunk: stored.chunk,
+        };
+        if all_saved {
+            self.unsaved.remove(&chunk);
+        } else {
+            // What has finished meanwhile takes its turn behind the others.
+            self.unsaved.insert(chunk, now);
+        }
+    }
+}
+
+const PRESENT: &str = "indices of jobs are only kept while the job is present";
+
+impl Index<JobIndex> for JobTable {
+    type Output = Job;
+
+    fn index(&self, index: JobIndex) -> &Job {
+        self.jobs[index].as_ref().expect(PRESENT)
+    }
+}
+
+impl IndexMut<JobIndex> for JobTable {
+    fn index_mut(&mut self, index: JobIndex) -> &mut Job {
+        self.jobs[index].as_mut().expect(PRESENT)
+    }
+}
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -1,7 +1,7 @@
 //! What is known of one machine.
 
+use super::attempt::TaskId;
 use super::index::{ImageIndex, JobIndex, MachineTypeIndex, ZoneIndex};
-use super::tasks::TaskId;
 use crate::placement::Capability;
 use crate::protocol::{Command, FencingToken};
 use crate::resources::Resources;
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -1,10 +1,10 @@
 //! Machines: what becomes of them, what is sent to them, what time alone brings.
 
+use super::attempt::{Phase, TaskEvent};
 use super::index::{MachineIndex, MachineTypeIndex, ZoneIndex};
 use super::machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
 use super::reports::Arrival;
-use super::start_log::plain;
-use super::tasks::{Phase, TaskEvent};
+use super::start_log::is_loggable_name;
 use super::Scheduler;
 use crate::placement::Capability;
 use crate::protocol::Report;
@@ -25,7 +25,7 @@
     /// Takes in a machine that the store records. One of an earlier epoch may have been released or taken meanwhile; a new leader
     /// once counted on the room of such machines for most of a minute.
     pub fn add_machine(&mut self, name: &str, of: Hardware, origin: Origin) {
-        if self.knows(name) || !plain(name) {
+        if self.knows(name) || !is_loggable_name(name) {
             return;
         }
         let machine_type = self
@@ -117,9 +117,9 @@
         self.outbox.remove(&i);
         self.machines[i] = None;
         self.free_machines.push(i);
-        self.jobs.values_mut().flatten().for_each(|j| {
-            j.failed_on.remove(&i);
-        });
+        for job in self.jobs.values_mut() {
+            job.failures.remove_machine(i);
+        }
         self.changed = true;
     }
 
@@ -369,7 +369,7 @@
     fn is_to_run(&self, task: &str, attempt: u64) -> bool {
         self.find_task(task)
             .and_then(|task| self.attempt(task))
-            .is_some_and(|a| a.attempt == attempt && !a.stops())
+            .is_some_and(|a| a.attempt == attempt && !a.is_stopping())
     }
 
     /// How much waits for a machine to be heard or proven gone, the most first: replicas, other tasks, nothing.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -7,9 +7,14 @@
 //! `machines`: what is known of each; `reports`: what workers say; `scheduling_pass`: where tasks go; `demand`: what finds no
 //! room; `boot_times`: how long machines take to come up.
 
+mod attempt;
 mod boot_times;
+mod candidates;
+mod capacity_pool;
 mod demand;
 mod index;
+mod job;
+mod job_table;
 mod jobs;
 mod machine;
 mod machine_types;
@@ -17,33 +22,39 @@
 mod names;
 mod params;
 mod preemption;
+mod queue;
+mod quota;
 mod reports;
 mod scheduling_pass;
 mod start_log;
-mod tasks;
+mod task_bitmap;
+mod task_events;
+mod unplaceable;
+mod utilization;
 
-pub use demand::{UnmetDemand, Utilization};
+pub use attempt::{Phase, TaskAttempt, TaskId};
+pub use demand::UnmetDemand;
 pub use index::{DenseIndex, ImageIndex, JobIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
-pub use jobs::{DoneChunk, Job};
+pub use job::Job;
+pub use job_table::DoneChunk;
+pub use jobs::{CompleteJob, TaskCounts};
 pub use machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
 pub use params::{Params, TeamQuota};
 pub use reports::Arrival;
-pub use start_log::Append;
-pub use tasks::{Phase, TaskAttempt, TaskId};
+pub use start_log::{LoggedJob, SlotWrite, StoredSlot};
+pub use utilization::Utilization;
 
 use crate::protocol::{FencingToken, MachineType, ReportReply};
-use crate::resources::{QuotaResources, Resources};
+use crate::resources::Resources;
 use boot_times::BootTimes;
 use index::Table;
+use job_table::JobTable;
 use machine_types::MachineTypes;
 use names::Names;
+use quota::QuotaLedger;
 use start_log::StartLog;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeSet, HashMap};
 
-/// A job that has failed on so many machines, and of which no task has finished, is taken for one with a mistake.
-const FAULTY_JOB_MACHINES: usize = 3;
-/// A task that has run for so long is no mistake.
-const PROVEN_RUN_MS: u64 = 30_000;
 /// Bits of a token, and of an attempt, below the epoch.
 const TOKEN_BITS: u32 = 24;
 /// Attempts after which an epoch has to end, with room for those of a pass. A leader of a large fleet uses them up within a
@@ -76,18 +87,15 @@
     machine_types: MachineTypes,
     zones: Names<ZoneIndex>,
     images: Names<ImageIndex>,
-    jobs: Table<JobIndex, Option<Job>>,
-    free_jobs: Vec<JobIndex>,
-    job_index: HashMap<String, JobIndex>,
+    jobs: JobTable,
     machines: Table<MachineIndex, Option<Machine>>,
     /// Indices of machines that are gone, for new ones: what grows with every machine ever rented is gone over at each tick.
     free_machines: Vec<MachineIndex>,
     machine_index: HashMap<String, MachineIndex>,
-    team_use: Vec<QuotaResources>,
-    /// What of it is being stopped.
-    team_ending: Vec<QuotaResources>,
+    quotas: QuotaLedger,
+    /// Attempts that were numbered in this epoch.
     attempts: u64,
-    log: StartLog,
+    start_log: StartLog,
     /// Machines with starts or stops to be sent.
     outbox: BTreeSet<MachineIndex>,
     /// Machines that hold or are fetching an image.
@@ -98,14 +106,11 @@
     ticked: u64,
     /// When most of a zone was last quiet.
     out_at: HashMap<ZoneIndex, u64>,
-    /// Jobs, the oldest submission first.
-    by_age: Vec<JobIndex>,
-    /// Finished ranges that are not stored yet, and since when.
-    dirty: BTreeMap<(JobIndex, u32), u64>,
     fetch_rate: HashMap<MachineTypeIndex, f64>,
     boot_times: BootTimes,
     /// Production jobs that the last pass has left with tasks to place, in their order.
-    urgent: Vec<JobIndex>,
+    unplaced_production: Vec<JobIndex>,
+    /// Something may be placed that could not be before.
     changed: bool,
 }
 
@@ -113,7 +118,7 @@
     /// An empty scheduler of an epoch that began now.
     #[must_use]
     pub fn new(params: Params, epoch: u64, now: u64) -> Self {
-        let teams = params.teams.len();
+        let quotas = QuotaLedger::new(&params.teams);
         Scheduler {
             params,
             epoch,
@@ -121,26 +126,21 @@
             machine_types: MachineTypes::default(),
             zones: Names::default(),
             images: Names::default(),
-            jobs: Table::default(),
-            free_jobs: Vec::new(),
-            job_index: HashMap::new(),
+            jobs: JobTable::default(),
             machines: Table::default(),
             free_machines: Vec::new(),
             machine_index: HashMap::new(),
-            team_use: vec![QuotaResources::ZERO; teams],
-            team_ending: vec![QuotaResources::ZERO; teams],
+            quotas,
             attempts: 0,
-            log: StartLog::default(),
+            start_log: StartLog::default(),
             outbox: BTreeSet::new(),
             holders: HashMap::new(),
             place_from: 0,
             ticked: 0,
             out_at: HashMap::new(),
-            by_age: Vec::new(),
-            dirty: BTreeMap::new(),
             fetch_rate: HashMap::new(),
             boot_times: BootTimes::default(),
-            urgent: Vec::new(),
+            unplaced_production: Vec::new(),
             changed: true,
         }
     }
@@ -221,12 +221,6 @@
         self.machine_index.contains_key(machine)
     }
 
-    /// Whether a job is at work or being stopped here.
-    #[must_use]
-    pub fn has_job(&self, job: &str) -> bool {
-        self.job_index.contains_key(job)
-    }
-
     /// Whether something may be placed that could not be before.
     #[must_use]
     pub fn has_changed(&self) -> bool {
@@ -236,7 +230,7 @@
     /// Whether something may be placed or is to be sent or logged.
     #[must_use]
     pub fn needs_pass(&self) -> bool {
-        self.changed || !self.outbox.is_empty() || self.log.has_wanted()
+        self.changed || !self.outbox.is_empty() || self.start_log.has_unwritten()
     }
 
     /// Whether this epoch has to end, since its numbers for attempts are used up.
@@ -245,11 +239,6 @@
         self.attempts >= ATTEMPTS_OF_AN_EPOCH
     }
 
-    /// Jobs at work.
-    pub fn jobs(&self) -> impl Iterator<Item = &Job> {
-        self.jobs.values().flatten()
-    }
-
     fn machine(&self, i: MachineIndex) -> &Machine {
         self.machines[i]
             .as_ref()
@@ -262,31 +251,12 @@
             .expect("indices of machines are only kept while the machine is present")
     }
 
-    fn job(&self, i: JobIndex) -> &Job {
-        self.jobs[i]
-            .as_ref()
-            .expect("indices of jobs are only kept while the job is present")
+    fn job(&self, index: JobIndex) -> &Job {
+        &self.jobs[index]
     }
 
-    fn job_mut(&mut self, i: JobIndex) -> &mut Job {
-        self.jobs[i]
-            .as_mut()
-            .expect("indices of jobs are only kept while the job is present")
-    }
-
-    /// A job's done and running tasks, for display.
-    #[must_use]
-    pub fn counts(&self, job: &str) -> Option<(u32, u32)> {
-        let j = self.job(*self.job_index.get(job)?);
-        Some((j.done_n, j.running))
-    }
-
-    /// Counts of every job, for the other nodes.
-    #[must_use]
-    pub fn all_counts(&self) -> Vec<(String, u32, u32)> {
-        self.jobs()
-            .map(|j| (j.record.spec.id.clone(), j.done_n, j.running))
-            .collect()
+    fn job_mut(&mut self, index: JobIndex) -> &mut Job {
+        &mut self.jobs[index]
     }
 
     fn token(&self, m: &Machine) -> FencingToken {
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,33 +1,49 @@
-//! Preemption: whose work is stopped to make room, or to let a team at its limit run what matters more.
+//! Preemption: which tasks are stopped to free resources for others, or to let a team at its limit run what matters more.
 
-use super::demand::Pool;
-use super::index::{JobIndex, MachineIndex, ZoneIndex};
-use super::tasks::{TaskEvent, TaskId};
+use super::attempt::{TaskEvent, TaskId};
+use super::capacity_pool::{CapacityPool, PlannedByZone};
+use super::index::{JobIndex, MachineIndex};
+use super::job::Job;
+use super::quota::{AmountByTeam, TeamIndex};
 use super::Scheduler;
 use crate::protocol::Priority;
 use crate::resources::{QuotaResources, Resources};
 use std::cmp::Reverse;
-use std::collections::HashMap;
 
 /// A start counts for its users if nothing stops the task within this time.
 const SETTLED_RUN_MS: u64 = 30_000;
 
-/// Who looked for somebody to displace in vain.
+/// Searches for tasks to preempt that found too few. The next job like it would find none.
+#[derive(Default)]
+pub(super) struct FailedPreemptions(Vec<Claim>);
+
+/// What decides which tasks a job may preempt, beside its zones and types.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct FailedSearch {
+struct Claim {
     priority: Priority,
     within_guarantee: bool,
-    team: Option<usize>,
+    team: Option<TeamIndex>,
     task_resources: Resources,
 }
 
+impl Claim {
+    fn of(job: &Job) -> Claim {
+        Claim {
+            priority: job.spec().priority,
+            within_guarantee: job.within_guarantee,
+            team: job.team,
+            task_resources: job.task_resources,
+        }
+    }
+}
+
 /// A task that may be stopped for others; the least is stopped first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
     /// The lowest priority first.
     priority: Reverse<Priority>,
     /// Those stopped least often first, lest the same work begin anew for ever.
-    displaced: u32,
+    preemptions: u32,
     /// The one that loses the least first.
     since: Reverse<u64>,
     task: TaskId,
@@ -37,103 +53,93 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QuotaVictim {
     priority: Reverse<Priority>,
-    displaced: u32,
+    preemptions: u32,
     /// Its start would not count any more.
-    fresh: bool,
-    /// The room that comes free is of no use for the other job.
-    elsewhere: bool,
+    unsettled: bool,
+    /// What comes free is of no use for the other job.
+    useless: bool,
     lost_ms: u64,
     task: TaskId,
 }
 
 impl Scheduler {
-    /// Stops lower work at once for production tasks that find no room. They do not wait for machines that are coming up,
-    /// nor for the next look ahead, which waits for the cloud's answers.
-    pub fn make_room(&mut self) {
-        let queue = std::mem::take(&mut self.urgent);
+    /// Stops tasks of lower priority at once for production tasks for which nothing is free. They do not wait for machines
+    /// that are coming up, nor for the next look at the demand, which waits for the cloud's answers.
+    pub fn preempt_for_production(&mut self) {
+        let queue = std::mem::take(&mut self.unplaced_production);
         if queue.is_empty() {
             return;
         }
-        let mut room = Pool::new(
-            self,
-            self.machines()
-                .filter(|(_, m)| self.open(m))
-                .map(|(i, m)| (i, self.coming(m))),
-        );
-        let mut asked = Vec::<FailedSearch>::new();
-        // What is being stopped of a team, less what those before in the queue will use of it.
-        let mut ending = self.team_ending.clone();
-        for j in queue {
-            let job = self.job(j);
-            let now = job.wanted(self.now).min(self.quota_room(job));
-            let mut zones = HashMap::new();
-            let left = room.take(self, job, now, &mut zones);
+        let mut pool = CapacityPool::of_accepting_machines(self);
+        let mut failed = FailedPreemptions::default();
+        // What is being evicted of a team, less what the jobs before in the queue will use of it.
+        let mut being_evicted = self.quotas.being_evicted_by_team();
+        for index in queue {
+            let job = self.job(index);
+            let allowed = job.placeable(self.now).min(self.quota_allowance(job));
+            let mut planned = PlannedByZone::default();
+            let left = pool.allocate(self, job, allowed, &mut planned);
             if left > 0 {
-                self.preempt(j, left, &mut room, &mut zones, &mut asked);
+                self.preempt(index, left, &mut pool, &mut planned, &mut failed);
             }
-            let short = self.job(j).wanted(self.now) - now;
-            if short > 0 {
-                self.yield_quota(j, short, &mut ending);
+            let beyond_quota = self.job(index).placeable(self.now) - allowed;
+            if beyond_quota > 0 {
+                self.preempt_for_quota(index, beyond_quota, &mut being_evicted);
             }
         }
     }
 
-    /// Stops lower work of a job's own team, which is at its limit, for up to `n` of its tasks.
-    fn yield_quota(&mut self, j: JobIndex, n: u32, ending: &mut [QuotaResources]) {
-        let Some(team) = self.job(j).team else { return };
-        let mut wanted = self.quota_missing(j, team, n);
-        let covered = wanted.min(ending[team]);
-        wanted -= covered;
-        ending[team] -= covered;
-        if wanted == QuotaResources::ZERO {
+    /// Stops tasks of lower priority of a job's own team, which is at its limit, for up to `tasks` of its tasks.
+    fn preempt_for_quota(&mut self, index: JobIndex, tasks: u32, being_evicted: &mut AmountByTeam) {
+        let job = self.job(index);
+        let Some(team) = job.team else { return };
+        let more = job.task_resources.quota().saturating_mul(tasks);
+        let mut missing = self.quotas.missing(team, more);
+        let being_evicted = being_evicted.of(team);
+        let covered = missing.min(*being_evicted);
+        missing -= covered;
+        *being_evicted -= covered;
+        if missing == QuotaResources::ZERO {
             return;
         }
-        for victim in self.quota_victims(j, team) {
-            if wanted == QuotaResources::ZERO {
+        for victim in self.quota_victims(index, team) {
+            if missing == QuotaResources::ZERO {
                 break;
             }
             let freed = self.job(victim.task.job).task_resources.quota();
-            self.displace(victim.task, j, "preempted for quota");
-            wanted = wanted.saturating_sub(freed);
+            self.stop_for(victim.task, index, "preempted for quota");
+            missing = missing.saturating_sub(freed);
         }
     }
 
-    /// What a team would have to free for `n` more tasks of a job. Where limits are lifted or lowered the team may be over them;
-    /// then nothing of this helps.
-    fn quota_missing(&self, j: JobIndex, team: usize, n: u32) -> QuotaResources {
-        let more = self.job(j).task_resources.quota().saturating_mul(n);
-        let with_them = self.team_use[team].saturating_add(more);
-        with_them.saturating_sub(self.params.teams[team].limit)
-    }
-
-    /// Lower work of a team, in the order in which it is stopped for a job of the same team.
-    fn quota_victims(&self, j: JobIndex, team: usize) -> Vec<QuotaVictim> {
-        let job = self.job(j);
+    /// Tasks of a team with a lower priority, in the order in which they are stopped for a job of the same team.
+    fn quota_victims(&self, index: JobIndex, team: TeamIndex) -> Vec<QuotaVictim> {
+        let job = self.job(index);
         let holders = self.holders.get(&job.image);
         let mut victims = Vec::new();
-        for &lower in &self.by_age {
-            let other = self.job(lower);
-            let spec = &other.record.spec;
-            if other.team != Some(team) || other.ended || spec.priority <= job.record.spec.priority
+        for (other_index, other) in self.jobs.by_submission() {
+            if other.team != Some(team)
+                || other.cancelled
+                || other.spec().priority <= job.spec().priority
             {
                 continue;
             }
-            for (&task, a) in other.active.iter().filter(|(_, a)| !a.stops()) {
-                let useful = self.may_host(job, self.machine(a.machine))
-                    && holders.is_some_and(|h| h.contains(&a.machine));
+            for (&number, attempt) in &other.active {
+                if attempt.is_stopping() {
+                    continue;
+                }
+                let usable = job.allows_machine(self.machine(attempt.machine))
+                    && holders.is_some_and(|holders| holders.contains(&attempt.machine));
+                let run_ms = self.now.saturating_sub(attempt.since);
                 victims.push(QuotaVictim {
-                    priority: Reverse(spec.priority),
-                    displaced: other.displaced.get(&task).copied().unwrap_or(0),
-                    fresh: self.now < a.since + SETTLED_RUN_MS,
-                    elsewhere: !useful,
-                    lost_ms: if spec.checkpoint_s > 0.0 {
-                        0
-                    } else {
-                        self.now.saturating_sub(a.since)
-                    },
+                    priority: Reverse(other.spec().priority),
+                    preemptions: other.preemptions_of(number),
+                    unsettled: self.now < attempt.since + SETTLED_RUN_MS,
+                    useless: !usable,
+                    lost_ms: if other.saves_checkpoints() { 0 } else { run_ms },
                     task: TaskId {
-                        job: lower,
-                        number: task,
+                        job: other_index,
+                        number,
                     },
                 });
             }
@@ -142,67 +148,65 @@
         victims
     }
 
-    /// Stops lower work for up to `n` tasks of a job; returns for how many.
-    /// `zones`: what was found or won for the job in each zone already.
+    /// Stops other tasks for up to `tasks` tasks of a job, and plans these in the pool; returns for how many.
     pub(super) fn preempt(
         &mut self,
-        j: JobIndex,
-        n: u32,
-        room: &mut Pool,
-        zones: &mut HashMap<ZoneIndex, u32>,
-        failed: &mut Vec<FailedSearch>,
+        index: JobIndex,
+        tasks: u32,
+        pool: &mut CapacityPool,
+        planned: &mut PlannedByZone,
+        failed: &mut FailedPreemptions,
     ) -> u32 {
-        let job = self.job(j);
-        let search = FailedSearch {
-            priority: job.record.spec.priority,
-            within_guarantee: job.within,
-            team: job.team,
-            task_resources: job.task_resources,
-        };
-        if failed.contains(&search) {
+        let claim = Claim::of(self.job(index));
+        if failed.0.contains(&claim) {
             return 0;
         }
         let mut won = 0;
-        for i in self.preemption_hosts(j) {
-            if won == n {
+        for machine in self.preemption_hosts(index) {
+            if won == tasks {
                 break;
             }
-            won += self.preempt_on(i, j, n - won, room, zones);
+            won += self.preempt_on(machine, index, tasks - won, pool, planned);
         }
-        if won < n {
-            failed.push(search);
+        if won < tasks {
+            failed.0.push(claim);
         }
         won
     }
 
-    /// Machines on which a job might win room: holders first, so that the room won is used at once.
-    fn preemption_hosts(&self, j: JobIndex) -> Vec<MachineIndex> {
-        let job = self.job(j);
+    /// Machines on which a job might preempt others: holders of its image first, so that what is freed is used at once.
+    fn preemption_hosts(&self, index: JobIndex) -> Vec<MachineIndex> {
+        let job = self.job(index);
         let holders = self.holders.get(&job.image);
+        let holds_image = |machine| holders.is_some_and(|holders| holders.contains(&machine));
         let mut hosts: Vec<(bool, MachineIndex)> = self
             .machines()
-            .filter(|(_, m)| self.open(m) && !m.tasks.is_empty() && self.may_host(job, m))
-            .map(|(i, _)| (!holders.is_some_and(|h| h.contains(&i)), i))
+            .filter(|(_, machine)| {
+                self.accepts_tasks(machine)
+                    && !machine.tasks.is_empty()
+                    && job.allows_machine(machine)
+            })
+            .map(|(machine, _)| (!holds_image(machine), machine))
             .collect();
         hosts.sort_unstable();
-        hosts.into_iter().map(|(_, i)| i).collect()
+        hosts.into_iter().map(|(_, machine)| machine).collect()
     }
 
-    /// Stops lower work on one machine for up to `n` tasks of a job; returns for how many.
+    /// Stops other tasks on one machine for up to `tasks` tasks of a job, and plans these in the pool; returns for how many.
     fn preempt_on(
         &mut self,
-        i: MachineIndex,
-        j: JobIndex,
-        n: u32,
-        room: &mut Pool,
-        zones: &mut HashMap<ZoneIndex, u32>,
+        machine: MachineIndex,
+        index: JobIndex,
+        tasks: u32,
+        pool: &mut CapacityPool,
+        planned: &mut PlannedByZone,
     ) -> u32 {
-        let zone = self.machine(i).zone;
-        let task_resources = self.job(j).task_resources;
-        let mut victims = self.victims_on(i, j).into_iter();
+        let zone = self.machine(machine).zone;
+        let task_resources = self.job(index).task_resources;
+        let mut victims = self.victims_on(machine, index).into_iter();
         let mut won = 0;
-        while won < n && self.zone_cap(self.job(j), zone) > zones.get(&zone).copied().unwrap_or(0) {
-            let mut free = room.room_of(i);
+        while won < tasks && planned.allowance(self.job(index), zone) > 0 {
+            let mut free = pool.free(machine);
             let mut chosen = Vec::new();
             while !task_resources.fits(free) {
                 let Some(victim) = victims.next() else { break };
@@ -213,39 +217,29 @@
                 break;
             }
             for victim in chosen {
-                self.displace(victim.task, j, "preempted");
+                self.stop_for(victim.task, index, "preempted");
             }
-            room.set_room(i, free.saturating_sub(task_resources));
-            *zones.entry(zone).or_default() += 1;
+            pool.set_free(machine, free.saturating_sub(task_resources));
+            planned.add(zone, 1);
             won += 1;
         }
         won
     }
 
-    /// Tasks on a machine that a job may displace, in the order in which they are stopped.
-    fn victims_on(&self, i: MachineIndex, j: JobIndex) -> Vec<Victim> {
-        let job = self.job(j);
-        let priority = job.record.spec.priority;
+    /// Tasks on a machine that a job may preempt, in the order in which they are stopped.
+    fn victims_on(&self, machine: MachineIndex, index: JobIndex) -> Vec<Victim> {
+        let job = self.job(index);
         let mut victims = Vec::new();
-        for &task in &self.machine(i).tasks {
-            let victim = self.job(task.job);
-            let Some(a) = victim.active.get(&task.number).filter(|a| !a.stops()) else {
+        for &task in &self.machine(machine).tasks {
+            let other = self.job(task.job);
+            let Some(attempt) = self.attempt(task).filter(|a| !a.is_stopping()) else {
                 continue;
             };
-            let spec = &victim.record.spec;
-            let lower =
-                spec.priority > priority && (!victim.within || priority == Priority::Production);
-            let borrowed = job.within
-                && !victim.within
-                && victim.team != job.team
-                && spec.priority != Priority::Production;
-            if lower || borrowed {
-                let displaced = victim.displaced.get(&task.number).copied().unwrap_or(0);
-                let (priority, since) = (Reverse(spec.priority), Reverse(a.since));
+            if job.may_preempt(other) {
                 victims.push(Victim {
-                    priority,
-                    displaced,
-                    since,
+                    priority: Reverse(other.spec().priority),
+                    preemptions: other.preemptions_of(task.number),
+                    since: Reverse(attempt.since),
                     task,
                 });
             }
@@ -254,17 +248,30 @@
         victims
     }
 
-    /// Stops a task to make room for a job.
-    fn displace(&mut self, victim: TaskId, for_job: JobIndex, reason: &'static str) {
-        let other = self.job(victim.job);
-        let save = other.record.spec.checkpoint_s > 0.0;
-        let (id, for_id) = (&other.record.spec.id, &self.job(for_job).record.spec.id);
-        tracing::info!(job = %id, task = victim.number, for_job = %for_id, "{reason}");
+    /// Stops a task to free resources for a job.
+    fn stop_for(&mut self, victim: TaskId, for_job: JobIndex, reason: &'static str) {
+        let job = self.job(victim.job);
+        let save = job.saves_checkpoints();
+        tracing::info!(job = %job.id(), task = victim.number, for_job = %self.job(for_job).id(), "{reason}");
         *self
             .job_mut(victim.job)
-            .displaced
+            .preemptions
             .entry(victim.number)
             .or_default() += 1;
         self.apply_event(victim, TaskEvent::Stop { save });
     }
 }
+
+impl Job {
+    /// Whether tasks of another job may be stopped for this one: those of a lower priority, which a guarantee protects from
+    /// all but production; and those that use what this job's guarantee covers.
+    fn may_preempt(&self, other: &Job) -> bool {
+        let lower = other.spec().priority > self.spec().priority
+            && (!other.within_guarantee || self.is_production());
+        let borrows = self.within_guarantee
+            && !other.within_guarantee
+            && other.team != self.team
+            && !other.is_production();
+        lower || borrows
+    }
+}
--- /dev/null
+++ b/src/scheduler/queue.rs
@@ -0,0 +1,115 @@
+//! The order in which jobs with tasks to place are served.
+
+use super::index::JobIndex;
+use super::job::Job;
+use super::Scheduler;
+use crate::protocol::Priority;
+use crate::resources::Resources;
+use crate::time::millis;
+
+/// The largest jobs, too, must begin within this time (PROTOCOL, additions).
+const FIRST_TASK_DEADLINE_MS: u64 = 240_000;
+/// The share of a deadline that is left to others.
+pub(super) const DEADLINE_SHARE: f64 = 0.4;
+/// A job that is late by this many times its deadline is very late.
+const VERY_LATE_FACTOR: u64 = 3;
+
+/// A job's place in the queue; the least is served first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey {
+    below_production: bool,
+    beyond_guarantee: bool,
+    priority: Priority,
+    urgency: Urgency,
+    job: JobIndex,
+}
+
+/// A job's place among its equals; the least is served first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum Urgency {
+    /// It has waited long for its first task or is very late: otherwise the largest would never begin beside a stream of small
+    /// ones. The oldest first.
+    Overdue { submitted_at: u64 },
+    /// It can still be in time, or is a service. The shortest first, since a team's limit or a full fleet makes some late and
+    /// service-level objectives count jobs.
+    InTime { work: u64 },
+    /// It is late. The oldest first.
+    Late { submitted_at: u64 },
+}
+
+impl Scheduler {
+    /// Jobs with tasks to place, in the order in which they are served. Notes which jobs are within their team's guarantee.
+    pub(super) fn queue(&mut self) -> Vec<JobIndex> {
+        let now = self.now;
+        let mut requested = self.quotas.zero_by_team();
+        let mut queue = Vec::new();
+        for position in 0..self.jobs.len() {
+            let index = self.jobs.nth_oldest(position);
+            let job = &mut self.jobs[index];
+            let amount = job.task_resources.quota().saturating_mul(job.unfinished());
+            job.within_guarantee = job.team.is_some_and(|team| {
+                let guarantee = self.quotas.guarantee(team);
+                let requested = requested.of(team);
+                *requested = requested.saturating_add(amount);
+                !job.cancelled
+                    && requested.cpu_milli <= guarantee.cpu_milli
+                    && (job.task_resources.accelerator_milli == 0
+                        || requested.accelerator_milli <= guarantee.accelerator_milli)
+            });
+            if job.placeable(now) > 0 && job.retry_at <= now {
+                queue.push(index);
+            }
+        }
+        queue.sort_by_cached_key(|index| self.queue_key(*index));
+        queue
+    }
+
+    fn queue_key(&self, index: JobIndex) -> QueueKey {
+        let job = self.job(index);
+        QueueKey {
+            below_production: !job.is_production(),
+            beyond_guarantee: !job.within_guarantee,
+            priority: job.spec().priority,
+            urgency: self.urgency(job),
+            job: index,
+        }
+    }
+
+    fn urgency(&self, job: &Job) -> Urgency {
+        let submitted_at = job.submitted_at;
+        if job.is_service() {
+            return Urgency::InTime { work: submitted_at };
+        }
+        let age = self.now.saturating_sub(submitted_at);
+        let has_begun = job.done.count() > 0 || !job.active.is_empty();
+        if !has_begun && age as f64 > FIRST_TASK_DEADLINE_MS as f64 * DEADLINE_SHARE {
+            return Urgency::Overdue { submitted_at };
+        }
+        match self.deadline_ms(job) {
+            Some(deadline) if age > deadline.saturating_mul(VERY_LATE_FACTOR) => {
+                Urgency::Overdue { submitted_at }
+            }
+            Some(deadline) if age > deadline => Urgency::Late { submitted_at },
+            _ => Urgency::InTime {
+                work: millis(f64::from(job.unfinished()) * job.expected_run_s()),
+            },
+        }
+    }
+
+    /// The time within which a job should be finished, if there is one: its own deadline or its class's objective.
+    fn deadline_ms(&self, job: &Job) -> Option<u64> {
+        let spec = job.spec();
+        spec.deadline_s
+            .map(millis)
+            .or_else(|| self.params.finish_ms.get(&spec.class).copied())
+    }
+
+    /// The least that a task of these jobs takes of each resource. What has less is of no use for any of them.
+    pub(super) fn smallest_request(&self, queue: &[JobIndex]) -> Resources {
+        queue
+            .iter()
+            .map(|index| self.job(*index).task_resources)
+            .reduce(Resources::min)
+            .unwrap_or(Resources::ONE)
+    }
+}
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -1,20 +1,16 @@
 //! Reports: what workers say of their machines, and what follows from it.
 
+use super::attempt::{Phase, TaskAttempt, TaskEvent, TaskId};
 use super::index::{ImageIndex, JobIndex, MachineIndex};
-use super::jobs::{bit, set_bit};
 use super::machine::MachineState;
-use super::tasks::{Phase, TaskAttempt, TaskEvent, TaskId};
 use super::{ReportOutcome, Scheduler, TOKEN_BITS};
 use crate::protocol::{split_task, ExitReason, Report, TaskReport, TaskState};
 use crate::protocol::{Command, Kind, ReportReply};
-use crate::store::CHUNK;
 use crate::time::millis;
 use std::collections::HashSet;
 
 /// Most commands in one message to a worker: keeps it far below 64 KiB. The rest follows in the next one.
 pub(super) const COMMANDS_PER_MESSAGE: usize = 300;
-/// Longest pause between two tries of a job that fails everywhere.
-const LONGEST_RETRY_DELAY_MS: u64 = 60_000;
 /// Images remembered for a machine.
 const IMAGES_PER_MACHINE: usize = 24;
 
@@ -190,8 +186,8 @@
     /// Whether a line belongs to a job of which nothing may run any more: one cancelled, or gone from the store before this
     /// epoch began.
     fn over(&self, line: &TaskReport) -> bool {
-        let job = split_task(&line.task).and_then(|(job, _)| self.job_index.get(job));
-        job.is_none_or(|j| self.job(*j).ended)
+        let job = split_task(&line.task).and_then(|(job, _)| self.jobs.index_of(job));
+        job.is_none_or(|j| self.job(j).cancelled)
     }
 
     /// The report is the newest under the current token: it is the truth about its machine, but for starts on their way:
@@ -223,7 +219,7 @@
     /// The task that a worker names, if its job is known here.
     pub(super) fn find_task(&self, name: &str) -> Option<TaskId> {
         let (job, number) = split_task(name)?;
-        let job = *self.job_index.get(job)?;
+        let job = self.jobs.index_of(job)?;
         Some(TaskId { job, number })
     }
 
@@ -324,7 +320,7 @@
             Phase::Running
         };
         let job = self.job(task.job);
-        if !job.active.contains_key(&task.number) && !bit(&job.done, task.number) {
+        if !job.active.contains_key(&task.number) && !job.done.contains(task.number) {
             self.apply_event(
                 task,
                 TaskEvent::Adopt {
@@ -334,8 +330,8 @@
                 },
             );
             // Its line may have left the log.
-            self.log.wants(task, i, line.attempt);
-            if self.job(task.job).ended {
+            self.start_log.enqueue(task, i, line.attempt);
+            if self.job(task.job).cancelled {
                 self.apply_event(task, TaskEvent::Stop { save: false });
             }
         }
@@ -345,7 +341,7 @@
         };
         listed.insert(task);
         if let Some(a) = self.job_mut(task.job).active.get_mut(&task.number) {
-            a.shown = true;
+            a.reported = true;
         }
         if let Phase::Stopping { save } = a.phase {
             if !(save && line.state == TaskState::Saving) {
@@ -385,7 +381,7 @@
                 continue;
             }
             tracing::info!(job = %self.job(task.job).record.spec.id, task = task.number, machine = %self.machine(i).name, "task gone");
-            lost |= !a.shown && !a.direct && a.token == r.token;
+            lost |= !a.reported && !a.direct && a.token == r.token;
             self.apply_event(task, TaskEvent::Gone);
         }
         lost
@@ -394,7 +390,7 @@
     /// Whether a start may still be on its way to a worker that has sent this report. One sent under an older token is
     /// void: the worker has seen this one.
     fn under_way(&self, i: MachineIndex, a: &TaskAttempt, r: &Report, arrival: Arrival) -> bool {
-        !a.shown
+        !a.reported
             && a.token == r.token
             && if a.direct {
                 self.machine(i).direct
@@ -420,7 +416,7 @@
         }
         if a.phase != phase {
             let (job, machine) = (self.job(task.job), self.machine(i));
-            let age_ms = self.now.saturating_sub(job.submitted);
+            let age_ms = self.now.saturating_sub(job.submitted_at);
             let held = machine.images.contains(&image);
             tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name, ?phase, held, age_ms, "task");
         }
@@ -465,26 +461,29 @@
         active: Option<TaskAttempt>,
     ) -> bool {
         let job = self.job(task.job);
-        if reason == Some(ExitReason::Done) && job.record.spec.kind != Kind::Service && !job.ended {
-            if !bit(&job.done, task.number) {
+        if reason == Some(ExitReason::Done)
+            && job.record.spec.kind != Kind::Service
+            && !job.cancelled
+        {
+            if !job.done.contains(task.number) {
                 if job.active.contains_key(&task.number) && active.is_none() {
                     // The same task is at work elsewhere; this result is kept until that has ended.
                     return false;
                 }
                 self.finish(i, task, active);
             }
-            return bit(&self.job(task.job).saved, task.number);
+            return self.job(task.job).saved.contains(task.number);
         }
         let Some(a) = active else { return true };
         self.apply_event(task, TaskEvent::Gone);
-        if a.stops() {
+        if a.is_stopping() {
             return true;
         }
         let now = self.now;
         match reason {
             Some(ExitReason::Error) => self.failed(i, task.job),
             Some(ExitReason::NoRoom) => self.machine_mut(i).not_before = now + 3000,
-            Some(ExitReason::Unknown) => self.job_mut(task.job).not_before = now + 2000,
+            Some(ExitReason::Unknown) => self.job_mut(task.job).retry_at = now + 2000,
             _ => {}
         }
         true
@@ -493,22 +492,15 @@
     fn finish(&mut self, i: MachineIndex, task: TaskId, active: Option<TaskAttempt>) {
         let now = self.now;
         let job = self.job_mut(task.job);
-        set_bit(&mut job.done, task.number);
-        job.done_n += 1;
-        job.returned.remove(&task.number);
-        job.failures = 0;
-        self.dirty
-            .entry((task.job, task.number / CHUNK))
-            .or_insert(now);
+        job.record_result(task.number);
+        self.jobs.mark_unsaved(task, now);
         if let Some(a) = active {
             if a.phase == Phase::Running {
-                let took = now.saturating_sub(a.since) as f64;
+                let took_ms = now.saturating_sub(a.since) as f64;
                 let job = self.job_mut(task.job);
-                job.finished_n += 1;
-                job.mean_ms += (took - job.mean_ms) / f64::from(job.finished_n);
-                let (class, mean, n) = (job.class, job.mean_ms, job.finished_n);
-                if n > 1 && mean > 0.0 {
-                    self.machine_mut(i).c.measure(class, took / mean);
+                let class = job.class;
+                if let Some(ratio) = job.record_run_time(took_ms) {
+                    self.machine_mut(i).c.measure(class, ratio);
                 }
             }
             self.machine_mut(i).errors.clear();
@@ -523,13 +515,8 @@
     fn failed(&mut self, i: MachineIndex, j: JobIndex) {
         let now = self.now;
         let job = self.job_mut(j);
-        job.failures += 1;
-        job.failed_on.insert(i);
-        let (fails_everywhere, proven) = (job.fails_everywhere(now), job.proven(now));
-        if fails_everywhere {
-            job.not_before = now + (1000u64 << job.failures.min(6)).min(LONGEST_RETRY_DELAY_MS);
-        }
-        if !proven && job.failed_on.len() >= 2 {
+        job.record_failure(i, now);
+        if !job.is_proven(now) && job.failures.machine_count() >= 2 {
             self.clear_suspicion(j);
             return;
         }
@@ -601,9 +588,7 @@
                 self.outbox.insert(i);
                 return;
             }
-            let job = self.jobs[task.job]
-                .as_mut()
-                .expect("accounted tasks belong to a present job");
+            let job = &mut self.jobs[task.job];
             let Some(a) = job.active.get_mut(&task.number) else {
                 continue;
             };
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -1,344 +1,247 @@
-//! The start log: a start is sent only after its line here is durable, so that a new leader knows from the store alone which
-//! tasks an unheard machine may hold, and that it holds no others.
+//! The start log: a write-ahead log of task starts in the state service.
 //!
-//! The log is a small set of slots, one key each. An append takes a slot of which little is still at work, carries that
-//! over and adds the new lines: one write, nothing to delete, and the number of slots follows the tasks at work. A line of
-//! a task that has ended since stays until its slot is taken; of two lines for one task the larger attempt is the later
-//! one, and it was written after the earlier one had been proven gone.
+//! A start is sent only after its entry here is durable. So a new leader knows from the store alone which tasks a machine
+//! that has not reported yet may hold, and that it holds no others.
+//!
+//! The log is a small set of slots, one key of the store each. A write replaces one slot: it keeps the slot's entries of
+//! tasks that are still active and adds new ones. One write is enough, nothing has to be deleted, and the number of slots
+//! follows the number of active tasks. The entry of a task that has ended stays until its slot is written again. Of two
+//! entries for one task the one with the larger attempt is the later one; it was written after the earlier attempt had been
+//! proven gone.
+
+mod replay;
+mod text;
 
-use super::index::MachineIndex;
-use super::jobs::bit;
-use super::tasks::{Phase, TaskEvent, TaskId};
+pub use replay::StoredSlot;
+pub(super) use text::is_loggable_name;
+
+use super::attempt::{Phase, TaskEvent, TaskId};
+use super::index::{JobIndex, MachineIndex};
 use super::Scheduler;
 use std::collections::{BTreeMap, VecDeque};
-use std::fmt::Write;
 
-/// A start that is or will be in the log.
+/// How many slots are examined for each write.
+const SLOTS_EXAMINED: usize = 4;
+/// About the length of an entry's text, with its share of the names of its machine and job.
+const TYPICAL_ENTRY_BYTES: usize = 48;
+/// An entry's text is shorter than this in nearly every case.
+const LONG_ENTRY_BYTES: usize = 128;
+
+/// A start in the log: an attempt of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Line {
+pub(super) struct LogEntry {
     task: TaskId,
     machine: MachineIndex,
     attempt: u64,
 }
 
-/// The latest start of a task in the log.
-#[derive(Debug, Clone, Copy)]
-struct LatestStart {
-    /// None if the machine is no longer known.
-    machine: Option<MachineIndex>,
-    attempt: u64,
-}
-
+/// A slot as the leader last wrote or read it.
 #[derive(Debug, Default)]
 struct Slot {
     version: u64,
-    lines: Vec<Line>,
+    entries: Vec<LogEntry>,
 }
 
 /// The log as its leader knows it.
 #[derive(Debug, Default)]
 pub(super) struct StartLog {
-    wanted: VecDeque<Line>,
+    /// Entries that are in no write yet, the oldest first.
+    unwritten: VecDeque<LogEntry>,
     slots: BTreeMap<u32, Slot>,
-    cursor: u32,
+    /// The slot that was examined last.
+    last_examined: u32,
 }
 
 impl StartLog {
-    /// An assigned start needs its line.
-    pub(super) fn wants(&mut self, task: TaskId, machine: MachineIndex, attempt: u64) {
-        self.wanted.push_back(Line {
+    /// Adds an entry, which is durable after one of the next writes.
+    pub(super) fn enqueue(&mut self, task: TaskId, machine: MachineIndex, attempt: u64) {
+        self.unwritten.push_back(LogEntry {
             task,
             machine,
             attempt,
         });
     }
 
-    /// Whether lines wait to be written.
-    pub(super) fn has_wanted(&self) -> bool {
-        !self.wanted.is_empty()
+    /// Whether entries wait to be written.
+    pub(super) fn has_unwritten(&self) -> bool {
+        !self.unwritten.is_empty()
+    }
+
+    /// The version that a slot must have to be written; 0 for a new one.
+    fn version(&self, slot: u32) -> u64 {
+        self.slots.get(&slot).map_or(0, |slot| slot.version)
     }
 }
 
-/// A write that makes starts durable.
+/// A job with starts in a write of the log.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct LoggedJob {
+    /// Id.
+    pub id: String,
+    /// The version of its record, which must still be there: the job must be unfinished when its starts become durable.
+    pub version: u64,
+}
+
+/// A write of the log, which makes starts durable.
 #[derive(Debug)]
-pub struct Append {
+pub struct SlotWrite {
     /// Slot.
     pub slot: u32,
     /// Version that the slot must have.
     pub version: u64,
     /// Its new contents.
     pub text: String,
-    /// Jobs of the new starts, with the versions of their records: they must be unfinished still.
-    pub jobs: Vec<(String, u64)>,
-    lines: Vec<Line>,
-    fresh: Vec<Line>,
-}
-
-/// A line as it stands in the text: machine, its address, job, task, attempt.
-type Read<'a> = (&'a str, &'a str, &'a str, u32, u64);
-
-/// Reads a slot's text; what is not understood is left out.
-fn parse(text: &str) -> Vec<Read<'_>> {
-    let mut out = Vec::new();
-    for machine in text.split(';') {
-        let mut words = machine.split(' ');
-        let (Some(name), Some(address)) = (words.next(), words.next()) else {
-            continue;
-        };
-        let mut job = None;
-        for word in words {
-            if let Some(id) = word.strip_prefix('/') {
-                job = Some(id);
-            } else if let (Some(id), Some((t, a))) = (job, word.split_once('.')) {
-                if let (Ok(t), Ok(a)) = (t.parse(), u64::from_str_radix(a, 16)) {
-                    out.push((name, address, id, t, a));
-                }
-            }
-        }
-    }
-    out
-}
-
-/// Whether a name can stand in the log.
-pub(super) fn plain(name: &str) -> bool {
-    !name.is_empty()
-        && name.len() <= 100
-        && !name.contains([' ', ';', '/', '"', '\\'])
-        && name.is_ascii()
+    /// Jobs of the new starts.
+    pub jobs: Vec<LoggedJob>,
+    /// All entries of the slot.
+    entries: Vec<LogEntry>,
+    /// Those that were not in the log before.
+    new_entries: Vec<LogEntry>,
 }
 
 impl Scheduler {
-    fn at_work(&self, l: &Line) -> bool {
-        let job = self.jobs[l.task.job].as_ref();
-        job.and_then(|j| j.active.get(&l.task.number))
-            .is_some_and(|a| a.attempt == l.attempt && a.machine == l.machine)
-    }
-
-    /// The next write of the log, at most `limit` bytes long and of starts of at most `most` jobs; none if no start waits
-    /// for its line.
-    pub fn append(&mut self, limit: usize, most: usize) -> Option<Append> {
-        let mut wanted = std::mem::take(&mut self.log.wanted);
-        wanted.retain(|l| self.at_work(l));
-        if wanted.is_empty() {
+    /// The next write of the log, at most `max_bytes` long and with starts of at most `max_jobs` jobs; none if no entry waits
+    /// to be written.
+    pub fn next_log_write(&mut self, max_bytes: usize, max_jobs: usize) -> Option<SlotWrite> {
+        let mut unwritten = std::mem::take(&mut self.start_log.unwritten);
+        unwritten.retain(|entry| self.is_current(entry));
+        if unwritten.is_empty() {
             return None;
         }
-        // A few slots are looked at in turn: the one with the least at work is taken, if that is little.
-        let numbers: Vec<u32> = self.log.slots.keys().copied().collect();
-        let from = numbers.partition_point(|n| *n <= self.log.cursor);
-        let mut some = (0..numbers.len().min(4)).map(|k| numbers[(from + k) % numbers.len()]);
-        let live = |p: &Self, n: u32| {
-            p.log.slots[&n]
-                .lines
-                .iter()
-                .filter(|l| p.at_work(l))
-                .count()
-        };
-        let best = some.clone().map(|n| (live(self, n), n)).min();
-        self.log.cursor = some.next_back().unwrap_or(0);
-        let (slot, mut lines) = match best.filter(|(n, _)| n * 48 <= limit / 2) {
-            Some((_, n)) => (
-                n,
-                self.log.slots[&n]
-                    .lines
-                    .iter()
-                    .copied()
-                    .filter(|l| self.at_work(l))
-                    .collect(),
-            ),
-            None => (numbers.last().map_or(0, |n| n + 1), Vec::new()),
-        };
-        let version = self.log.slots.get(&slot).map_or(0, |s| s.version);
-        let (mut text, mut fresh, mut jobs) = (self.text(&lines), Vec::new(), Vec::new());
-        while !wanted.is_empty() && text.len() < limit {
+        let (slot, mut entries) = self.choose_slot(max_bytes);
+        let mut text = self.slot_text(&entries);
+        let mut new_entries = Vec::new();
+        let mut jobs = Vec::new();
+        while !unwritten.is_empty() && text.len() < max_bytes {
             // As many as surely fit, then again with what is left.
-            let room = (limit - text.len()) / 128;
-            let mut n = 0;
-            for l in wanted.iter().take(room) {
-                // What a report has shown is there, whatever has become of its job; only a start needs its job.
-                let starts = self
-                    .job(l.task.job)
-                    .active
-                    .get(&l.task.number)
-                    .is_some_and(|a| a.phase == Phase::Assigned);
-                if starts && !jobs.contains(&l.task.job) {
-                    if jobs.len() == most {
-                        break;
-                    }
-                    jobs.push(l.task.job);
-                }
-                n += 1;
-            }
-            if n == 0 {
+            let fitting = (max_bytes - text.len()) / LONG_ENTRY_BYTES;
+            let count = self.count_writable(unwritten.iter().take(fitting), &mut jobs, max_jobs);
+            if count == 0 {
                 break;
             }
-            fresh.extend(wanted.drain(..n));
-            lines.extend(&fresh[fresh.len() - n..]);
-            text = self.text(&lines);
+            new_entries.extend(unwritten.drain(..count));
+            entries.extend(&new_entries[new_entries.len() - count..]);
+            text = self.slot_text(&entries);
         }
-        self.log.wanted = wanted;
-        let jobs = jobs
-            .into_iter()
-            .map(|j| (self.job(j).record.spec.id.clone(), self.job(j).version))
-            .collect();
-        (!fresh.is_empty()).then_some(Append {
+        self.start_log.unwritten = unwritten;
+        if new_entries.is_empty() {
+            return None;
+        }
+        Some(SlotWrite {
             slot,
-            version,
+            version: self.start_log.version(slot),
             text,
-            jobs,
-            lines,
-            fresh,
+            jobs: jobs.into_iter().map(|job| self.logged_job(job)).collect(),
+            entries,
+            new_entries,
         })
     }
 
-    fn text(&self, lines: &[Line]) -> String {
-        let mut sorted: Vec<&Line> = lines.iter().collect();
-        sorted.sort_unstable_by_key(|l| (l.machine, l.task));
-        let mut out = String::with_capacity(lines.len() * 24);
-        let (mut machine, mut job) = (None, None);
-        for l in sorted {
-            if machine != Some(l.machine) {
-                let m = self.machine(l.machine);
-                let address = if plain(&m.address) {
-                    m.address.as_str()
-                } else {
-                    "-"
-                };
-                let _ = write!(
-                    out,
-                    "{}{} {address}",
-                    if machine.is_some() { ";" } else { "" },
-                    m.name
-                );
-                (machine, job) = (Some(l.machine), None);
-            }
-            if job != Some(l.task.job) {
-                let _ = write!(out, " /{}", self.job(l.task.job).record.spec.id);
-                job = Some(l.task.job);
-            }
-            let _ = write!(out, " {}.{:x}", l.task.number, l.attempt);
-        }
-        out
+    /// The slot to be written next, and its entries that are still current.
+    ///
+    /// A few slots are examined in turn. The one with the fewest current entries is written again if they take at most half
+    /// of the space; otherwise a new slot is used.
+    fn choose_slot(&mut self, max_bytes: usize) -> (u32, Vec<LogEntry>) {
+        let log = &self.start_log;
+        let numbers: Vec<u32> = log.slots.keys().copied().collect();
+        let first = numbers.partition_point(|number| *number <= log.last_examined);
+        let mut examined = (0..numbers.len().min(SLOTS_EXAMINED))
+            .map(|offset| numbers[(first + offset) % numbers.len()]);
+        let emptiest = examined
+            .clone()
+            .map(|number| (self.current_entries(number).count(), number))
+            .min()
+            .filter(|(count, _)| count * TYPICAL_ENTRY_BYTES <= max_bytes / 2);
+        let chosen = match emptiest {
+            Some((_, number)) => (number, self.current_entries(number).collect()),
+            None => (numbers.last().map_or(0, |last| last + 1), Vec::new()),
+        };
+        self.start_log.last_examined = examined.next_back().unwrap_or(0);
+        chosen
     }
 
-    /// A write is durable: its starts may be sent.
-    pub fn appended(&mut self, done: Append, version: u64) {
-        self.log.slots.insert(
-            done.slot,
-            Slot {
-                version,
-                lines: done.lines,
-            },
-        );
-        for l in done.fresh {
-            if self.at_work(&l) {
-                self.apply_event(l.task, TaskEvent::Log);
-            }
-        }
+    /// The entries of a slot that are still current.
+    fn current_entries(&self, slot: u32) -> impl Iterator<Item = LogEntry> + '_ {
+        self.start_log.slots[&slot]
+            .entries
+            .iter()
+            .copied()
+            .filter(|entry| self.is_current(entry))
     }
 
-    /// A write failed, or its fate is unknown: its starts wait for another. `found` is what the slot holds now.
-    pub fn not_appended(&mut self, failed: Append, found: Option<(u64, &str)>) {
-        for l in failed.fresh.into_iter().rev() {
-            self.log.wanted.push_front(l);
-        }
-        if let Some((version, text)) = found {
-            let lines = parse(text)
-                .into_iter()
-                .filter_map(|r| self.line(r))
-                .collect();
-            self.log.slots.insert(failed.slot, Slot { version, lines });
+    /// Whether an entry's attempt is the one that is, or may be, on its machine.
+    fn is_current(&self, entry: &LogEntry) -> bool {
+        let job = self.jobs.get(entry.task.job);
+        job.and_then(|job| job.active.get(&entry.task.number))
+            .is_some_and(|active| {
+                active.attempt == entry.attempt && active.machine == entry.machine
+            })
+    }
+
+    /// How many of the entries may be in one write that has starts of at most `max_jobs` jobs. Their jobs are added to `jobs`.
+    fn count_writable<'a>(
+        &self,
+        entries: impl Iterator<Item = &'a LogEntry>,
+        jobs: &mut Vec<JobIndex>,
+        max_jobs: usize,
+    ) -> usize {
+        let mut count = 0;
+        for entry in entries {
+            let job = entry.task.job;
+            if self.is_to_start(entry) && !jobs.contains(&job) {
+                if jobs.len() == max_jobs {
+                    break;
+                }
+                jobs.push(job);
+            }
+            count += 1;
         }
+        count
     }
 
-    fn line(&self, (name, _, job, number, attempt): Read) -> Option<Line> {
-        let machine = *self.machine_index.get(name)?;
-        let job = *self.job_index.get(job)?;
-        (number < self.job(job).tasks()).then_some(Line {
-            task: TaskId { job, number },
-            machine,
-            attempt,
-        })
+    /// Whether an entry is of a start that is still to be sent. What a heartbeat has shown is there, whatever has become of
+    /// its job; only a start needs an unfinished job.
+    fn is_to_start(&self, entry: &LogEntry) -> bool {
+        self.attempt(entry.task)
+            .is_some_and(|active| active.phase == Phase::Assigned)
     }
 
-    /// The epoch before kept no log: places nothing until every lease of it has surely run out or been renewed by this one.
-    pub fn wait_for_lease_expiry(&mut self) {
-        self.place_from = self.now
-            + self.params.grace_ms
-            + self.params.lease_ms
-            + (self.params.grace_ms + self.params.lease_ms) / 100
-            + 1000;
+    fn logged_job(&self, job: JobIndex) -> LoggedJob {
+        let job = self.job(job);
+        LoggedJob {
+            id: job.record.spec.id.clone(),
+            version: job.version,
+        }
     }
 
-    /// Takes in the log of earlier epochs, after the machines and jobs: each task's last line says where it may be.
-    /// Machines that no rental names any more were released, and lines of jobs that are over are of no interest.
-    pub fn inherit<'a>(&mut self, slots: impl Iterator<Item = (u32, u64, &'a str)>) {
-        let mut last: BTreeMap<TaskId, LatestStart> = BTreeMap::new();
-        for (slot, version, text) in slots {
-            let mut lines = Vec::new();
-            for read in parse(text) {
-                let Some(line) = self.line(read) else {
-                    // Of its machine nothing is left, but the line may be the last word on its task.
-                    if let (Some(&job), false) = (self.job_index.get(read.2), self.knows(read.0)) {
-                        let gone = LatestStart {
-                            machine: None,
-                            attempt: read.4,
-                        };
-                        let known = last
-                            .entry(TaskId {
-                                job,
-                                number: read.3,
-                            })
-                            .or_insert(gone);
-                        if known.attempt < gone.attempt {
-                            *known = gone;
-                        }
-                    }
-                    continue;
-                };
-                let m = self.machine_mut(line.machine);
-                if m.address.is_empty() && read.1 != "-" {
-                    m.address = read.1.to_string();
-                }
-                lines.push(line);
-                // What was started there has its image there, or on its way. Without this a new leader knew no holders but on
-                // machines that it had heard, and when a cut zone was back, all of it fetched anew.
-                let image = self.job(line.task.job).image;
-                self.hold_image(line.machine, image);
-                let start = LatestStart {
-                    machine: Some(line.machine),
-                    attempt: line.attempt,
-                };
-                let known = last.entry(line.task).or_insert(start);
-                if known.attempt < start.attempt {
-                    *known = start;
-                }
+    /// A write is durable: its starts may be sent.
+    pub fn log_write_applied(&mut self, write: SlotWrite, version: u64) {
+        let slot = Slot {
+            version,
+            entries: write.entries,
+        };
+        self.start_log.slots.insert(write.slot, slot);
+        for entry in write.new_entries {
+            if self.is_current(&entry) {
+                self.apply_event(entry.task, TaskEvent::Log);
             }
-            self.log.slots.insert(slot, Slot { version, lines });
         }
-        for (task, start) in last {
-            let Some(machine) = start.machine else {
-                continue;
-            };
-            // A stored result was reported by the task's last attempt: nothing of it runs any more.
-            if bit(&self.job(task.job).done, task.number) {
-                continue;
-            }
-            self.apply_event(
-                task,
-                TaskEvent::Adopt {
-                    machine,
-                    attempt: start.attempt,
-                    phase: Phase::Sent,
-                },
-            );
-            if self.job(task.job).ended {
-                self.apply_event(task, TaskEvent::Stop { save: false });
-            }
-            // An earlier leader may have renewed its lease until its authority to do so ended.
-            let until = self.now + self.params.grace_ms + self.params.grace_ms / 500;
-            let m = self.machine_mut(machine);
-            m.contacted = true;
-            m.last_answer = until;
+    }
+
+    /// A write failed, or its outcome is unknown: its starts wait for another one. `found` is what the slot holds now: its
+    /// version and its text.
+    pub fn log_write_failed(&mut self, write: SlotWrite, found: Option<(u64, &str)>) {
+        for entry in write.new_entries.into_iter().rev() {
+            self.start_log.unwritten.push_front(entry);
+        }
+        if let Some((version, text)) = found {
+            let entries = text::parse(text)
+                .into_iter()
+                .filter_map(|stored| self.resolve(&stored))
+                .collect();
+            self.start_log
+                .slots
+                .insert(write.slot, Slot { version, entries });
         }
     }
 }
--- /dev/null
+++ b/src/scheduler/task_events.rs
@@ -0,0 +1,167 @@
+//! The one function for every change of a task, and what follows from a change: usage, counts, commands.
+
+use super::attempt::{Phase, TaskAttempt, TaskEvent, TaskId, Transition};
+use super::index::MachineIndex;
+use super::Scheduler;
+
+impl Scheduler {
+    /// The attempt of a task that is or may be on a machine.
+    pub(super) fn attempt(&self, task: TaskId) -> Option<&TaskAttempt> {
+        self.jobs[task.job].active.get(&task.number)
+    }
+
+    /// The one function for every change of a task.
+    pub(super) fn apply_event(&mut self, task: TaskId, event: TaskEvent) {
+        let old = self.attempt(task).copied();
+        let new = match Transition::of(old, event, self.now) {
+            Transition::Unchanged => return,
+            Transition::To(attempt) => Some(attempt),
+            Transition::Gone => None,
+        };
+        self.replace_attempt(task, old, new);
+        if new.is_none() {
+            self.stop_broken_gang(task);
+        }
+        self.count_change(task, old, new);
+        self.request_follow_up(task, old, new);
+    }
+
+    /// Puts a task's new state in the place of its old one.
+    fn replace_attempt(
+        &mut self,
+        task: TaskId,
+        old: Option<TaskAttempt>,
+        new: Option<TaskAttempt>,
+    ) {
+        let now = self.now;
+        let job = &mut self.jobs[task.job];
+        match (old, new) {
+            (None, Some(new)) => {
+                job.last_placed_at = now;
+                job.active.insert(task.number, new);
+                self.reserve(task, new.machine);
+            }
+            (Some(old), None) => {
+                job.active.remove(&task.number);
+                if !job.done.contains(task.number) {
+                    job.pending.put_back(task.number);
+                }
+                self.free(task, old.machine);
+            }
+            (Some(_), Some(new)) => {
+                job.active.insert(task.number, new);
+            }
+            (None, None) => {}
+        }
+    }
+
+    /// A gang that has lost a task is stopped, to start again as a whole.
+    fn stop_broken_gang(&mut self, task: TaskId) {
+        let job = self.job(task.job);
+        if !job.is_gang() || job.done.contains(task.number) {
+            return;
+        }
+        let save = job.saves_checkpoints();
+        for number in job.active.keys().copied().collect::<Vec<_>>() {
+            let other = TaskId { number, ..task };
+            self.apply_event(other, TaskEvent::Stop { save });
+        }
+    }
+
+    /// Keeps the counts of running and stopping tasks.
+    fn count_change(&mut self, task: TaskId, old: Option<TaskAttempt>, new: Option<TaskAttempt>) {
+        let is_running =
+            |attempt: Option<TaskAttempt>| attempt.is_some_and(|a| a.is_running_or_stopping());
+        let is_stopping = |attempt: Option<TaskAttempt>| attempt.is_some_and(|a| a.is_stopping());
+        let job = &mut self.jobs[task.job];
+        job.running = job.running + u32::from(is_running(new)) - u32::from(is_running(old));
+        let amount = job.task_resources.quota();
+        match (job.team, is_stopping(old), is_stopping(new)) {
+            (Some(team), false, true) => self.quotas.begin_eviction(team, amount),
+            (Some(team), true, false) => self.quotas.end_eviction(team, amount),
+            _ => {}
+        }
+        if let Some(attempt) = new.or(old) {
+            let machine = self.machine_mut(attempt.machine);
+            machine.stopping =
+                machine.stopping + u32::from(is_stopping(new)) - u32::from(is_stopping(old));
+        }
+    }
+
+    /// Asks for what has to follow a change: an entry in the start log, a command, a new scheduling pass.
+    fn request_follow_up(
+        &mut self,
+        task: TaskId,
+        old: Option<TaskAttempt>,
+        new: Option<TaskAttempt>,
+    ) {
+        let Some(machine) = new.or(old).map(|attempt| attempt.machine) else {
+            return;
+        };
+        match new {
+            Some(new) if new.phase == Phase::Assigned && !new.logged => {
+                self.start_log.enqueue(task, machine, new.attempt);
+            }
+            Some(new) if new.phase == Phase::Assigned || (new.is_stopping() && !new.stop_sent) => {
+                self.outbox.insert(machine);
+            }
+            // Only resources that have come free can let something else be placed.
+            None => self.changed = true,
+            _ => {}
+        }
+    }
+
+    /// A task takes its resources on a machine, and counts for its team and its zone.
+    fn reserve(&mut self, task: TaskId, machine: MachineIndex) {
+        let job = &mut self.jobs[task.job];
+        let amount = job.task_resources;
+        let service_cpu_milli = if job.is_service() {
+            amount.cpu_milli
+        } else {
+            0
+        };
+        if let Some(team) = job.team {
+            self.quotas.charge(team, amount.quota());
+        }
+        let machine = self.machines[machine]
+            .as_mut()
+            .expect("tasks are assigned to present machines");
+        *job.active_by_zone.entry(machine.zone).or_default() += 1;
+        machine.tasks.insert(task);
+        machine.service_cpus += service_cpu_milli;
+        machine.free = machine.free.saturating_sub(amount);
+        machine.idle_since = None;
+    }
+
+    /// A task is proven to be on a machine no more: its resources are free, and it no longer counts.
+    fn free(&mut self, task: TaskId, machine: MachineIndex) {
+        let job = &mut self.jobs[task.job];
+        let amount = job.task_resources;
+        let service_cpu_milli = if job.is_service() {
+            amount.cpu_milli
+        } else {
+            0
+        };
+        if let Some(team) = job.team {
+            self.quotas.release(team, amount.quota());
+        }
+        let machine = self.machines[machine]
+            .as_mut()
+            .expect("tasks are on present machines");
+        *job.active_by_zone.entry(machine.zone).or_default() -= 1;
+        machine.tasks.remove(&task);
+        machine.service_cpus -= service_cpu_milli;
+        // Computed anew: more may be there than fits, so what a task has left need not be what it took.
+        let capacity = self.machine_types.capacity(machine.machine_type);
+        machine.free = machine
+            .tasks
+            .iter()
+            .filter_map(|task| self.jobs.get(task.job))
+            .fold(capacity, |free, job| {
+                free.saturating_sub(job.task_resources)
+            });
+        if machine.tasks.is_empty() {
+            machine.idle_since = Some(self.now);
+        }
+    }
+}
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -352,7 +352,7 @@
     w.tick(202_500);
     assert!(!w
         .scheduler
-        .job(w.scheduler.job_index["wk-3"])
+        .job(w.scheduler.jobs.index_of("wk-3").unwrap())
         .active
         .is_empty());
 }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -11,6 +11,7 @@
 use crate::protocol::{
     Command, ExitReason, JobSpec, Kind, Priority, Report, TaskReport, TaskState,
 };
+use crate::resources::QuotaResources;
 use crate::store::LiveRecord;
 
 const LEASE: u64 = 12_000;
@@ -135,18 +136,18 @@
                 format!("{m} 1.2.3.4:9 /{job} {t}.{attempt:x}")
             })
             .collect();
-        self.scheduler.inherit(
-            slots
-                .iter()
-                .enumerate()
-                .map(|(i, s)| (i as u32, 50, s.as_str())),
-        );
+        self.scheduler
+            .replay_start_log(slots.iter().enumerate().map(|(i, s)| StoredSlot {
+                number: i as u32,
+                version: 50,
+                text: s.as_str(),
+            }));
     }
 
     /// Makes the lines of assigned starts durable.
     fn log(&mut self) {
-        while let Some(append) = self.scheduler.append(8000, 60) {
-            self.scheduler.appended(append, 200);
+        while let Some(append) = self.scheduler.next_log_write(8000, 60) {
+            self.scheduler.log_write_applied(append, 200);
         }
     }
 
@@ -220,6 +221,18 @@
         self.tell_token(machine, self.token(), tasks)
     }
 
+    /// CPUs in thousandths that a team uses.
+    fn cpu_milli_in_use(&self, team: &str) -> u64 {
+        let quotas = &self.scheduler.quotas;
+        quotas.in_use(quotas.team(team).unwrap()).cpu_milli
+    }
+
+    /// CPUs in thousandths of a team that are being evicted.
+    fn cpu_milli_being_evicted(&self, team: &str) -> u64 {
+        let quotas = &self.scheduler.quotas;
+        quotas.being_evicted(quotas.team(team).unwrap()).cpu_milli
+    }
+
     /// Lets time pass tick by tick, as a node that has its processor does.
     fn pass_to(&mut self, now: u64) {
         while self.scheduler.now + 500 < now {
@@ -245,6 +258,18 @@
     (w.scheduler, "n-1")
 }
 
+fn counts(done: u32, running: u32) -> TaskCounts {
+    TaskCounts { done, running }
+}
+
+/// A job with starts in a write of the log.
+fn logged(id: &str, version: u64) -> LoggedJob {
+    LoggedJob {
+        id: id.into(),
+        version,
+    }
+}
+
 /// The starts among orders.
 fn starts(orders: &[Command]) -> Vec<(String, u64)> {
     let start = |o: &Command| match o {
@@ -285,19 +310,19 @@
             format!(
                 "{} ended {} pending {} zones {:?} active {:?} before {} turn {:?}\n",
                 j.record.spec.id,
-                j.ended,
+                j.cancelled,
                 j.pending(),
-                j.zone_use,
+                j.active_by_zone,
                 j.active,
-                j.not_before,
+                j.retry_at,
                 j.record.spec.together
             )
         };
         let machines: String = self.machines().map(machine).collect();
         let jobs: String = self.jobs().map(job).collect();
         format!(
-            "now {} use {:?}\n{machines}{jobs}{:?}",
-            self.now, self.team_use, self.log
+            "now {} quotas {:?}\n{machines}{jobs}{:?}",
+            self.now, self.quotas, self.start_log
         )
     }
 }
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -270,7 +270,7 @@
         .collect();
     assert_eq!(stopped, ["wk-1/0", "wk-9/0"]);
     // It counts until it is gone.
-    assert_eq!(w.scheduler.team_use[0].cpu_milli, 4000);
+    assert_eq!(w.cpu_milli_in_use("t"), 4000);
 }
 
 #[test]
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -1,6 +1,7 @@
 //! Where tasks go: limits, zones, priorities, preemption, holders.
 
 use super::*;
+use crate::placement::ResourceClass;
 
 #[test]
 fn a_team_stays_within_its_limit_across_epochs_and_cancellations() {
@@ -350,9 +351,15 @@
     w.scheduler.direct_answer(&got, Some(&r));
     // The holder is full and a little faster than the machine that has room.
     let holder = w.scheduler.machine_index[&got.machine];
-    w.scheduler.machine_mut(holder).c.measure(0, 0.95);
+    w.scheduler
+        .machine_mut(holder)
+        .c
+        .measure(ResourceClass::Cpu, 0.95);
     let other = MachineIndex::from_position(1 - holder.position());
-    w.scheduler.machine_mut(other).c.measure(0, 1.0);
+    w.scheduler
+        .machine_mut(other)
+        .c
+        .measure(ResourceClass::Cpu, 1.0);
     w.job(
         JobSpec {
             kind: Kind::Service,
@@ -397,10 +404,10 @@
         },
         102,
     );
-    let ending = |w: &World| w.scheduler.team_ending[0].cpu_milli;
+    let ending = |w: &World| w.cpu_milli_being_evicted("t");
     for _ in 0..3 {
         w.tick(1200);
-        w.scheduler.make_room();
+        w.scheduler.preempt_for_production();
         // One task saves and ends, once.
         assert_eq!(ending(&w), 2000);
     }
@@ -414,7 +421,7 @@
         },
         103,
     );
-    w.scheduler.make_room();
+    w.scheduler.preempt_for_production();
     assert_eq!(ending(&w), 2000);
 }
 
@@ -440,8 +447,8 @@
         102,
     );
     w.tick(1200);
-    w.scheduler.make_room();
-    assert_eq!(w.scheduler.team_ending[0].cpu_milli, 4000);
+    w.scheduler.preempt_for_production();
+    assert_eq!(w.cpu_milli_being_evicted("t"), 4000);
 }
 
 #[test]
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -68,7 +68,7 @@
     assert_eq!(got.len(), 1);
     w.tell("n-1", &[("wk-1/0", got[0].1, TaskState::Running, None)]);
     assert!(w.answer(&late).is_empty());
-    assert_eq!(w.scheduler.counts("wk-1"), Some((0, 1)));
+    assert_eq!(w.scheduler.task_counts("wk-1"), Some(counts(0, 1)));
 }
 
 #[test]
@@ -121,7 +121,11 @@
     w.tell("n-1", &[done(0), done(1)]);
     assert_eq!(
         w.scheduler.complete_jobs(),
-        vec![("wk-1".to_string(), 101, 2)]
+        vec![CompleteJob {
+            id: "wk-1".to_string(),
+            version: 101,
+            tasks: 2
+        }]
     );
 }
 
@@ -210,7 +214,7 @@
     for copy in [&empty, &running, &exited, &running] {
         assert!(w.answer(copy).is_empty());
     }
-    assert_eq!(w.scheduler.counts("wk-1"), Some((1, 0)));
+    assert_eq!(w.scheduler.task_counts("wk-1"), Some(counts(1, 0)));
     // Nor does a copy renew what is assumed of the lease or pass for a sign of life.
     let m = w.scheduler.machines().next().unwrap().1;
     assert_eq!((m.last_answer, m.last_heard), (5000, 5000));
@@ -330,7 +334,7 @@
     w.inherit(&[("n-1", "wk-1/0", 9)]);
     w.tell("n-1", &[("wk-1/0", 7, TaskState::Running, None)]);
     assert!(starts(&w.tell("n-2", &[])).is_empty());
-    assert_eq!(w.scheduler.counts("wk-1"), Some((0, 1)));
+    assert_eq!(w.scheduler.task_counts("wk-1"), Some(counts(0, 1)));
 }
 
 #[test]
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -35,9 +35,12 @@
     w.machine("n-1", "a");
     w.job(spec("wk-1", 2), 101);
     w.scheduler.place();
-    let first = w.scheduler.append(8000, 60).expect("two starts wait");
+    let first = w
+        .scheduler
+        .next_log_write(8000, 60)
+        .expect("two starts wait");
     assert!(
-        w.scheduler.append(8000, 60).is_none(),
+        w.scheduler.next_log_write(8000, 60).is_none(),
         "their lines are being written"
     );
     let r = w.report("n-1", w.token(), &[]);
@@ -51,11 +54,14 @@
     assert!(w.scheduler.direct(9).is_empty());
     // The write failed since the slot had changed: an earlier write without an answer had gone through after all.
     w.scheduler
-        .not_appended(first, Some((150, "n-1 - /wk-1 0.1")));
-    let again = w.scheduler.append(8000, 60).expect("they wait again");
+        .log_write_failed(first, Some((150, "n-1 - /wk-1 0.1")));
+    let again = w
+        .scheduler
+        .next_log_write(8000, 60)
+        .expect("they wait again");
     assert_eq!((again.slot, again.version), (0, 150));
     let text = again.text.clone();
-    w.scheduler.appended(again, 151);
+    w.scheduler.log_write_applied(again, 151);
     let sent = w.scheduler.direct(9);
     let got = starts(&sent[0].orders);
     assert_eq!(got.len(), 2);
@@ -70,9 +76,9 @@
         &[(&got[1].0, got[1].1, TaskState::Running, None)],
     );
     w.scheduler.direct_answer(&sent[0], Some(&answer));
-    let third = w.scheduler.append(8000, 60).or_else(|| {
+    let third = w.scheduler.next_log_write(8000, 60).or_else(|| {
         w.scheduler.place();
-        w.scheduler.append(8000, 60)
+        w.scheduler.next_log_write(8000, 60)
     });
     let third = third.expect("the lost task is started again");
     assert_eq!((third.slot, third.version), (0, 151));
@@ -89,19 +95,16 @@
     w.job(spec("wk-1", 1), 101);
     w.job(spec("wk-2", 1), 102);
     w.scheduler.place();
-    let append = w.scheduler.append(8000, 60).unwrap();
-    assert_eq!(
-        append.jobs,
-        vec![("wk-1".to_string(), 101), ("wk-2".to_string(), 102)]
-    );
+    let append = w.scheduler.next_log_write(8000, 60).unwrap();
+    assert_eq!(append.jobs, vec![logged("wk-1", 101), logged("wk-2", 102)]);
     // Another node has confirmed the cancellation of one, which this one's mirror does not show yet: the write is refused,
     // and says why.
     w.scheduler.drop_job("wk-1");
-    w.scheduler.not_appended(append, None);
-    let again = w.scheduler.append(8000, 60).unwrap();
-    assert_eq!(again.jobs, vec![("wk-2".to_string(), 102)]);
+    w.scheduler.log_write_failed(append, None);
+    let again = w.scheduler.next_log_write(8000, 60).unwrap();
+    assert_eq!(again.jobs, vec![logged("wk-2", 102)]);
     assert!(!again.text.contains("wk-1"));
-    w.scheduler.appended(again, 200);
+    w.scheduler.log_write_applied(again, 200);
     let sent = w.scheduler.direct(9);
     assert_eq!(starts(&sent[0].orders).len(), 1);
     assert_eq!(starts(&sent[0].orders)[0].0, "wk-2/0");
@@ -114,10 +117,10 @@
     (0..5).for_each(|n| w.job(spec(&format!("wk-{n}"), 2), 100 + n));
     w.scheduler.place();
     let mut written = Vec::new();
-    while let Some(a) = w.scheduler.append(8000, 2) {
+    while let Some(a) = w.scheduler.next_log_write(8000, 2) {
         assert!(a.jobs.len() <= 2);
-        written.extend(a.jobs.iter().map(|(id, _)| id.clone()));
-        w.scheduler.appended(a, 200 + written.len() as u64);
+        written.extend(a.jobs.iter().map(|job| job.id.clone()));
+        w.scheduler.log_write_applied(a, 200 + written.len() as u64);
     }
     written.sort();
     written.dedup();
--- /dev/null
+++ b/src/scheduler/unplaceable.rs
@@ -0,0 +1,49 @@
+//! Requests for which no machine was found, so that others like them need not be tried.
+
+use super::index::{MachineTypeIndex, ZoneIndex};
+use super::job::Job;
+use crate::resources::Resources;
+
+/// Most requests that are remembered.
+const MAX_REQUESTS: usize = 64;
+
+/// Requests that found no machine in a pass. Free resources only shrink in a pass, so a job that asks for as much or more,
+/// with as little choice or less, need not be tried.
+#[derive(Default)]
+pub(super) struct UnplaceableRequests(Vec<UnplaceableRequest>);
+
+struct UnplaceableRequest {
+    task_resources: Resources,
+    spot: bool,
+    machine_types: Option<Vec<MachineTypeIndex>>,
+    zone: Option<ZoneIndex>,
+}
+
+impl UnplaceableRequest {
+    /// Whether a job, too, would find no machine.
+    fn covers(&self, job: &Job) -> bool {
+        job.task_resources.covers(self.task_resources)
+            && (self.spot || !job.spec().spot)
+            && (self.machine_types.is_none() || self.machine_types == job.machine_types)
+            && (self.zone.is_none() || self.zone == job.zone)
+    }
+}
+
+impl UnplaceableRequests {
+    /// Whether a job is known to find no machine.
+    pub(super) fn covers(&self, job: &Job) -> bool {
+        self.0.iter().any(|request| request.covers(job))
+    }
+
+    /// A job has found no machine.
+    pub(super) fn add(&mut self, job: &Job) {
+        if self.0.len() < MAX_REQUESTS {
+            self.0.push(UnplaceableRequest {
+                task_resources: job.task_resources,
+                spot: job.spec().spot,
+                machine_types: job.machine_types.clone(),
+                zone: job.zone,
+            });
+        }
+    }
+}
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -250,7 +250,7 @@
         version: s.revision,
     };
     let (mut w, _) = crate::scheduler::tests::with_a_start_to_log(live.version);
-    let txn = log_txn(&guard(epoch_key(), 1), &w.append(8000, 60).unwrap());
+    let txn = log_txn(&guard(epoch_key(), 1), &w.next_log_write(8000, 60).unwrap());
     assert!(s.run(&abort_txn("wk-1", &live)));
     assert!(!s.run(&txn) && !s.has(starts_key(0)));
     assert_eq!(live_job(&live_key("wk-1")), Some("wk-1"));
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -5,7 +5,7 @@
     LeaderRecord, LiveRecord, Mirror, OverRecord, RentalRecord, Versioned,
 };
 use crate::protocol::{Change, Guard, Txn};
-use crate::scheduler::Append;
+use crate::scheduler::SlotWrite;
 use ciborium::Value;
 use serde::Serialize;
 
@@ -119,14 +119,14 @@
 /// Makes starts durable in a slot of the start log, in the leader's epoch, and only while each of their jobs is unfinished:
 /// of a job whose cancellation is durable nothing is logged any more, and so nothing sent.
 #[must_use]
-pub fn log_txn(epoch: &Guard, append: &Append) -> Txn {
+pub fn log_txn(epoch: &Guard, append: &SlotWrite) -> Txn {
     let key = starts_key(append.slot);
     let mut guards = vec![epoch.clone(), guard(key.clone(), append.version)];
     guards.extend(
         append
             .jobs
             .iter()
-            .map(|(id, version)| guard(live_key(id), *version)),
+            .map(|job| guard(live_key(&job.id), job.version)),
     );
     Txn {
         guards,
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -6,7 +6,7 @@
 };
 use hollowswitch::resources::QuotaResources;
 use hollowswitch::scheduler::{
-    Arrival, Hardware, Origin, Params, ReportOutcome, Scheduler, TeamQuota,
+    Arrival, Hardware, Origin, Params, ReportOutcome, Scheduler, StoredSlot, TeamQuota,
 };
 use hollowswitch::store::{guard, log_txn, LiveRecord};
 use std::collections::HashMap;
@@ -101,7 +101,7 @@
         orders(&mut scheduler, &report("n-2", "b", "a b", token, &[]));
     }
     scheduler.place();
-    let append = scheduler.append(8000, 60).unwrap();
+    let append = scheduler.next_log_write(8000, 60).unwrap();
     // The job of one task comes first, the largest one last.
     let expected = bytes(&[
         b"\xa2\x66guards\x85",
@@ -123,24 +123,32 @@
     assert_eq!(encode(&log_txn(&epoch, &append)), expected);
 }
 
+fn slot(number: u32, version: u64, text: &str) -> StoredSlot<'_> {
+    StoredSlot {
+        number,
+        version,
+        text,
+    }
+}
+
 #[test]
 fn the_start_log_is_read_from_its_text() {
     let mut scheduler = scheduler();
     let slots = [
-        (
+        slot(
             3,
             9,
             "n-1 1.2.3.4:9 /wk-1 0.4000001 2.400000a /wk-2 0.4000003;n-2 - /wk-3 1.4000004",
         ),
         // What is not understood is left out; a larger attempt of a task is its later one.
-        (
+        slot(
             8,
             10,
             "n-1 1.2.3.4:9 /wk-1 0.3ffffff x.1 1.xyz 99.1 /wk-77 0.1;n-2;;n-2 - 0.4000005",
         ),
-        (9, 11, ""),
+        slot(9, 11, ""),
     ];
-    scheduler.inherit(slots.into_iter());
+    scheduler.replay_start_log(slots.into_iter());
     let pending: Vec<(&str, u32)> = scheduler
         .jobs()
         .map(|job| (job.record.spec.id.as_str(), job.pending()))
