--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -25,7 +25,7 @@
         fetch_gb_per_s: 0.1,
         transfer_test: true,
         teams: Vec::new(),
-        finish_ms: HashMap::new(),
+        finish_within: HashMap::new(),
     };
     let kind = |name: &str, price: f64| MachineType {
         name: name.into(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,6 @@
 pub mod config;
 pub mod controller;
 pub mod coordination;
-#[allow(clippy::too_many_lines, reason = "this module has yet to be cleaned")]
 pub mod placement;
 pub mod protocol;
 pub mod resources;
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -154,6 +154,31 @@
         accelerator_milli: u64::MAX,
     };
 
+    /// A guarantee of CPUs and accelerators.
+    #[must_use]
+    pub fn guarantee(cpus: f64, gpus: f64) -> QuotaResources {
+        QuotaResources {
+            cpu_milli: whole_thousandths(cpus),
+            accelerator_milli: whole_thousandths(gpus),
+        }
+    }
+
+    /// A limit of CPUs and accelerators, where 0 means none.
+    #[must_use]
+    pub fn limit(cpus: f64, gpus: f64) -> QuotaResources {
+        let limit = |amount: f64| {
+            if amount > 0.0 {
+                whole_thousandths(amount)
+            } else {
+                u64::MAX
+            }
+        };
+        QuotaResources {
+            cpu_milli: limit(cpus),
+            accelerator_milli: limit(gpus),
+        }
+    }
+
     /// How many times this fits into `available`. A resource of which this takes nothing does not limit it.
     #[must_use]
     pub fn count_fitting(self, available: QuotaResources) -> u32 {
@@ -225,14 +250,22 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-#[expect(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    reason = "float to integer casts saturate, which is what is wanted"
-)]
+/// The difference by which the rounding of floats may miss a whole number.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+
+/// For what is asked for. What is whole but for the rounding of floats is not rounded up.
 fn thousandths_rounded_up(amount: f64) -> u64 {
-    // The small difference keeps what is whole but for the rounding of floats from being rounded up.
-    (amount * 1000.0 - 1e-6).ceil().max(0.0) as u64
+    saturating_u64((amount * 1000.0 - ROUNDING_TOLERANCE).ceil())
+}
+
+/// For quotas. What is whole but for the rounding of floats is not rounded down.
+fn whole_thousandths(amount: f64) -> u64 {
+    saturating_u64((amount * 1000.0 + ROUNDING_TOLERANCE).floor())
+}
+
+/// For what machines have.
+fn thousandths_rounded_down(amount: f64) -> u64 {
+    saturating_u64(amount * 1000.0)
 }
 
 #[expect(
@@ -240,6 +273,6 @@
     clippy::cast_sign_loss,
     reason = "float to integer casts saturate, which is what is wanted"
 )]
-fn thousandths_rounded_down(amount: f64) -> u64 {
-    (amount * 1000.0) as u64
+fn saturating_u64(amount: f64) -> u64 {
+    amount as u64
 }
--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -30,6 +30,15 @@
     },
 }
 
+/// How commands get to a worker.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Route {
+    /// In the reply to its heartbeat.
+    HeartbeatReply,
+    /// In a request to the worker.
+    Direct,
+}
+
 /// A task that is or may be on a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskAttempt {
@@ -38,8 +47,8 @@
     pub(super) phase: Phase,
     /// Since when it is in this phase.
     pub(super) since: u64,
-    /// Its start was sent straight to the worker.
-    pub(super) direct: bool,
+    /// How its start was sent.
+    pub(super) route: Route,
     /// Its entry in the start log is durable: before that it is not sent.
     pub(super) logged: bool,
     /// The token under which the start was sent; zero: by an earlier epoch.
@@ -73,8 +82,8 @@
     Log,
     /// Its start is being sent.
     Send {
-        /// Straight to the worker, rather than in the answer to a heartbeat.
-        direct: bool,
+        /// How it is sent.
+        route: Route,
         /// The token of the message.
         token: FencingToken,
     },
@@ -99,7 +108,7 @@
             attempt,
             phase: Phase::Assigned,
             since: now,
-            direct: false,
+            route: Route::HeartbeatReply,
             logged: false,
             token: FencingToken::ZERO,
             stop_sent: false,
@@ -179,9 +188,9 @@
                 logged: true,
                 ..attempt
             }),
-            TaskEvent::Send { direct, token } if assigned && attempt.logged => {
+            TaskEvent::Send { route, token } if assigned && attempt.logged => {
                 Transition::To(TaskAttempt {
-                    direct,
+                    route,
                     token,
                     ..attempt.in_phase(Phase::Sent, now)
                 })
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -4,13 +4,14 @@
 use super::index::MachineIndex;
 use super::job::Job;
 use super::machine::Machine;
-use super::queue::DEADLINE_SHARE;
 use super::scheduling_pass::Pass;
 use super::Scheduler;
 use crate::placement::{Candidate, Preference};
+use std::time::Duration;
 
-/// No job waits for so long while a machine that fits has free resources (PROTOCOL, additions).
-const LONGEST_WAIT_MS: u64 = 90_000;
+/// A job that has waited for this long takes any machine that fits: 40 % of the 90 s for which a job may wait while there is
+/// one (PROTOCOL, additions).
+const HOLDER_WAIT_LIMIT: Duration = Duration::from_secs(36);
 /// A task that has run for longer than expected is expected to run for this part of its time more.
 const OVERTIME_SHARE: f64 = 0.25;
 
@@ -95,8 +96,7 @@
     /// Whether a job has waited so long that it takes what is free. Slots on holders are expected to come free again and
     /// again, and over a slow link the wait for one may seem worth while for longer than a job may be left waiting.
     pub(super) fn has_waited_long(&self, job: &Job) -> bool {
-        let waited_ms = self.now.saturating_sub(job.last_placed_at);
-        waited_ms as f64 > LONGEST_WAIT_MS as f64 * DEADLINE_SHARE
+        self.elapsed_since(job.last_placed_at) > HOLDER_WAIT_LIMIT
     }
 
     /// CPUs of a machine that no service uses.
@@ -128,12 +128,11 @@
         if job.is_service() {
             return None;
         }
-        let spent_ms = if attempt.phase == Phase::Running {
-            self.now.saturating_sub(attempt.since)
+        let spent_s = if attempt.phase == Phase::Running {
+            self.now.saturating_sub(attempt.since) as f64 / 1000.0
         } else {
-            0
+            0.0
         };
-        let spent_s = spent_ms as f64 / 1000.0;
         let expected_s = job.expected_run_s() / capability;
         // Of what has run for longer than expected nothing says that it will end now: believed to end within a second, such
         // slots kept others waiting for them again and again.
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -1,6 +1,6 @@
 //! Machines: what becomes of them, what is sent to them, what time alone brings.
 
-use super::attempt::{Phase, TaskEvent};
+use super::attempt::{Phase, Route, TaskEvent};
 use super::index::{MachineIndex, MachineTypeIndex, ZoneIndex};
 use super::machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
 use super::reports::Arrival;
@@ -338,7 +338,7 @@
             self.collect_stops(i, &mut orders);
             // A release may take long where the cloud does not answer: what is cancelled there is stopped meanwhile.
             if self.machine(i).state != MachineState::Releasing {
-                self.collect_starts(i, true, &mut orders);
+                self.collect_starts(i, Route::Direct, &mut orders);
             }
             if !orders.is_empty() {
                 let m = self.machine_mut(i);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -54,6 +54,7 @@
 use quota::QuotaLedger;
 use start_log::StartLog;
 use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
 
 /// Bits of a token, and of an attempt, below the epoch.
 const TOKEN_BITS: u32 = 24;
@@ -145,6 +146,11 @@
         }
     }
 
+    /// The time since a moment; none if it is to come.
+    fn elapsed_since(&self, moment: u64) -> Duration {
+        Duration::from_millis(self.now.saturating_sub(moment))
+    }
+
     /// Moves the clock.
     pub fn at(&mut self, now: u64) {
         self.now = self.now.max(now);
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -1,36 +1,33 @@
 //! Fixed numbers of a scheduler, from the settings.
 
+use crate::config;
 use crate::resources::QuotaResources;
-use crate::time::{millis, whole_millis};
+use crate::time::{duration, millis, whole_millis};
 use std::collections::HashMap;
+use std::time::Duration;
 
-/// A team's quota; `u64::MAX` where it has none.
+/// The kind of objectives for the time in which a job is finished.
+const FINISHED: &str = "finished";
+
+/// A team's quota.
 #[derive(Debug, Clone)]
 pub struct TeamQuota {
     /// Name.
     pub name: String,
-    /// Guarantee (CPUs, accelerators).
+    /// Guarantee.
     pub guarantee: QuotaResources,
-    /// Limit (CPUs, accelerators).
+    /// Limit.
     pub limit: QuotaResources,
 }
 
 impl TeamQuota {
-    /// From the settings, where 0 means none.
+    /// From the settings, where a limit of 0 means none.
     #[must_use]
-    pub fn new(t: &crate::config::Team) -> Self {
-        let floor = |x: f64| (x * 1000.0 + 1e-6).floor() as u64;
-        let limit = |x: f64| if x > 0.0 { floor(x) } else { u64::MAX };
+    pub fn new(team: &config::Team) -> Self {
         TeamQuota {
-            name: t.name.clone(),
-            guarantee: QuotaResources {
-                cpu_milli: floor(t.cpus),
-                accelerator_milli: floor(t.gpus),
-            },
-            limit: QuotaResources {
-                cpu_milli: limit(t.cpus_max),
-                accelerator_milli: limit(t.gpus_max),
-            },
+            name: team.name.clone(),
+            guarantee: QuotaResources::guarantee(team.cpus, team.gpus),
+            limit: QuotaResources::limit(team.cpus_max, team.gpus_max),
         }
     }
 }
@@ -40,55 +37,49 @@
 pub struct Params {
     /// Lease of the workers.
     pub lease_ms: u64,
-    /// Time between reports.
+    /// Time between heartbeats.
     pub report_ms: u64,
     /// How long an earlier leader may have renewed leases after its own lease.
     pub grace_ms: u64,
-    /// Group factor.
+    /// Capability of the fastest machine of a group over that of the slowest, at most.
     pub group_factor: f64,
-    /// Fetch rate until measured.
+    /// The fetch rate of images until it is measured.
     pub fetch_gb_per_s: f64,
     /// Whether the transfer test applies.
     pub transfer_test: bool,
-    /// Teams.
+    /// The quotas of the teams.
     pub teams: Vec<TeamQuota>,
-    /// Classes whose jobs are expected to be finished within a time, in milliseconds.
-    pub finish_ms: HashMap<String, u64>,
+    /// Within which time jobs of a class are expected to be finished, for classes with such an objective.
+    pub finish_within: HashMap<String, Duration>,
 }
 
 impl Params {
     /// From the settings.
-    pub fn new(s: &crate::config::Settings) -> Self {
-        let w = &s.platform.deployment.workers;
-        let mut finish_ms: HashMap<String, u64> = HashMap::new();
-        for o in s
-            .platform
-            .deployment
-            .objectives
-            .iter()
-            .filter(|o| o.kind == "finished")
-        {
-            if let (Some(class), Some(within_s)) = (&o.class, o.within_s) {
-                let ms = (within_s * 1000.0).max(0.0) as u64;
-                let known = finish_ms.entry(class.clone()).or_insert(ms);
-                *known = ms.min(*known);
-            }
-        }
+    #[must_use]
+    pub fn new(settings: &config::Settings) -> Self {
+        let deployment = &settings.platform.deployment;
         Params {
-            finish_ms,
-            lease_ms: millis(w.lease_s),
-            report_ms: millis(w.report_s),
-            grace_ms: whole_millis(s.grace_period()),
-            group_factor: s.operator.group_factor,
-            fetch_gb_per_s: s.operator.fetch_gb_per_s,
-            transfer_test: s.operator.transfer_test,
-            teams: s
-                .platform
-                .deployment
-                .teams
-                .iter()
-                .map(TeamQuota::new)
-                .collect(),
+            lease_ms: millis(deployment.workers.lease_s),
+            report_ms: millis(deployment.workers.report_s),
+            grace_ms: whole_millis(settings.grace_period()),
+            group_factor: settings.operator.group_factor,
+            fetch_gb_per_s: settings.operator.fetch_gb_per_s,
+            transfer_test: settings.operator.transfer_test,
+            teams: deployment.teams.iter().map(TeamQuota::new).collect(),
+            finish_within: finish_objectives(&deployment.objectives),
+        }
+    }
+}
+
+/// The shortest time of each class with an objective for finished jobs.
+fn finish_objectives(objectives: &[config::Objective]) -> HashMap<String, Duration> {
+    let mut shortest: HashMap<String, Duration> = HashMap::new();
+    for objective in objectives.iter().filter(|o| o.kind == FINISHED) {
+        if let (Some(class), Some(within_s)) = (&objective.class, objective.within_s) {
+            let within = duration(within_s);
+            let known = shortest.entry(class.clone()).or_insert(within);
+            *known = within.min(*known);
         }
     }
+    shortest
 }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -5,14 +5,14 @@
 use super::Scheduler;
 use crate::protocol::Priority;
 use crate::resources::Resources;
-use crate::time::millis;
+use crate::time::{duration, millis};
+use std::time::Duration;
 
-/// The largest jobs, too, must begin within this time (PROTOCOL, additions).
-const FIRST_TASK_DEADLINE_MS: u64 = 240_000;
-/// The share of a deadline that is left to others.
-pub(super) const DEADLINE_SHARE: f64 = 0.4;
-/// A job that is late by this many times its deadline is very late.
-const VERY_LATE_FACTOR: u64 = 3;
+/// A job that has waited for this long for its first task comes first: 40 % of the 240 s within which the largest jobs,
+/// too, must begin (PROTOCOL, additions).
+const FIRST_TASK_WAIT_LIMIT: Duration = Duration::from_secs(96);
+/// A job that is unfinished after this many times its deadline is very late.
+const VERY_LATE_FACTOR: u32 = 3;
 
 /// A job's place in the queue; the least is served first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -80,12 +80,12 @@
         if job.is_service() {
             return Urgency::InTime { work: submitted_at };
         }
-        let age = self.now.saturating_sub(submitted_at);
+        let age = self.elapsed_since(submitted_at);
         let has_begun = job.done.count() > 0 || !job.active.is_empty();
-        if !has_begun && age as f64 > FIRST_TASK_DEADLINE_MS as f64 * DEADLINE_SHARE {
+        if !has_begun && age > FIRST_TASK_WAIT_LIMIT {
             return Urgency::Overdue { submitted_at };
         }
-        match self.deadline_ms(job) {
+        match self.deadline(job) {
             Some(deadline) if age > deadline.saturating_mul(VERY_LATE_FACTOR) => {
                 Urgency::Overdue { submitted_at }
             }
@@ -97,11 +97,11 @@
     }
 
     /// The time within which a job should be finished, if there is one: its own deadline or its class's objective.
-    fn deadline_ms(&self, job: &Job) -> Option<u64> {
+    fn deadline(&self, job: &Job) -> Option<Duration> {
         let spec = job.spec();
         spec.deadline_s
-            .map(millis)
-            .or_else(|| self.params.finish_ms.get(&spec.class).copied())
+            .map(duration)
+            .or_else(|| self.params.finish_within.get(&spec.class).copied())
     }
 
     /// The least that a task of these jobs takes of each resource. What has less is of no use for any of them.
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -1,6 +1,6 @@
 //! Reports: what workers say of their machines, and what follows from it.
 
-use super::attempt::{Phase, TaskAttempt, TaskEvent, TaskId};
+use super::attempt::{Phase, Route, TaskAttempt, TaskEvent, TaskId};
 use super::index::{ImageIndex, JobIndex, MachineIndex};
 use super::machine::MachineState;
 use super::{ReportOutcome, Scheduler, TOKEN_BITS};
@@ -156,7 +156,7 @@
                 },
             );
         } else if arrival == (Arrival::Report { may_start: true }) {
-            self.collect_starts(i, false, orders);
+            self.collect_starts(i, Route::HeartbeatReply, orders);
             if orders.len() < COMMANDS_PER_MESSAGE && !self.machine(i).direct {
                 self.outbox.remove(&i);
             }
@@ -381,7 +381,7 @@
                 continue;
             }
             tracing::info!(job = %self.job(task.job).record.spec.id, task = task.number, machine = %self.machine(i).name, "task gone");
-            lost |= !a.reported && !a.direct && a.token == r.token;
+            lost |= !a.reported && a.route == Route::HeartbeatReply && a.token == r.token;
             self.apply_event(task, TaskEvent::Gone);
         }
         lost
@@ -392,10 +392,9 @@
     fn under_way(&self, i: MachineIndex, a: &TaskAttempt, r: &Report, arrival: Arrival) -> bool {
         !a.reported
             && a.token == r.token
-            && if a.direct {
-                self.machine(i).direct
-            } else {
-                !arrival.is_report()
+            && match a.route {
+                Route::Direct => self.machine(i).direct,
+                Route::HeartbeatReply => !arrival.is_report(),
             }
     }
 
@@ -556,7 +555,7 @@
     pub(super) fn collect_starts(
         &mut self,
         i: MachineIndex,
-        direct: bool,
+        route: Route,
         orders: &mut Vec<Command>,
     ) {
         for task in self.machine(i).tasks.clone() {
@@ -571,12 +570,13 @@
                 let name = self.task_name(task);
                 let (machine, epoch) = (&self.machine(i).name, self.epoch);
                 let token = self.token(self.machine(i));
+                let direct = route == Route::Direct;
                 tracing::info!(job = %self.job(task.job).record.spec.id, task = task.number, %machine, epoch, direct, "start");
                 orders.push(Command::Start {
                     task: name,
                     attempt: a.attempt,
                 });
-                self.apply_event(task, TaskEvent::Send { direct, token });
+                self.apply_event(task, TaskEvent::Send { route, token });
             }
         }
     }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -75,7 +75,7 @@
             fetch_gb_per_s: 0.1,
             transfer_test: true,
             teams: vec![team("t", 0), team("u", 4000)],
-            finish_ms: HashMap::new(),
+            finish_within: HashMap::new(),
         };
         let mut scheduler = Scheduler::new(params, 5, 1000);
         let kind = MachineType {
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -25,7 +25,7 @@
             guarantee: QuotaResources::ZERO,
             limit: QuotaResources::UNLIMITED,
         }],
-        finish_ms: HashMap::new(),
+        finish_within: HashMap::new(),
     };
     let mut scheduler = Scheduler::new(params, 5, 1000);
     scheduler.set_types(&[machine_type()]);
