--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -2,10 +2,10 @@
 
 use super::workers::Worker;
 use super::{Simulation, NODES};
+use crate::autoscaler::{release_silent_machines, ScalingPolicy};
 use crate::protocol::{Guard, MachineType};
-use crate::scheduler::{Hardware, MachineState, Origin};
+use crate::scheduler::{Hardware, Origin};
 use crate::store::{self, Decided, RentalRecord};
-use crate::time::millis;
 use rand::Rng;
 use std::time::Duration;
 
@@ -88,13 +88,9 @@
     fn release_machines(&mut self, node: usize) {
         let now = self.now();
         let controller = self.nodes[node].running_mut();
-        let workers = &controller.settings.platform.deployment.workers;
-        let silent_ms = millis((2.0 * workers.report_s + 2.0).max(0.4 * workers.lease_s));
-        let most_ms = 4 * millis(workers.lease_s);
+        let policy = ScalingPolicy::new(&controller.settings);
         let scheduler = controller.scheduler.as_mut().unwrap();
-        for machine in scheduler.silent(silent_ms, most_ms) {
-            scheduler.enter(machine, MachineState::Releasing, "silent");
-        }
+        release_silent_machines(scheduler, &policy);
         for machine in scheduler.leaving(RELEASE_LIMIT) {
             scheduler.machine_gone(&machine);
             let reconciliation = &mut controller.rental_reconciliation;
