--- a/src/controller/cloud/mod.rs
+++ b/src/controller/cloud/mod.rs
@@ -94,13 +94,9 @@
     /// Waits until the request rate allows a call of the cloud.
     async fn await_cloud_call(&self) {
         loop {
-            let permit = self.with_state(|state| {
-                let now = state.now().as_millis();
-                state.cloud_calls.take(now)
-            });
-            match permit {
+            match self.with_state(ControllerState::take_cloud_call) {
                 Ok(()) => return,
-                Err(wait_ms) => sleep(Duration::from_millis(wait_ms)).await,
+                Err(wait) => sleep(wait).await,
             }
         }
     }
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -13,6 +13,7 @@
 mod peer_views;
 mod rental_reconciliation;
 mod replica_changes;
+mod request_limits;
 mod round_timing;
 mod scheduling_round;
 mod start_log;
@@ -29,12 +30,10 @@
 use self::leader_report::LeaderReport;
 use self::leadership_status::LeadershipStatus;
 use self::rental_reconciliation::RentalReconciliation;
+use self::request_limits::RequestLimits;
 use self::round_timing::{PauseDetector, RoundDeadlines};
 use self::store_contact::StoreContact;
 use super::clock::Clock;
-use super::cloud::REQUEST_RATE_SHARE;
-use crate::admission::rate::{RateMeter, TokenBucket};
-use crate::admission::write_admission::{users_share, Pacer};
 use crate::autoscaler::Autoscaler;
 use crate::config::Settings;
 use crate::coordination::cancellations::Cancellations;
@@ -43,17 +42,10 @@
 use crate::coordination::peers::PeerHealth;
 use crate::protocol::MachineType;
 use crate::scheduler::Scheduler;
-use crate::store::{LeaderRecord, Mirror, StoreError};
+use crate::store::{Decided, LeaderRecord, Mirror, StoreError};
 use crate::time::{duration, Timestamp};
 use std::time::Duration;
 
-/// Share of the store's request rate that users' single reads may take on all nodes together; the rest is for leader leases, watches,
-/// the ordering of polls, changes and the leader's books.
-const USER_READS: f64 = 0.25;
-
-/// Over how long the leader's changes are measured.
-const CHANGES_MS: u64 = 2000;
-
 /// The state of a controller.
 pub(super) struct ControllerState {
     pub(super) settings: Settings,
@@ -64,6 +56,7 @@
     /// The scheduler, while this controller leads and has read the store.
     pub(super) scheduler: Option<Scheduler>,
     store_contact: StoreContact,
+    request_limits: RequestLimits,
     round_deadlines: RoundDeadlines,
     pause_detector: PauseDetector,
     pub(super) autoscaler: Autoscaler,
@@ -74,14 +67,6 @@
     pub(super) rental_reconciliation: RentalReconciliation,
     pub(super) rental_requests_made: u64,
     pub(super) pending_reads: PendingReads,
-    pub(super) user_changes: Pacer,
-    /// How often the cloud may be called.
-    pub(super) cloud_calls: TokenBucket,
-    /// How often users' questions may cost a read of the store each: those about jobs that are neither unfinished nor known
-    /// to be final or absent.
-    pub(super) user_reads: TokenBucket,
-    /// The changes that this node makes as the leader.
-    own_changes: RateMeter,
 }
 
 impl ControllerState {
@@ -94,11 +79,8 @@
         let lease_ttl = duration(settings.operator.hold_s);
         let grace_period = settings.grace_period();
         let leadership = Leadership::new(lease_ttl, grace_period);
-        let state = &settings.platform.deployment.state;
-        let user_changes = users_share(state.write_rps, settings.platform.peers.len() + 1, None);
-        let user_reads = state.rps * USER_READS / (settings.platform.peers.len() + 1) as f64;
-        let cloud_rps = settings.platform.deployment.cloud.rps * REQUEST_RATE_SHARE;
         ControllerState {
+            request_limits: RequestLimits::new(&settings),
             settings,
             clock,
             replica: Mirror::default(),
@@ -115,10 +97,6 @@
             rental_reconciliation: RentalReconciliation::default(),
             rental_requests_made: 0,
             pending_reads: PendingReads::default(),
-            user_changes: Pacer::new(user_changes),
-            cloud_calls: TokenBucket::new(cloud_rps, cloud_rps),
-            user_reads: TokenBucket::new(user_reads, user_reads),
-            own_changes: RateMeter::new(CHANGES_MS),
         }
     }
 
@@ -272,8 +250,35 @@
 
     /// Records changes of the store that this controller makes as the leader.
     pub(super) fn record_own_changes(&mut self, changes: usize) {
-        self.own_changes
-            .record(changes, self.clock.now().as_millis());
+        self.request_limits
+            .record_own_changes(changes, self.clock.now());
+    }
+
+    /// Takes a call of the cloud, or tells when one will be allowed.
+    pub(super) fn take_cloud_call(&mut self) -> Result<(), Duration> {
+        self.request_limits.take_cloud_call(self.clock.now())
+    }
+
+    /// Takes a read of the store on behalf of a user, or tells when one will be allowed.
+    pub(super) fn take_user_read(&mut self) -> Result<(), Duration> {
+        self.request_limits.take_user_read(self.clock.now())
+    }
+
+    /// Takes changes of the store by a user, or tells when to repeat the request.
+    pub(super) fn take_user_changes(&mut self, changes: u32) -> Result<(), Duration> {
+        let limit = self.user_change_limit();
+        self.request_limits
+            .take_user_changes(changes, limit, self.clock.now())
+    }
+
+    /// Adapts the rate of users' changes to the store's answer to one of their transactions.
+    pub(super) fn record_user_transaction(&mut self, decided: &Result<Decided, StoreError>) {
+        match decided {
+            Err(StoreError::Busy) => self.request_limits.record_user_changes_refused(),
+            Ok(_) => self.request_limits.record_user_changes_decided(),
+            // Other failures say nothing about the rate.
+            Err(_) => {}
+        }
     }
 
     /// Whether this controller should get users.
--- a/src/controller/state/peer_views.rs
+++ b/src/controller/state/peer_views.rs
@@ -29,13 +29,15 @@
     /// The view of this controller as it sends it unasked. A follower learns the leader's task counts from the answers to its
     /// own views.
     pub(in crate::controller) fn view_without_task_counts(&self) -> View {
-        let now = self.now().as_millis();
+        let now = self.now();
         View {
             node: self.identity().node.clone(),
             epoch: self.newest_epoch(),
             revision: self.replica.revision,
             store_reachable: self.is_store_reachable(),
-            leader_changes_per_s: self.term().map(|_| self.own_changes.per_s(now)),
+            leader_changes_per_s: self
+                .term()
+                .map(|_| self.request_limits.own_change_rate(now)),
             task_counts: None,
         }
     }
@@ -68,17 +70,16 @@
         self.peer_health.record_refusal(self.clock.now());
     }
 
-    /// Adjusts the limit on users' changes of the store to what the leader leaves.
-    pub(in crate::controller) fn adjust_user_change_limit(&mut self) {
+    /// The rate of changes of the store, per second, that the leader leaves to the users of this controller.
+    pub(super) fn user_change_limit(&self) -> f64 {
         let now = self.now();
         let leader_changes_per_s = match self.term() {
-            Some(_) => Some(self.own_changes.per_s(now.as_millis())),
+            Some(_) => Some(self.request_limits.own_change_rate(now)),
             None => self.leader_report.change_rate(now),
         };
         let platform = &self.settings.platform;
         let controllers = platform.peers.len() + 1;
         let write_rps = platform.deployment.state.write_rps;
-        let limit = users_share(write_rps, controllers, leader_changes_per_s);
-        self.user_changes.set_most(limit);
+        users_share(write_rps, controllers, leader_changes_per_s)
     }
 }
--- a/src/controller/user_requests/mod.rs
+++ b/src/controller/user_requests/mod.rs
@@ -15,9 +15,9 @@
 use super::handles::Handles;
 use super::job_status::final_view;
 use super::messages::JobOutcome;
+use super::state::ControllerState;
 use crate::protocol::Txn;
 use crate::store::{self, Decided, OverRecord, StoreError, Versioned};
-use std::time::Duration;
 
 impl Handles {
     /// The final state of a job, if this controller remembers it.
@@ -43,35 +43,20 @@
 
     /// Admits a read of the store on behalf of a user, or tells when to repeat the request.
     fn admit_read(&self) -> Result<(), JobOutcome> {
-        self.with_state(|state| {
-            let now = state.now().as_millis();
-            state
-                .user_reads
-                .take(now)
-                .map_err(|wait_ms| JobOutcome::RetryAfter(Duration::from_millis(wait_ms)))
-        })
+        self.with_state(ControllerState::take_user_read)
+            .map_err(JobOutcome::RetryAfter)
     }
 
     /// Admits a number of changes of the store on behalf of a user, or tells when to repeat the request.
     fn admit_changes(&self, changes: u32) -> Result<(), JobOutcome> {
-        self.with_state(|state| {
-            let now = state.now().as_millis();
-            state.adjust_user_change_limit();
-            state
-                .user_changes
-                .take(changes, now)
-                .map_err(|seconds| JobOutcome::RetryAfter(Duration::from_secs(u64::from(seconds))))
-        })
+        self.with_state(|state| state.take_user_changes(changes))
+            .map_err(JobOutcome::RetryAfter)
     }
 
     /// Runs a user's transaction once and adapts the rate of users' changes to the answer.
     async fn run_user_transaction(&self, transaction: &Txn) -> Result<Decided, StoreError> {
         let decided = self.record_store_answer(self.store.txn(transaction).await);
-        self.with_state(|state| match decided {
-            Err(StoreError::Busy) => state.user_changes.refused(),
-            Ok(_) => state.user_changes.taken(),
-            Err(_) => {}
-        });
+        self.with_state(|state| state.record_user_transaction(&decided));
         decided
     }
 }
