--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -17,12 +17,12 @@
 
 /// Moves machines that have been silent for too long to their release.
 pub fn release_silent_machines(scheduler: &mut Scheduler, policy: &ScalingPolicy) {
-    let silent = scheduler.silent(
+    let silent = scheduler.unresponsive_machines(
         whole_millis(policy.silence_limit),
         whole_millis(policy.zone_silence_limit),
     );
     for machine in silent {
-        scheduler.enter(machine, MachineState::Releasing, "silent");
+        scheduler.set_machine_state(machine, MachineState::Releasing, "silent");
     }
 }
 
@@ -123,18 +123,18 @@
     let mut free = FreeCapacity::new(scheduler, reserves);
     let (mut unneeded, mut overdue) = (Vec::new(), Vec::new());
     for (index, machine) in scheduler.machines() {
-        if machine.state == MachineState::Waiting && scheduler.never_came_up(machine) {
+        if machine.state == MachineState::Waiting && scheduler.boot_timed_out(machine) {
             overdue.push(index);
         } else if let Some(reason) = release_reason(index, machine, &mut free, idle_limit, now) {
             unneeded.push((index, reason));
         }
     }
     for (index, reason) in unneeded {
-        scheduler.enter(index, MachineState::Releasing, reason);
+        scheduler.set_machine_state(index, MachineState::Releasing, reason);
     }
     let given_up = overdue
         .into_iter()
-        .filter_map(|index| scheduler.give_up_boot(index));
+        .filter_map(|index| scheduler.abandon_boot(index));
     given_up
         .map(|(offer, avoid_ms)| DoubtfulOffer {
             offer,
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -125,10 +125,10 @@
     (0..3).for_each(|n| scheduler.add_machine(&format!("n-{n}"), hardware, Origin::Rented));
     scheduler.at(60_000);
     autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(60_000));
-    assert!(scheduler.leaving(9).is_empty());
+    assert!(scheduler.machines_to_release(9).is_empty());
     scheduler.at(62_000);
     autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(62_000));
-    assert_eq!(scheduler.leaving(9).len(), 3);
+    assert_eq!(scheduler.machines_to_release(9).len(), 3);
     // Asked for again at once, it once cost a boot time again and again.
     assert_eq!(
         wanted(&autoscaler, &scheduler, 62_000),
@@ -150,8 +150,8 @@
     scheduler.add_machine("n-9", hardware, Origin::Rented);
     scheduler.at(123_000 + 115_000);
     autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(238_000));
-    assert_eq!(scheduler.leaving(9).len(), 3);
+    assert_eq!(scheduler.machines_to_release(9).len(), 3);
     scheduler.at(123_000 + 121_000);
     autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(244_000));
-    assert_eq!(scheduler.leaving(9).len(), 4);
+    assert_eq!(scheduler.machines_to_release(9).len(), 4);
 }
--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -2,7 +2,7 @@
 
 use super::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest};
 use crate::protocol::{decode, encode, DirectOrders, Report};
-use crate::scheduler::Direct;
+use crate::scheduler::DirectCommands;
 use awc::http::{Method, StatusCode};
 use std::time::Duration;
 
@@ -31,7 +31,10 @@
 ///
 /// # Errors
 /// If no report of this machine arrives.
-pub async fn send_commands(http: &awc::Client, commands: &Direct) -> Result<Report, CommandError> {
+pub async fn send_commands(
+    http: &awc::Client,
+    commands: &DirectCommands,
+) -> Result<Report, CommandError> {
     let body = encode(&DirectOrders {
         token: commands.token,
         session: commands.session,
--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -5,7 +5,7 @@
 use crate::controller::state::ControllerState;
 use crate::controller::state::{UnregisteredMachine, WorkerContact};
 use crate::coordination::leadership::Term;
-use crate::scheduler::{first_token, Direct, Origin};
+use crate::scheduler::{first_token, DirectCommands, Origin};
 use crate::store::{self, guard, Decided, RentalRecord};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -122,8 +122,8 @@
 }
 
 /// Direct commands that ask a worker for a report and nothing else.
-fn empty_command(machine: &str, worker: &WorkerContact, term: Term) -> Direct {
-    Direct {
+fn empty_command(machine: &str, worker: &WorkerContact, term: Term) -> DirectCommands {
+    DirectCommands {
         machine: machine.to_string(),
         address: worker.address.clone(),
         token: first_token(term.epoch),
--- a/src/controller/cloud/machine_list.rs
+++ b/src/controller/cloud/machine_list.rs
@@ -72,13 +72,18 @@
         let is_settled = now > self.leading_since() + lag;
         let scheduler = self.scheduler.as_mut()?;
         for machine in page.machines {
-            match scheduler.index(&machine.id) {
+            match scheduler.machine_index(&machine.id) {
                 Some(index) if machine.state == "failed" => {
-                    scheduler.enter(index, MachineState::Releasing, "failed");
+                    scheduler.set_machine_state(index, MachineState::Releasing, "failed");
                 }
                 Some(index) => {
                     let running = machine.state == "running";
-                    scheduler.listed(index, running, &machine.address, millis(machine.age_s));
+                    scheduler.record_listing(
+                        index,
+                        running,
+                        &machine.address,
+                        millis(machine.age_s),
+                    );
                 }
                 None if is_settled => {
                     self.rental_reconciliation
--- a/src/controller/cloud/releases.rs
+++ b/src/controller/cloud/releases.rs
@@ -40,7 +40,7 @@
     fn releasable_machines(&self) -> Vec<String> {
         match &self.scheduler {
             Some(scheduler) if self.authority() == Authority::Full => {
-                scheduler.leaving(MAX_RELEASE_COUNT)
+                scheduler.machines_to_release(MAX_RELEASE_COUNT)
             }
             _ => Vec::new(),
         }
--- a/src/controller/scheduling_loop.rs
+++ b/src/controller/scheduling_loop.rs
@@ -4,7 +4,7 @@
 use super::state::{ControllerState, RoundOutcome, SendLimits, MIN_ROUND_INTERVAL};
 use crate::clients::permit::while_permitted;
 use crate::clients::worker;
-use crate::scheduler::Direct;
+use crate::scheduler::DirectCommands;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::time::{sleep, timeout};
@@ -45,7 +45,7 @@
     }
 
     /// Sends a message to a worker and handles the answer, beside the loop.
-    fn spawn_send(&self, message: Direct, in_flight: Rc<Cell<usize>>) {
+    fn spawn_send(&self, message: DirectCommands, in_flight: Rc<Cell<usize>>) {
         let handles = self.clone();
         let term = self.read_state(ControllerState::term);
         in_flight.set(in_flight.get() + 1);
--- a/src/controller/state/epoch_start.rs
+++ b/src/controller/state/epoch_start.rs
@@ -43,7 +43,7 @@
             epoch,
             jobs = self.replica.live.len(),
             rentals = self.replica.rentals.len(),
-            unsettled = scheduler.unsettled(),
+            unsettled = scheduler.unreconciled_machines(),
             "epoch started"
         );
         self.scheduler = Some(scheduler);
--- a/src/controller/state/heartbeats.rs
+++ b/src/controller/state/heartbeats.rs
@@ -4,7 +4,7 @@
 use crate::controller::messages::HeartbeatOutcome;
 use crate::coordination::leadership::{Authority, LeadershipEvent};
 use crate::protocol::Report;
-use crate::scheduler::{Arrival, ReportOutcome};
+use crate::scheduler::{HeartbeatDecision, HeartbeatSource};
 use std::time::Instant;
 
 impl ControllerState {
@@ -17,16 +17,16 @@
         let Some(scheduler) = self.scheduler_at_now() else {
             return HeartbeatOutcome::NoLeader;
         };
-        let arrival = Arrival::Report {
+        let arrival = HeartbeatSource::Request {
             may_start: authority == Authority::Full,
         };
-        match scheduler.report(report, arrival) {
-            ReportOutcome::Reply(reply) => HeartbeatOutcome::Reply(reply),
-            ReportOutcome::Superseded => {
+        match scheduler.handle_heartbeat(report, arrival) {
+            HeartbeatDecision::Reply(reply) => HeartbeatOutcome::Reply(reply),
+            HeartbeatDecision::Superseded => {
                 self.apply_leadership_event(LeadershipEvent::TermEnded);
                 HeartbeatOutcome::NoLeader
             }
-            ReportOutcome::UnregisteredMachine => {
+            HeartbeatDecision::UnregisteredMachine => {
                 self.record_unregistered_machine(report);
                 HeartbeatOutcome::NoLeader
             }
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -4,7 +4,7 @@
 use super::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::Report;
-use crate::scheduler::{Direct, Scheduler};
+use crate::scheduler::{DirectCommands, Scheduler};
 use crate::time::Timestamp;
 use std::fmt;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     /// This controller may send nothing.
     Idle,
     /// Messages to send to workers.
-    Send(Vec<Direct>),
+    Send(Vec<DirectCommands>),
     /// This controller should no longer lead.
     StepDown(StepDownReason),
 }
@@ -87,7 +87,7 @@
             return None;
         }
         scheduler.reconsider();
-        if has_peers && scheduler.hears_no_worker() {
+        if has_peers && scheduler.is_isolated_from_workers() {
             return Some(StepDownReason::NoHeartbeats);
         }
         scheduler
@@ -110,19 +110,19 @@
     }
 
     /// Commands for workers, where operators allow direct starts, and probes of workers that are overdue.
-    fn messages_to_send(&mut self, limits: SendLimits, now: Timestamp) -> Vec<Direct> {
+    fn messages_to_send(&mut self, limits: SendLimits, now: Timestamp) -> Vec<DirectCommands> {
         let Some(scheduler) = self.scheduler.as_mut() else {
             return Vec::new();
         };
         let mut messages = if self.settings.operator.direct_starts {
-            scheduler.direct(limits.messages)
+            scheduler.direct_commands(limits.messages)
         } else {
             Vec::new()
         };
         if self.round_deadlines.probes_due(now) {
             let left = limits.messages.saturating_sub(messages.len());
             let limit = left.min(limits.probes);
-            let probes = scheduler.probes(limit);
+            let probes = scheduler.due_probes(limit);
             self.round_deadlines.probes_done(now, probes.len() >= limit);
             messages.extend(probes);
         }
@@ -152,27 +152,27 @@
     pub(in crate::controller) fn may_send_direct(
         &self,
         term: Option<Term>,
-        message: &Direct,
+        message: &DirectCommands,
     ) -> bool {
         self.may_send(term)
             && self
                 .scheduler
                 .as_ref()
-                .is_some_and(|scheduler| scheduler.still_wanted(message))
+                .is_some_and(|scheduler| scheduler.is_still_valid(message))
     }
 
     /// Handles a worker's answer to a message, or its absence. An answer to a message of an earlier term is ignored.
     pub(in crate::controller) fn handle_direct_answer(
         &mut self,
         term: Option<Term>,
-        message: &Direct,
+        message: &DirectCommands,
         answer: Option<&Report>,
     ) {
         if term.is_none() || self.term() != term {
             return;
         }
         if let Some(scheduler) = self.scheduler_at_now() {
-            scheduler.direct_answer(message, answer);
+            scheduler.handle_direct_response(message, answer);
         }
     }
 
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -225,7 +225,14 @@
 fn a_new_leader_starts_nothing_twice() {
     let mut controller = new_leader(stored());
     // Both machines may run something, until they have been heard.
-    assert_eq!(controller.scheduler.as_ref().unwrap().unsettled(), 2);
+    assert_eq!(
+        controller
+            .scheduler
+            .as_ref()
+            .unwrap()
+            .unreconciled_machines(),
+        2
+    );
     let orders = answer(&mut controller, &report("n-1", 1, &N1_TASKS));
     assert_eq!(started_and_stopped(&orders), (vec![], vec!["wk-3/0"]));
     // wk-1/0 is done, wk-1/1 runs here, wk-1/2 may run on n-2; the older line that shows it here is void.
@@ -245,7 +252,14 @@
         let orders = answer(&mut controller, &report("n-2", seq, &on_n2));
         assert!(orders.is_empty(), "{orders:?}");
     }
-    assert_eq!(controller.scheduler.as_ref().unwrap().unsettled(), 0);
+    assert_eq!(
+        controller
+            .scheduler
+            .as_ref()
+            .unwrap()
+            .unreconciled_machines(),
+        0
+    );
 }
 
 #[test]
--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -91,7 +91,7 @@
         let policy = ScalingPolicy::new(&controller.settings);
         let scheduler = controller.scheduler.as_mut().unwrap();
         release_silent_machines(scheduler, &policy);
-        for machine in scheduler.leaving(RELEASE_LIMIT) {
+        for machine in scheduler.machines_to_release(RELEASE_LIMIT) {
             scheduler.machine_gone(&machine);
             let reconciliation = &mut controller.rental_reconciliation;
             reconciliation.record_release(machine.clone(), now);
--- a/src/controller/tests/simulation/cluster/dispatch.rs
+++ b/src/controller/tests/simulation/cluster/dispatch.rs
@@ -4,7 +4,7 @@
 use super::super::{Simulation, STEP};
 use crate::controller::state::{RoundOutcome, SendLimits};
 use crate::protocol::Command;
-use crate::scheduler::Direct;
+use crate::scheduler::DirectCommands;
 use crate::time::whole_millis;
 use rand::Rng;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// Longest delay of direct orders.
 const LONGEST_ORDER_DELAY_MS: u64 = 20_000;
 
-fn starts_tasks(direct: &Direct) -> bool {
+fn starts_tasks(direct: &DirectCommands) -> bool {
     direct
         .orders
         .iter()
--- a/src/controller/tests/simulation/network.rs
+++ b/src/controller/tests/simulation/network.rs
@@ -4,7 +4,7 @@
 use crate::controller::HeartbeatOutcome;
 use crate::coordination::leadership::Term;
 use crate::protocol::{Report, Txn};
-use crate::scheduler::Direct;
+use crate::scheduler::DirectCommands;
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     /// Incarnation of the node's process; another one takes no notice of an answer.
     pub incarnation: u64,
     pub term: Option<Term>,
-    pub direct: Direct,
+    pub direct: DirectCommands,
 }
 
 /// A message under way.
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -115,7 +115,7 @@
 
 /// Direct orders to be sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Direct {
+pub struct DirectCommands {
     /// Machine.
     pub machine: String,
     /// Worker's address.
--- a/src/scheduler/machines.rs
+++ b/src/scheduler/machines.rs
@@ -2,8 +2,8 @@
 
 use super::attempt::{Phase, Route, TaskEvent};
 use super::index::{MachineIndex, MachineTypeIndex, ZoneIndex};
-use super::machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
-use super::reports::Arrival;
+use super::machine::{DirectCommands, Hardware, Machine, MachineState, Offer, Origin};
+use super::reports::HeartbeatSource;
 use super::start_log::is_loggable_name;
 use super::Scheduler;
 use crate::placement::Capability;
@@ -80,7 +80,7 @@
     }
 
     /// The one place where a machine's state changes.
-    pub fn enter(&mut self, i: MachineIndex, next: MachineState, reason: &str) {
+    pub fn set_machine_state(&mut self, i: MachineIndex, next: MachineState, reason: &str) {
         let m = self.machine_mut(i);
         // A release may have been sent: it may execute at any later time, so there is no way back.
         if m.state == next || m.state == MachineState::Releasing {
@@ -125,7 +125,7 @@
 
     /// Machines that may hold tasks of earlier epochs and were neither heard nor outwaited nor released.
     #[must_use]
-    pub fn unsettled(&self) -> usize {
+    pub fn unreconciled_machines(&self) -> usize {
         self.machines()
             .filter(|(_, m)| !m.current && !m.tasks.is_empty())
             .count()
@@ -133,7 +133,7 @@
 
     /// The cloud lists a machine. If it is running, it should be heard from now on. If it starts, its age tells how long it has
     /// been on its way: without it, each new leader would wait anew for machines that never come up.
-    pub fn listed(&mut self, i: MachineIndex, running: bool, address: &str, age_ms: u64) {
+    pub fn record_listing(&mut self, i: MachineIndex, running: bool, address: &str, age_ms: u64) {
         let now = self.now;
         let m = self.machine_mut(i);
         m.listed = true;
@@ -160,7 +160,7 @@
     /// Whether a machine has been on its way for too long to be worth its price any more. One that was heard, or is listed as
     /// running, is judged by its silence instead.
     #[must_use]
-    pub fn never_came_up(&self, m: &Machine) -> bool {
+    pub fn boot_timed_out(&self, m: &Machine) -> bool {
         m.state == MachineState::Waiting
             && !m.contacted
             && self.boot_age_ms(m)
@@ -172,7 +172,7 @@
 
     /// Gives up a machine that has not come up. If its offer is in doubt, tells for how long to ask others: as long as it took
     /// to learn this.
-    pub fn give_up_boot(&mut self, i: MachineIndex) -> Option<(Offer, u64)> {
+    pub fn abandon_boot(&mut self, i: MachineIndex) -> Option<(Offer, u64)> {
         let m = self.machine(i);
         let (offer, nominal_ms, age_ms) = (
             m.offer(),
@@ -183,7 +183,7 @@
         let in_doubt = self
             .boot_times
             .gave_up(offer, nominal_ms, rented_at, self.now);
-        self.enter(i, MachineState::Releasing, "never came up");
+        self.set_machine_state(i, MachineState::Releasing, "never came up");
         in_doubt.then_some((offer, age_ms))
     }
 
@@ -212,7 +212,7 @@
         m.state == MachineState::Waiting && certain && m.tasks.is_empty() && !late
     }
 
-    fn lease_over(&self, m: &Machine) -> bool {
+    fn lease_has_expired(&self, m: &Machine) -> bool {
         self.now
             > m.last_answer.max(m.session_seen)
                 + self.params.lease_ms
@@ -230,7 +230,7 @@
     ///
     /// Those of a zone that is back have the time of a silence from then on: those not heard in its first moments were once
     /// given up at once.
-    pub fn silent(&mut self, silent_ms: u64, lost_ms: u64) -> Vec<MachineIndex> {
+    pub fn unresponsive_machines(&mut self, silent_ms: u64, lost_ms: u64) -> Vec<MachineIndex> {
         for zone in self.zones_out() {
             self.out_at.insert(zone, self.now);
         }
@@ -290,7 +290,7 @@
     /// node that is cut off. A new leader that nobody has answered yet knows sooner, since it asks everybody when it begins: an
     /// new leader cut off like its predecessor once held the leadership until the leases had run out.
     #[must_use]
-    pub fn hears_no_worker(&self) -> bool {
+    pub fn is_isolated_from_workers(&self) -> bool {
         let heard = |m: &Machine| {
             m.reported_at
                 .is_some_and(|at| self.now <= at + self.quiet_ms() + ISOLATION_MARGIN_MS)
@@ -309,7 +309,7 @@
     }
 
     /// This node stood still for a time, or had no processor: what it has not heard meanwhile says nothing of the machines.
-    pub fn stood_still(&mut self, for_ms: u64) {
+    pub fn compensate_process_pause(&mut self, for_ms: u64) {
         for m in self.machines.values_mut().flatten() {
             m.last_heard += for_ms;
             m.reported_at = m.reported_at.map(|at| at + for_ms);
@@ -317,7 +317,7 @@
     }
 
     /// Starts and stops to be sent straight to workers, at most one message a machine at a time.
-    pub fn direct(&mut self, most: usize) -> Vec<Direct> {
+    pub fn direct_commands(&mut self, most: usize) -> Vec<DirectCommands> {
         let mut out = Vec::new();
         for i in self.outbox.clone() {
             if out.len() >= most {
@@ -344,7 +344,7 @@
                 let m = self.machine_mut(i);
                 m.direct = true;
                 m.direct_starts |= orders.iter().any(|o| matches!(o, Command::Start { .. }));
-                out.push(Direct {
+                out.push(DirectCommands {
                     machine,
                     address,
                     token,
@@ -359,7 +359,7 @@
     /// Whether direct commands may still be sent: every start in them is of an attempt that is to run. A connection may take
     /// seconds, in which the job is called off and that is confirmed to its user.
     #[must_use]
-    pub fn still_wanted(&self, direct: &Direct) -> bool {
+    pub fn is_still_valid(&self, direct: &DirectCommands) -> bool {
         direct.orders.iter().all(|command| match command {
             Command::Start { task, attempt } => self.is_to_run(task, *attempt),
             _ => true,
@@ -383,7 +383,7 @@
     /// Machines to be released, those first of which most waits for the proof that they are gone: when many fall together,
     /// the calls take them a hundred at a time.
     #[must_use]
-    pub fn leaving(&self, most: usize) -> Vec<String> {
+    pub fn machines_to_release(&self, most: usize) -> Vec<String> {
         let mut all: Vec<_> = self
             .machines()
             .filter(|(_, m)| m.state == MachineState::Releasing)
@@ -397,7 +397,7 @@
 
     /// Empty orders for machines that are overdue or have not shown the current token yet: the answer is a report under
     /// it, much sooner than the worker's next one. Those that may hold replicas come first, then those with other tasks.
-    pub fn probes(&mut self, most: usize) -> Vec<Direct> {
+    pub fn due_probes(&mut self, most: usize) -> Vec<DirectCommands> {
         let late = self.params.report_ms * 3 / 2 + 500;
         let due = |m: &Machine| {
             m.contacted
@@ -422,7 +422,7 @@
             let m = self.machine_mut(i);
             m.direct = true;
             m.probe_at = again;
-            out.push(Direct {
+            out.push(DirectCommands {
                 machine,
                 address,
                 token,
@@ -435,35 +435,35 @@
 
     /// The answer to direct orders. Without one they may execute minutes later: the token is raised, so that they are
     /// void once the worker has seen it, and until then nothing is concluded from its reports.
-    pub fn direct_answer(&mut self, sent: &Direct, answer: Option<&Report>) {
+    pub fn handle_direct_response(&mut self, sent: &DirectCommands, answer: Option<&Report>) {
         let Some(&i) = self.machine_index.get(&sent.machine) else {
             return;
         };
         self.machine_mut(i).direct = false;
         match answer {
             Some(r) => {
-                self.report(r, Arrival::DirectAnswer);
+                self.handle_heartbeat(r, HeartbeatSource::DirectResponse);
             }
             None if sent.orders.is_empty() => {}
-            None => self.raise(i, "no answer to direct orders"),
+            None => self.advance_fencing_token(i, "no answer to direct orders"),
         }
     }
 
     /// Raises a machine's token: what was sent under the old one is void once the worker has seen the new one. Until it
     /// shows it, it gets no work; if it never does, though it reports, it is replaced like a silent one.
-    pub(super) fn raise(&mut self, i: MachineIndex, reason: &str) {
+    pub(super) fn advance_fencing_token(&mut self, i: MachineIndex, reason: &str) {
         let m = self.machine_mut(i);
         m.counter += 1;
         m.direct_starts = false;
         m.current = false;
-        tracing::info!(machine = %m.name, reason, "token raised");
+        tracing::info!(machine = %m.name, reason, "fencing token advanced");
     }
 
     /// What time alone brings: leases that have surely run out, notices, machines that came back to nothing.
     pub fn tick(&mut self, now: u64) {
         let gap = now.saturating_sub(self.ticked);
         if self.ticked > 0 && gap > TICK_GAP_MS {
-            self.stood_still(gap - TICK_GAP_MS);
+            self.compensate_process_pause(gap - TICK_GAP_MS);
         }
         self.ticked = now;
         self.at(now);
@@ -471,19 +471,19 @@
             let Some(m) = self.machines[i].as_ref() else {
                 continue;
             };
-            if !m.tasks.is_empty() && self.lease_over(m) {
-                tracing::info!(machine = %m.name, tasks = m.tasks.len(), "lease has run out");
+            if !m.tasks.is_empty() && self.lease_has_expired(m) {
+                tracing::info!(machine = %m.name, tasks = m.tasks.len(), "lease expired");
                 for task in m.tasks.clone() {
                     self.apply_event(task, TaskEvent::Gone);
                 }
                 // A worker that comes back is in its next session; nothing meant for the last one may reach it.
-                self.raise(i, "lease has run out");
+                self.advance_fencing_token(i, "lease expired");
             }
             let Some(m) = self.machines[i].as_ref() else {
                 continue;
             };
             let Some(at) = m.notice_at else { continue };
-            self.enter(i, MachineState::Draining, "notice");
+            self.set_machine_state(i, MachineState::Draining, "notice");
             for task in self.machine(i).tasks.clone() {
                 let spec = &self.job(task.job).record.spec;
                 // Work that saves is stopped just in time to save; the rest may still finish.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -38,9 +38,9 @@
 pub use job::Job;
 pub use job_table::DoneChunk;
 pub use jobs::{CompleteJob, TaskCounts};
-pub use machine::{Direct, Hardware, Machine, MachineState, Offer, Origin};
+pub use machine::{DirectCommands, Hardware, Machine, MachineState, Offer, Origin};
 pub use params::{Params, TeamQuota};
-pub use reports::Arrival;
+pub use reports::HeartbeatSource;
 pub use start_log::{LoggedJob, SlotWrite, StoredSlot};
 pub use utilization::Utilization;
 
@@ -71,7 +71,7 @@
 
 /// How a report was taken.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReportOutcome {
+pub enum HeartbeatDecision {
     /// The answer.
     Reply(ReportReply),
     /// The worker has seen a later epoch.
@@ -217,7 +217,7 @@
 
     /// A machine's index.
     #[must_use]
-    pub fn index(&self, machine: &str) -> Option<MachineIndex> {
+    pub fn machine_index(&self, machine: &str) -> Option<MachineIndex> {
         self.machine_index.get(machine).copied()
     }
 
--- a/src/scheduler/reports.rs
+++ b/src/scheduler/reports.rs
@@ -3,7 +3,7 @@
 use super::attempt::{Phase, Route, TaskAttempt, TaskEvent, TaskId};
 use super::index::{ImageIndex, JobIndex, MachineIndex};
 use super::machine::MachineState;
-use super::{ReportOutcome, Scheduler, TOKEN_BITS};
+use super::{HeartbeatDecision, Scheduler, TOKEN_BITS};
 use crate::protocol::{split_task, ExitReason, Report, TaskReport, TaskState};
 use crate::protocol::{Command, Kind, ReportReply};
 use crate::time::millis;
@@ -19,19 +19,19 @@
 
 /// How a report has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Arrival {
-    /// As a report: the answer renews the lease.
-    Report {
+pub enum HeartbeatSource {
+    /// As a request of the worker: the response renews its lease.
+    Request {
         /// Whether the node has the authority to start tasks.
         may_start: bool,
     },
-    /// As the answer to a direct order.
-    DirectAnswer,
+    /// As the response to direct commands.
+    DirectResponse,
 }
 
-impl Arrival {
-    fn is_report(self) -> bool {
-        matches!(self, Arrival::Report { .. })
+impl HeartbeatSource {
+    fn is_request(self) -> bool {
+        matches!(self, HeartbeatSource::Request { .. })
     }
 }
 
@@ -45,19 +45,19 @@
 
 impl Scheduler {
     /// Takes in a report.
-    pub fn report(&mut self, r: &Report, arrival: Arrival) -> ReportOutcome {
+    pub fn handle_heartbeat(&mut self, r: &Report, arrival: HeartbeatSource) -> HeartbeatDecision {
         if r.token.as_u64() >> TOKEN_BITS > self.epoch {
-            return ReportOutcome::Superseded;
+            return HeartbeatDecision::Superseded;
         }
         let Some(&i) = self.machine_index.get(&r.machine) else {
-            return ReportOutcome::UnregisteredMachine;
+            return HeartbeatDecision::UnregisteredMachine;
         };
         let token = self.token(self.machine(i));
-        if arrival.is_report() {
+        if arrival.is_request() {
             self.renew_lease(i, r);
         }
         if (r.session, r.seq) <= self.machine(i).last || r.token > token {
-            return ReportOutcome::Reply(ReportReply {
+            return HeartbeatDecision::Reply(ReportReply {
                 token,
                 orders: Vec::new(),
             });
@@ -77,7 +77,7 @@
                     .map(halt),
             );
         }
-        ReportOutcome::Reply(self.reply(i, orders))
+        HeartbeatDecision::Reply(self.reply(i, orders))
     }
 
     /// Counts the lease of a machine from a report that is about to be answered.
@@ -125,7 +125,7 @@
         &mut self,
         i: MachineIndex,
         r: &Report,
-        arrival: Arrival,
+        arrival: HeartbeatSource,
         another_session: bool,
         orders: &mut Vec<Command>,
     ) {
@@ -140,14 +140,14 @@
         if self.machine(i).state == MachineState::Waiting {
             self.machine_mut(i).idle_since = self.machine(i).tasks.is_empty().then_some(now);
             self.measure_boot(i);
-            self.enter(i, MachineState::Up, "reported");
+            self.set_machine_state(i, MachineState::Up, "reported");
         }
         let lost = self.reconcile(i, r, arrival, orders);
         // A session that ended although its reports were answered, or a start in an answer that was never executed,
         // may mean that the worker hears nothing of us: it has to show a new token before it gets work again. Without
         // this, such a machine took the same tasks again and again and lost them.
         if another_session || lost {
-            self.raise(
+            self.advance_fencing_token(
                 i,
                 if another_session {
                     "another session"
@@ -155,7 +155,7 @@
                     "an answer was lost"
                 },
             );
-        } else if arrival == (Arrival::Report { may_start: true }) {
+        } else if arrival == (HeartbeatSource::Request { may_start: true }) {
             self.collect_starts(i, Route::HeartbeatReply, orders);
             if orders.len() < COMMANDS_PER_MESSAGE && !self.machine(i).direct {
                 self.outbox.remove(&i);
@@ -199,7 +199,7 @@
         &mut self,
         i: MachineIndex,
         r: &Report,
-        arrival: Arrival,
+        arrival: HeartbeatSource,
         orders: &mut Vec<Command>,
     ) -> bool {
         self.drop_replaced_attempts(i, r, arrival);
@@ -247,7 +247,7 @@
 
     /// A live line of another attempt than the one that was sent here, which is not under way any more: that one is what is
     /// here. Taken for a stray, it was once stopped and its task started elsewhere before it had ended.
-    fn drop_replaced_attempts(&mut self, i: MachineIndex, r: &Report, arrival: Arrival) {
+    fn drop_replaced_attempts(&mut self, i: MachineIndex, r: &Report, arrival: HeartbeatSource) {
         for line in r.tasks.iter().filter(|l| l.state != TaskState::Exited) {
             let Some(task) = self.find_task(&line.task) else {
                 continue;
@@ -362,7 +362,7 @@
         &mut self,
         i: MachineIndex,
         r: &Report,
-        arrival: Arrival,
+        arrival: HeartbeatSource,
         listed: &HashSet<TaskId>,
     ) -> bool {
         let absent: Vec<_> = self
@@ -389,12 +389,18 @@
 
     /// Whether a start may still be on its way to a worker that has sent this report. One sent under an older token is
     /// void: the worker has seen this one.
-    fn under_way(&self, i: MachineIndex, a: &TaskAttempt, r: &Report, arrival: Arrival) -> bool {
+    fn under_way(
+        &self,
+        i: MachineIndex,
+        a: &TaskAttempt,
+        r: &Report,
+        arrival: HeartbeatSource,
+    ) -> bool {
         !a.reported
             && a.token == r.token
             && match a.route {
                 Route::Direct => self.machine(i).direct,
-                Route::HeartbeatReply => !arrival.is_report(),
+                Route::HeartbeatReply => !arrival.is_request(),
             }
     }
 
@@ -526,7 +532,7 @@
         m.not_before = now + (2000u64 << m.errors.len().min(4));
         if m.errors.len() >= 2 {
             m.faulty = m.state == MachineState::Up;
-            self.enter(i, MachineState::Draining, "fails tasks of several jobs");
+            self.set_machine_state(i, MachineState::Draining, "fails tasks of several jobs");
             for task in self.machine(i).tasks.clone() {
                 self.apply_event(
                     task,
@@ -546,7 +552,7 @@
             };
             m.errors.retain(|e| *e != j);
             if m.errors.len() < 2 && std::mem::take(&mut m.faulty) && m.notice_at.is_none() {
-                self.enter(i, MachineState::Up, "what failed there fails everywhere");
+                self.set_machine_state(i, MachineState::Up, "what failed there fails everywhere");
             }
         }
     }
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -24,15 +24,16 @@
     ]);
     let asked: Vec<String> = w
         .scheduler
-        .probes(9)
+        .due_probes(9)
         .into_iter()
         .map(|d| d.machine)
         .collect();
     assert_eq!(asked, vec!["n-3", "n-2"]);
     for i in (0..3).map(MachineIndex::from_position) {
-        w.scheduler.enter(i, MachineState::Releasing, "silent");
+        w.scheduler
+            .set_machine_state(i, MachineState::Releasing, "silent");
     }
-    assert_eq!(w.scheduler.leaving(2), vec!["n-3", "n-2"]);
+    assert_eq!(w.scheduler.machines_to_release(2), vec!["n-3", "n-2"]);
 }
 
 #[test]
@@ -154,18 +155,18 @@
     w.inherit(&[("n-2", "wk-2/0", 7)]);
     w.job(spec("wk-1", 1), 101);
     w.tick(2000);
-    let probe = w.scheduler.probes(9);
+    let probe = w.scheduler.due_probes(9);
     assert_eq!(
         probe.iter().map(|d| d.machine.as_str()).collect::<Vec<_>>(),
         vec!["n-2"]
     );
-    let sent = w.scheduler.direct(9);
-    w.scheduler.direct_answer(&sent[0], None);
+    let sent = w.scheduler.direct_commands(9);
+    w.scheduler.handle_direct_response(&sent[0], None);
     w.pass_to(9000);
     // It was once left out, being no longer current, and its tasks waited for the lease.
-    assert_eq!(w.scheduler.silent(5000, 9000).len(), 2);
+    assert_eq!(w.scheduler.unresponsive_machines(5000, 9000).len(), 2);
     // An unanswered probe gave no orders: the token stays.
-    w.scheduler.direct_answer(&probe[0], None);
+    w.scheduler.handle_direct_response(&probe[0], None);
     assert_eq!(
         w.scheduler
             .machines()
@@ -186,13 +187,14 @@
     for s in 1..8 {
         w.tick(2000 + s * 1500);
         assert!(starts(&w.tell("n-1", &[])).is_empty());
-        assert!(w.scheduler.direct(9).is_empty());
+        assert!(w.scheduler.direct_commands(9).is_empty());
     }
     // Whatever it reports under the old token, it is not heard.
-    assert_eq!(w.scheduler.silent(5000, 9000).len(), 1);
+    assert_eq!(w.scheduler.unresponsive_machines(5000, 9000).len(), 1);
     // It holds nothing for ever: another machine gets the task as soon as the release is confirmed.
-    let i = w.scheduler.silent(5000, 9000)[0];
-    w.scheduler.enter(i, MachineState::Releasing, "silent");
+    let i = w.scheduler.unresponsive_machines(5000, 9000)[0];
+    w.scheduler
+        .set_machine_state(i, MachineState::Releasing, "silent");
     w.machine("n-2", "a");
     w.scheduler.machine_gone("n-1");
     w.scheduler.reconsider();
@@ -219,13 +221,13 @@
         w.pass_to(s * 1000);
         tell_some(&mut w, &up);
         assert!(
-            w.scheduler.silent(5000, 40_000).is_empty(),
+            w.scheduler.unresponsive_machines(5000, 40_000).is_empty(),
             "at {s} s the first ones were given up once"
         );
     }
     let a = w.scheduler.zone_index("a").unwrap();
     assert_eq!(w.scheduler.unreachable_zones(), HashSet::from([a]));
-    assert!(!w.scheduler.hears_no_worker());
+    assert!(!w.scheduler.is_isolated_from_workers());
     // One that falls silent in the other zone is given up at once, as ever.
     w.pass_to(8000);
     tell_some(&mut w, &up[1..]);
@@ -233,13 +235,13 @@
         w.pass_to(s * 1000);
         tell_some(&mut w, &up[1..]);
     }
-    assert_eq!(w.scheduler.silent(5000, 40_000).len(), 1);
+    assert_eq!(w.scheduler.unresponsive_machines(5000, 40_000).len(), 1);
     // A zone that stays away is not paid for for ever.
     for s in 14..45 {
         w.pass_to(s * 1000);
         tell_some(&mut w, &up[1..]);
     }
-    assert_eq!(w.scheduler.silent(5000, 40_000).len(), 9);
+    assert_eq!(w.scheduler.unresponsive_machines(5000, 40_000).len(), 9);
 }
 
 #[test]
@@ -249,17 +251,17 @@
     all.iter().for_each(|n| w.machine(n, "a"));
     for s in 2..20 {
         w.pass_to(s * 1000);
-        assert!(w.scheduler.silent(5000, 40_000).is_empty());
+        assert!(w.scheduler.unresponsive_machines(5000, 40_000).is_empty());
     }
     // Most have reported; the others are about to.
     for s in 20..24 {
         w.pass_to(s * 1000);
         all[..5].iter().for_each(|n| drop(w.tell(n, &[])));
-        assert!(w.scheduler.silent(5000, 40_000).is_empty());
+        assert!(w.scheduler.unresponsive_machines(5000, 40_000).is_empty());
     }
     w.pass_to(25_500);
     all[..5].iter().for_each(|n| drop(w.tell(n, &[])));
-    assert_eq!(w.scheduler.silent(5000, 40_000).len(), 3);
+    assert_eq!(w.scheduler.unresponsive_machines(5000, 40_000).len(), 3);
 }
 
 #[test]
@@ -273,13 +275,19 @@
     }
     // It did not run for most of a minute: the reports of that time wait at its door.
     w.scheduler.tick(50_000);
-    assert!(!w.scheduler.hears_no_worker() && w.scheduler.silent(5000, 40_000).is_empty());
+    assert!(
+        !w.scheduler.is_isolated_from_workers()
+            && w.scheduler.unresponsive_machines(5000, 40_000).is_empty()
+    );
     tell_all(&mut w);
     w.pass_to(52_000);
-    assert!(!w.scheduler.hears_no_worker());
+    assert!(!w.scheduler.is_isolated_from_workers());
     // Nobody within the time in which everybody reports: given up before a single lease has run out.
     w.pass_to(53_000);
-    assert!(w.scheduler.hears_no_worker() && w.scheduler.silent(5000, 40_000).is_empty());
+    assert!(
+        w.scheduler.is_isolated_from_workers()
+            && w.scheduler.unresponsive_machines(5000, 40_000).is_empty()
+    );
 }
 
 #[test]
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -61,7 +61,7 @@
     w.scheduler.machine_gone("n-1");
     w.machine("n-2", "b");
     let first = MachineIndex::from_position(0);
-    assert_eq!(w.scheduler.index("n-2"), Some(first));
+    assert_eq!(w.scheduler.machine_index("n-2"), Some(first));
     let machine = w.scheduler.machine(first);
     assert!(machine.images.is_empty() && machine.name == "n-2" && machine.last_live.0 == 1);
     // The task is started anew, with an attempt of its own.
@@ -83,11 +83,11 @@
     w.tell("n-1", &lines(&running));
     w.scheduler.drop_job("wk-1");
     let mut stopped = Vec::new();
-    while let Some(sent) = w.scheduler.direct(9).pop() {
+    while let Some(sent) = w.scheduler.direct_commands(9).pop() {
         assert!(sent.orders.len() <= 300);
         stopped.push(stops(&sent.orders));
         let answer = w.report("n-1", w.token(), &lines(&running));
-        w.scheduler.direct_answer(&sent, Some(&answer));
+        w.scheduler.handle_direct_response(&sent, Some(&answer));
     }
     assert_eq!(stopped, [300, 300, 100]);
 }
@@ -118,7 +118,7 @@
     assert!(!w.scheduler.needs_pass());
     let unchanged = w.report("n-1", w.token(), &lines(&start));
     w.scheduler
-        .report(&unchanged, Arrival::Report { may_start: true });
+        .handle_heartbeat(&unchanged, HeartbeatSource::Request { may_start: true });
     assert!(!w.scheduler.needs_pass());
     // A task that has ended leaves room.
     let ended = [(
@@ -129,6 +129,6 @@
     )];
     let report = w.report("n-1", w.token(), &ended);
     w.scheduler
-        .report(&report, Arrival::Report { may_start: true });
+        .handle_heartbeat(&report, HeartbeatSource::Request { may_start: true });
     assert!(w.scheduler.needs_pass());
 }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -195,9 +195,9 @@
         self.log();
         match self
             .scheduler
-            .report(r, Arrival::Report { may_start: true })
+            .handle_heartbeat(r, HeartbeatSource::Request { may_start: true })
         {
-            ReportOutcome::Reply(reply) => reply.orders,
+            HeartbeatDecision::Reply(reply) => reply.orders,
             other => panic!("{other:?}"),
         }
     }
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -23,7 +23,7 @@
     assert!(starts(&w.tell("n-1", &all)).is_empty());
     // A report under the old token says nothing: an old start may still be on its way to the worker.
     assert!(w.tell_token("n-2", first_token(4), &[]).is_empty());
-    assert_eq!(w.scheduler.unsettled(), 1);
+    assert_eq!(w.scheduler.unreconciled_machines(), 1);
     let mut got = starts(&w.tell("n-2", &[]));
     got.extend(starts(&w.tell("n-1", &all)));
     assert_eq!(got[0].0, "wk-1/1");
@@ -57,7 +57,8 @@
     // Neither runs anything any more, but n-2 has fetched the image.
     for n in ["n-1", "n-2"] {
         let r = w.report(n, w.token(), &[]);
-        w.scheduler.report(&r, Arrival::Report { may_start: true });
+        w.scheduler
+            .handle_heartbeat(&r, HeartbeatSource::Request { may_start: true });
     }
     w.tick(1100);
     assert_eq!(starts(&w.tell("n-1", &[])).len(), 0);
@@ -70,8 +71,9 @@
     w.machine("n-1", "a");
     let r = w.report("n-1", first_token(6), &[]);
     assert_eq!(
-        w.scheduler.report(&r, Arrival::Report { may_start: true }),
-        ReportOutcome::Superseded
+        w.scheduler
+            .handle_heartbeat(&r, HeartbeatSource::Request { may_start: true }),
+        HeartbeatDecision::Superseded
     );
 }
 
@@ -134,16 +136,17 @@
             ("n-2", "wk-1/1", 8),
             ("n-3", "wk-1/2", 9),
         ]);
-        let probes = w.scheduler.probes(9);
+        let probes = w.scheduler.due_probes(9);
         assert_eq!(probes.len(), 3);
         w.pass_to(5500);
-        assert!(!w.scheduler.hears_no_worker());
+        assert!(!w.scheduler.is_isolated_from_workers());
         if answered {
             let answer = w.report(&probes[0].machine, w.token(), &[]);
-            w.scheduler.direct_answer(&probes[0], Some(&answer));
+            w.scheduler
+                .handle_direct_response(&probes[0], Some(&answer));
         }
         w.pass_to(6500);
-        w.scheduler.hears_no_worker()
+        w.scheduler.is_isolated_from_workers()
     };
     assert!(new_leader(false));
     // One answer, by whichever way, and it is the others that are out.
@@ -172,7 +175,12 @@
         .find(|(_, m)| m.name == "n-1")
         .map(|(i, m)| (i, m.current))
         .unwrap();
-    assert!(!n1.1 && w.scheduler.silent(5000, 9000).contains(&n1.0));
+    assert!(
+        !n1.1
+            && w.scheduler
+                .unresponsive_machines(5000, 9000)
+                .contains(&n1.0)
+    );
 }
 
 #[test]
@@ -190,13 +198,13 @@
         2
     );
     let i = w.scheduler.machine_index["n-1"];
-    w.scheduler.listed(i, false, "", 0);
+    w.scheduler.record_listing(i, false, "", 0);
     assert!(w.scheduler.unmet_demand(false).is_empty());
     // Listed as running, it is missed if it does not report.
-    w.scheduler.listed(i, true, "1.2.3.4:9", 0);
+    w.scheduler.record_listing(i, true, "1.2.3.4:9", 0);
     w.pass_to(9000);
-    assert_eq!(w.scheduler.silent(5000, 9000), vec![i]);
-    assert_eq!(w.scheduler.probes(9).len(), 1);
+    assert_eq!(w.scheduler.unresponsive_machines(5000, 9000), vec![i]);
+    assert_eq!(w.scheduler.due_probes(9).len(), 1);
 }
 
 #[test]
@@ -206,9 +214,9 @@
     w.job(spec("wk-1", 1), 50);
     w.inherit(&[("n-1", "wk-1/0", 7)]);
     w.tick(1100);
-    let probe = w.scheduler.probes(9).remove(0);
+    let probe = w.scheduler.due_probes(9).remove(0);
     let answer = w.report("n-1", w.token(), &[]);
-    w.scheduler.direct_answer(&probe, Some(&answer));
+    w.scheduler.handle_direct_response(&probe, Some(&answer));
     // The worker has seen the new token: no start of an earlier epoch is under way to it any more.
     assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 1);
 }
@@ -256,7 +264,9 @@
         ("wk-1/1", 70, done, None),
     ];
     let r = w.report("n-1", first_token(4), &lines);
-    let ReportOutcome::Reply(reply) = w.scheduler.report(&r, Arrival::Report { may_start: false })
+    let HeartbeatDecision::Reply(reply) = w
+        .scheduler
+        .handle_heartbeat(&r, HeartbeatSource::Request { may_start: false })
     else {
         panic!()
     };
@@ -286,9 +296,9 @@
     w.tick(5000);
     // Both were rented 70 s before this epoch began; then the list shows one of them running.
     for i in [late, up] {
-        w.scheduler.listed(i, false, "", 74_000);
+        w.scheduler.record_listing(i, false, "", 74_000);
     }
-    let never = |w: &World, i: MachineIndex| w.scheduler.never_came_up(w.scheduler.machine(i));
+    let never = |w: &World, i: MachineIndex| w.scheduler.boot_timed_out(w.scheduler.machine(i));
     // Past the time in which it was expected, it counts no more as room to come.
     assert_eq!(
         w.scheduler
@@ -299,14 +309,14 @@
         2
     );
     w.pass_to(18_000);
-    w.scheduler.listed(up, true, "1.2.3.4:9", 87_000);
+    w.scheduler.record_listing(up, true, "1.2.3.4:9", 87_000);
     // A list may be older than the one before it, and is no reason to wait longer.
-    w.scheduler.listed(late, false, "", 80_000);
+    w.scheduler.record_listing(late, false, "", 80_000);
     assert!(!never(&w, late));
     // 90 s: 1.5 times twice the nominal 30 s. Counted from the epoch's beginning it was once 72 s more.
     w.pass_to(22_000);
     assert!(never(&w, late) && !never(&w, up));
-    let (offer, pause_ms) = w.scheduler.give_up_boot(late).unwrap();
+    let (offer, pause_ms) = w.scheduler.abandon_boot(late).unwrap();
     assert_eq!(
         (offer, pause_ms),
         (
@@ -318,8 +328,8 @@
             91_000
         )
     );
-    assert_eq!(w.scheduler.leaving(9), ["n-1"]);
+    assert_eq!(w.scheduler.machines_to_release(9), ["n-1"]);
     // A list that nobody can believe does no harm.
-    w.scheduler.listed(up, false, "", u64::MAX);
+    w.scheduler.record_listing(up, false, "", u64::MAX);
     assert!(!never(&w, up));
 }
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -341,14 +341,14 @@
         101,
     );
     w.tick(1100);
-    let got = w.scheduler.direct(9).remove(0);
+    let got = w.scheduler.direct_commands(9).remove(0);
     let task = starts(&got.orders).remove(0);
     let r = w.report(
         &got.machine,
         w.token(),
         &[(task.0.as_str(), task.1, TaskState::Running, None)],
     );
-    w.scheduler.direct_answer(&got, Some(&r));
+    w.scheduler.handle_direct_response(&got, Some(&r));
     // The holder is full and a little faster than the machine that has room.
     let holder = w.scheduler.machine_index[&got.machine];
     w.scheduler
@@ -369,7 +369,7 @@
         102,
     );
     w.tick(1200);
-    assert_eq!(w.scheduler.direct(9).len(), 1);
+    assert_eq!(w.scheduler.direct_commands(9).len(), 1);
 }
 
 #[test]
@@ -387,14 +387,14 @@
         101,
     );
     w.tick(1100);
-    for d in w.scheduler.direct(9) {
+    for d in w.scheduler.direct_commands(9) {
         let got = starts(&d.orders);
         let lines: Vec<_> = got
             .iter()
             .map(|g| (g.0.as_str(), g.1, TaskState::Running, None))
             .collect();
         let r = w.report(&d.machine, w.token(), &lines);
-        w.scheduler.direct_answer(&d, Some(&r));
+        w.scheduler.handle_direct_response(&d, Some(&r));
     }
     w.job(
         JobSpec {
@@ -411,7 +411,7 @@
         // One task saves and ends, once.
         assert_eq!(ending(&w), 2000);
     }
-    let stop = w.scheduler.direct(9).remove(0);
+    let stop = w.scheduler.direct_commands(9).remove(0);
     assert!(matches!(stop.orders[..], [Command::Stop { grace_s, .. }] if grace_s == 3.0));
     // Equal work does not yield.
     w.job(
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -22,15 +22,15 @@
     w.machine("n-1", "a");
     w.job(spec("wk-1", 1), 101);
     w.tick(2000);
-    let sent = w.scheduler.direct(9);
+    let sent = w.scheduler.direct_commands(9);
     assert_eq!(starts(&sent[0].orders).len(), 1);
     // A report that left before the order arrived lacks the task: nothing follows from it while the answer is out.
     assert!(starts(&w.tell("n-1", &[])).is_empty());
-    w.scheduler.direct_answer(&sent[0], None);
+    w.scheduler.handle_direct_response(&sent[0], None);
     // The token was raised; until the worker has seen it, the order may still execute.
     assert!(starts(&w.tell("n-1", &[])).is_empty());
     w.tick(3000);
-    assert!(w.scheduler.direct(9).is_empty());
+    assert!(w.scheduler.direct_commands(9).is_empty());
     let raised = w.token() + 1;
     w.tell_token("n-1", raised, &[]);
     let again = starts(&w.tell_token("n-1", raised, &[]));
@@ -45,8 +45,8 @@
     w.machine("n-2", "a");
     w.job(spec("wk-1", 1), 101);
     w.tick(2000);
-    let sent = w.scheduler.direct(9);
-    w.scheduler.direct_answer(&sent[0], None);
+    let sent = w.scheduler.direct_commands(9);
+    w.scheduler.handle_direct_response(&sent[0], None);
     let other = if sent[0].machine == "n-1" {
         "n-2"
     } else {
@@ -79,8 +79,9 @@
     w.tick(1100);
     let r = w.report("n-1", w.token(), &[]);
     assert_eq!(
-        w.scheduler.report(&r, Arrival::Report { may_start: false }),
-        ReportOutcome::Reply(ReportReply {
+        w.scheduler
+            .handle_heartbeat(&r, HeartbeatSource::Request { may_start: false }),
+        HeartbeatDecision::Reply(ReportReply {
             token: w.token(),
             orders: vec![]
         }),
@@ -90,8 +91,8 @@
     let unregistered = w.report("n-77", w.token(), &[]);
     assert_eq!(
         w.scheduler
-            .report(&unregistered, Arrival::Report { may_start: true }),
-        ReportOutcome::UnregisteredMachine
+            .handle_heartbeat(&unregistered, HeartbeatSource::Request { may_start: true }),
+        HeartbeatDecision::UnregisteredMachine
     );
 }
 
@@ -139,7 +140,7 @@
     // does not have the task yet, but will.
     let got = starts(&w.tell("n-1", &[]));
     assert_eq!(got.len(), 1);
-    let sent = Direct {
+    let sent = DirectCommands {
         machine: "n-1".into(),
         address: String::new(),
         token: w.token(),
@@ -151,7 +152,7 @@
         }],
     };
     let answer = w.report("n-1", w.token(), &[]);
-    w.scheduler.direct_answer(&sent, Some(&answer));
+    w.scheduler.handle_direct_response(&sent, Some(&answer));
     assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 0);
     // Its next report is the truth.
     assert_eq!(
@@ -232,20 +233,23 @@
         101,
     );
     w.tick(2000);
-    let sent = w.scheduler.direct(9);
+    let sent = w.scheduler.direct_commands(9);
     let got = starts(&sent[0].orders);
     let line = |state, reason| [(got[0].0.as_str(), got[0].1, state, reason)];
     let r = w.report("n-1", w.token(), &line(TaskState::Running, None));
-    w.scheduler.direct_answer(&sent[0], Some(&r));
+    w.scheduler.handle_direct_response(&sent[0], Some(&r));
     w.scheduler.drop_job("wk-1");
     let r = w.report(
         "n-1",
         w.token(),
         &line(TaskState::Exited, Some(ExitReason::Stopped)),
     );
-    match w.scheduler.report(&r, Arrival::Report { may_start: true }) {
+    match w
+        .scheduler
+        .handle_heartbeat(&r, HeartbeatSource::Request { may_start: true })
+    {
         // A copy of the direct order carries the old token.
-        ReportOutcome::Reply(reply) => {
+        HeartbeatDecision::Reply(reply) => {
             assert_eq!(reply.token, w.token() + 1);
             assert!(matches!(reply.orders[..], [Command::Forget { .. }]));
         }
@@ -254,7 +258,7 @@
     // The machine goes on taking work.
     w.job(spec("wk-2", 1), 102);
     w.tick(2100);
-    assert_eq!(w.scheduler.direct(9)[0].token, w.token() + 1);
+    assert_eq!(w.scheduler.direct_commands(9)[0].token, w.token() + 1);
 }
 
 #[test]
@@ -264,7 +268,7 @@
     w.machine("n-2", "a");
     w.job(spec("wk-1", 1), 101);
     w.tick(2000);
-    let sent = w.scheduler.direct(9);
+    let sent = w.scheduler.direct_commands(9);
     let host = sent[0].machine.clone();
     let got = starts(&sent[0].orders);
     let lines = [
@@ -277,7 +281,7 @@
         ),
     ];
     let r = w.report(&host, w.token(), &lines);
-    w.scheduler.direct_answer(&sent[0], Some(&r));
+    w.scheduler.handle_direct_response(&sent[0], Some(&r));
     assert_eq!(w.scheduler.jobs().map(Job::pending).sum::<u32>(), 0);
 }
 
@@ -294,20 +298,20 @@
         101,
     );
     w.tick(2000);
-    let sent = w.scheduler.direct(9);
+    let sent = w.scheduler.direct_commands(9);
     let d = sent.iter().find(|d| d.machine == "n-1").unwrap().clone();
     let got = starts(&d.orders);
     let line = [(got[0].0.as_str(), got[0].1, TaskState::Running, None)];
     let r = w.report("n-1", w.token(), &line);
-    w.scheduler.direct_answer(&d, Some(&r));
+    w.scheduler.handle_direct_response(&d, Some(&r));
     // Every report is overtaken by the answer to a probe. It is as old as its tasks, but its worker waits for the answer
     // and counts its lease from it: taken for run out, the task was once started a second time.
     for s in 1..10u64 {
         let overtaken = w.report("n-1", w.token(), &line);
         let answer = w.report("n-1", w.token(), &line);
         w.scheduler.at(2000 + s * 1500);
-        w.scheduler.direct_answer(
-            &Direct {
+        w.scheduler.handle_direct_response(
+            &DirectCommands {
                 orders: vec![],
                 ..d.clone()
             },
@@ -348,16 +352,18 @@
     let at = w.scheduler.now;
     let mut r = w.report("n-1", w.token(), &[]);
     r.session = 2;
-    w.scheduler.report(&r, Arrival::DirectAnswer);
+    w.scheduler
+        .handle_heartbeat(&r, HeartbeatSource::DirectResponse);
     let token = w.token() + 1;
     let mut r = w.report("n-1", token, &[]);
     r.session = 2;
-    w.scheduler.report(&r, Arrival::DirectAnswer);
+    w.scheduler
+        .handle_heartbeat(&r, HeartbeatSource::DirectResponse);
     w.job(spec("wk-1", 1), 101);
     w.scheduler.reconsider();
     w.scheduler.place();
     w.log();
-    let sent = w.scheduler.direct(9);
+    let sent = w.scheduler.direct_commands(9);
     let started = starts(&sent[0].orders);
     let mut r = w.report(
         "n-1",
@@ -365,7 +371,7 @@
         &[(&started[0].0, started[0].1, TaskState::Running, None)],
     );
     r.session = 2;
-    w.scheduler.direct_answer(&sent[0], Some(&r));
+    w.scheduler.handle_direct_response(&sent[0], Some(&r));
     // The task is there until the lease of the second session has surely run out.
     w.pass_to(at + LEASE);
     let first = MachineIndex::from_position(0);
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -45,13 +45,14 @@
     );
     let r = w.report("n-1", w.token(), &[]);
     assert_eq!(
-        w.scheduler.report(&r, Arrival::Report { may_start: true }),
-        ReportOutcome::Reply(ReportReply {
+        w.scheduler
+            .handle_heartbeat(&r, HeartbeatSource::Request { may_start: true }),
+        HeartbeatDecision::Reply(ReportReply {
             token: w.token(),
             orders: vec![]
         })
     );
-    assert!(w.scheduler.direct(9).is_empty());
+    assert!(w.scheduler.direct_commands(9).is_empty());
     // The write failed since the slot had changed: an earlier write without an answer had gone through after all.
     w.scheduler
         .log_write_failed(first, Some((150, "n-1 - /wk-1 0.1")));
@@ -62,7 +63,7 @@
     assert_eq!((again.slot, again.version), (0, 150));
     let text = again.text.clone();
     w.scheduler.log_write_applied(again, 151);
-    let sent = w.scheduler.direct(9);
+    let sent = w.scheduler.direct_commands(9);
     let got = starts(&sent[0].orders);
     assert_eq!(got.len(), 2);
     for (task, attempt) in &got {
@@ -75,7 +76,7 @@
         w.token(),
         &[(&got[1].0, got[1].1, TaskState::Running, None)],
     );
-    w.scheduler.direct_answer(&sent[0], Some(&answer));
+    w.scheduler.handle_direct_response(&sent[0], Some(&answer));
     let third = w.scheduler.next_log_write(8000, 60).or_else(|| {
         w.scheduler.place();
         w.scheduler.next_log_write(8000, 60)
@@ -105,7 +106,7 @@
     assert_eq!(again.jobs, vec![logged("wk-2", 102)]);
     assert!(!again.text.contains("wk-1"));
     w.scheduler.log_write_applied(again, 200);
-    let sent = w.scheduler.direct(9);
+    let sent = w.scheduler.direct_commands(9);
     assert_eq!(starts(&sent[0].orders).len(), 1);
     assert_eq!(starts(&sent[0].orders)[0].0, "wk-2/0");
 }
--- a/src/scheduler/utilization.rs
+++ b/src/scheduler/utilization.rs
@@ -72,7 +72,7 @@
 
     /// Takes a machine out of use because there is more than is needed.
     pub fn spare_machine(&mut self, index: MachineIndex) {
-        self.enter(index, MachineState::Draining, "surplus");
+        self.set_machine_state(index, MachineState::Draining, "surplus");
         self.machine_mut(index).surplus = true;
     }
 
@@ -82,7 +82,7 @@
             |machine: &Machine| machine.is_draining_surplus() && machine.notice_at.is_none();
         for index in self.machines.indices() {
             if self.machines[index].as_ref().is_some_and(usable) {
-                self.enter(index, MachineState::Up, "needed again");
+                self.set_machine_state(index, MachineState::Up, "needed again");
                 self.machine_mut(index).surplus = false;
             }
         }
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -6,7 +6,7 @@
 };
 use hollowswitch::resources::QuotaResources;
 use hollowswitch::scheduler::{
-    Arrival, Hardware, Origin, Params, ReportOutcome, Scheduler, StoredSlot, TeamQuota,
+    Hardware, HeartbeatDecision, HeartbeatSource, Origin, Params, Scheduler, StoredSlot, TeamQuota,
 };
 use hollowswitch::store::{guard, log_txn, LiveRecord};
 use std::collections::HashMap;
@@ -84,8 +84,8 @@
 }
 
 fn orders(scheduler: &mut Scheduler, report: &Report) -> Vec<Command> {
-    match scheduler.report(report, Arrival::Report { may_start: true }) {
-        ReportOutcome::Reply(reply) => reply.orders,
+    match scheduler.handle_heartbeat(report, HeartbeatSource::Request { may_start: true }) {
+        HeartbeatDecision::Reply(reply) => reply.orders,
         other => panic!("{other:?}"),
     }
 }
@@ -154,10 +154,10 @@
         .map(|job| (job.record.spec.id.as_str(), job.pending()))
         .collect();
     assert_eq!(pending, [("wk-1", 1), ("wk-2", 0), ("wk-3", 1)]);
-    assert_eq!(scheduler.unsettled(), 2);
+    assert_eq!(scheduler.unreconciled_machines(), 2);
     // The address comes from the log: a machine can be asked before it is heard.
     let asked: Vec<(String, String)> = scheduler
-        .probes(9)
+        .due_probes(9)
         .into_iter()
         .map(|probe| (probe.machine, probe.address))
         .collect();
