--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -8,7 +8,7 @@
 use crate::scheduler::{
     Machine, MachineIndex, MachineState, Offer, Scheduler, Utilization, ZoneIndex,
 };
-use crate::time::{whole_millis, Timestamp};
+use crate::time::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -17,10 +17,7 @@
 
 /// Moves machines that have been silent for too long to their release.
 pub fn release_silent_machines(scheduler: &mut Scheduler, policy: &ScalingPolicy) {
-    let silent = scheduler.unresponsive_machines(
-        whole_millis(policy.silence_limit),
-        whole_millis(policy.zone_silence_limit),
-    );
+    let silent = scheduler.unresponsive_machines(policy.silence_limit, policy.zone_silence_limit);
     for machine in silent {
         scheduler.set_machine_state(machine, MachineState::Releasing, "silent");
     }
@@ -123,7 +120,7 @@
     let mut free = FreeCapacity::new(scheduler, reserves);
     let (mut unneeded, mut overdue) = (Vec::new(), Vec::new());
     for (index, machine) in scheduler.machines() {
-        if machine.state == MachineState::Waiting && scheduler.boot_timed_out(machine) {
+        if machine.state() == MachineState::Waiting && scheduler.boot_timed_out(machine) {
             overdue.push(index);
         } else if let Some(reason) = release_reason(index, machine, &mut free, idle_limit, now) {
             unneeded.push((index, reason));
@@ -136,10 +133,7 @@
         .into_iter()
         .filter_map(|index| scheduler.abandon_boot(index));
     given_up
-        .map(|(offer, avoid_ms)| DoubtfulOffer {
-            offer,
-            avoid_for: Duration::from_millis(avoid_ms),
-        })
+        .map(|(offer, avoid_for)| DoubtfulOffer { offer, avoid_for })
         .collect()
 }
 
@@ -151,13 +145,13 @@
     idle_limit: Duration,
     now: Timestamp,
 ) -> Option<&'static str> {
-    let idle_since = Timestamp::from_millis(machine.idle_since?);
+    let idle_since = machine.idle_since()?;
     let idle = now > idle_since + idle_limit;
-    match machine.state {
+    match machine.state() {
         MachineState::Draining => Some("drained"),
-        MachineState::Up if idle && machine.spot => Some("idle"),
+        MachineState::Up if idle && machine.is_spot() => Some("idle"),
         // What replicas to come will need stays.
-        MachineState::Up if idle && free.take_if_spare(index, machine.zone) => Some("idle"),
+        MachineState::Up if idle && free.take_if_spare(index, machine.zone()) => Some("idle"),
         _ => None,
     }
 }
--- a/src/controller/cloud/machine_list.rs
+++ b/src/controller/cloud/machine_list.rs
@@ -6,7 +6,7 @@
 use crate::controller::state::ControllerState;
 use crate::controller::state::UnregisteredMachine;
 use crate::scheduler::MachineState;
-use crate::time::{duration, millis, Timestamp};
+use crate::time::{duration, Timestamp};
 use std::time::Duration;
 
 /// Shortest time between the beginnings of two listings.
@@ -82,7 +82,7 @@
                         index,
                         running,
                         &machine.address,
-                        millis(machine.age_s),
+                        duration(machine.age_s),
                     );
                 }
                 None if is_settled => {
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -3,7 +3,7 @@
 use super::attempt::{Phase, TaskId};
 use super::index::MachineIndex;
 use super::job::Job;
-use super::machine::Machine;
+use super::machines::Machine;
 use super::scheduling_pass::Pass;
 use super::Scheduler;
 use crate::placement::{Candidate, Preference};
@@ -18,23 +18,23 @@
 impl Job {
     /// Whether its tasks may run on a machine, as far as type, zone and price are concerned.
     pub(super) fn allows_machine(&self, machine: &Machine) -> bool {
-        (self.spec().spot || !machine.spot)
+        (self.spec().spot || !machine.is_spot())
             && self
                 .machine_types
                 .as_ref()
-                .is_none_or(|types| types.contains(&machine.machine_type))
-            && self.zone.is_none_or(|zone| zone == machine.zone)
+                .is_none_or(|types| types.contains(&machine.machine_type()))
+            && self.zone.is_none_or(|zone| zone == machine.zone())
     }
 }
 
 impl Scheduler {
     /// Machines with free resources for a job's tasks, and full ones that hold its image.
     pub(super) fn candidates(&self, job: &Job, pass: &Pass) -> Vec<Candidate<MachineIndex>> {
-        let holders = self.holders.get(&job.image);
+        let holders = self.image_holders.get(job.image);
         let mut candidates = Vec::new();
         for &index in &pass.machines {
             let machine = self.machine(index);
-            let free_slots = job.task_resources.count_fitting(machine.free);
+            let free_slots = job.task_resources.count_fitting(machine.load.free());
             if free_slots > 0 && job.allows_machine(machine) {
                 let holds_image = holders.is_some_and(|holders| holders.contains(&index));
                 candidates.push(Candidate {
@@ -53,7 +53,7 @@
         }
         for &index in holders.into_iter().flatten() {
             let machine = self.machine(index);
-            if !job.task_resources.fits(machine.free)
+            if !job.task_resources.fits(machine.load.free())
                 && self.accepts_tasks(machine)
                 && job.allows_machine(machine)
             {
@@ -73,12 +73,12 @@
         let spare_cpu_milli = if job.is_service() {
             self.cpu_milli_without_services(machine)
         } else {
-            machine.free.cpu_milli
+            machine.load.free().cpu_milli
         };
         Candidate {
             machine: index,
             capability: machine
-                .c
+                .capability
                 .get(job.class)
                 .unwrap_or_else(|| pass.mean_capability.get(job.class)),
             holds_image: true,
@@ -87,7 +87,7 @@
             preference: Preference {
                 has_failed: job.failures.includes_machine(index),
                 // Spot machines first where they are allowed.
-                ordinary: !machine.spot,
+                ordinary: !machine.is_spot(),
                 spare_cpu_milli,
             },
         }
@@ -102,17 +102,18 @@
     /// CPUs of a machine that no service uses.
     fn cpu_milli_without_services(&self, machine: &Machine) -> u64 {
         self.machine_types
-            .capacity(machine.machine_type)
+            .capacity(machine.machine_type())
             .cpu_milli
-            .saturating_sub(machine.service_cpus)
+            .saturating_sub(machine.load.service_cpu_milli())
     }
 
     /// When a machine's tasks are expected to end, in seconds from now, without the slots that others wait for already.
     fn next_slots_s(&self, index: MachineIndex, job: &Job, pass: &Pass) -> Vec<f64> {
         let machine = self.machine(index);
-        let capability = machine.c.get(job.class).unwrap_or(1.0);
+        let capability = machine.capability.get(job.class).unwrap_or(1.0);
         let mut ends_s: Vec<f64> = machine
-            .tasks
+            .load
+            .tasks()
             .iter()
             .filter_map(|task| self.expected_rest_s(*task, capability))
             .collect();
--- a/src/scheduler/capacity_pool.rs
+++ b/src/scheduler/capacity_pool.rs
@@ -3,7 +3,7 @@
 use super::attempt::TaskAttempt;
 use super::index::{MachineIndex, Table, ZoneIndex};
 use super::job::Job;
-use super::machine::Machine;
+use super::machines::Machine;
 use super::Scheduler;
 use crate::resources::Resources;
 use std::collections::HashMap;
@@ -39,11 +39,11 @@
     ) -> CapacityPool {
         let mut pool = CapacityPool {
             order: Vec::new(),
-            free: Table::filled(Resources::ZERO, scheduler.machines.len()),
+            free: Table::filled(Resources::ZERO, scheduler.machines.index_count()),
         };
         let mut ordinary = Vec::new();
         for (machine, free) in machines {
-            if scheduler.machine(machine).spot {
+            if scheduler.machine(machine).is_spot() {
                 pool.order.push(machine);
             } else {
                 ordinary.push(machine);
@@ -67,8 +67,8 @@
     pub(super) fn of_machines_coming_up(scheduler: &Scheduler) -> CapacityPool {
         let machines = scheduler
             .machines()
-            .filter(|(_, machine)| scheduler.on_its_way(machine))
-            .map(|(index, machine)| (index, machine.free));
+            .filter(|(_, machine)| scheduler.is_booting(machine))
+            .map(|(index, machine)| (index, machine.load.free()));
         CapacityPool::new(scheduler, machines)
     }
 
@@ -91,8 +91,8 @@
                 continue;
             }
             if job.has_zone_rule() {
-                count = count.min(planned.allowance(job, machine.zone));
-                planned.add(machine.zone, count);
+                count = count.min(planned.allowance(job, machine.zone()));
+                planned.add(machine.zone(), count);
             }
             let allocated = job.task_resources.saturating_mul(count);
             self.free[index] = self.free[index].saturating_sub(allocated);
@@ -122,14 +122,15 @@
 impl Scheduler {
     /// What is free on a machine, with what is being stopped there.
     fn free_after_stops(&self, machine: &Machine) -> Resources {
-        if machine.stopping == 0 {
-            return machine.free;
+        if !machine.load.has_stopping_tasks() {
+            return machine.load.free();
         }
         machine
-            .tasks
+            .load
+            .tasks()
             .iter()
             .filter(|task| self.attempt(**task).is_some_and(TaskAttempt::is_stopping))
             .map(|task| self.job(task.job).task_resources)
-            .fold(machine.free, Resources::saturating_add)
+            .fold(machine.load.free(), Resources::saturating_add)
     }
 }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -3,7 +3,7 @@
 use super::capacity_pool::{CapacityPool, PlannedByZone};
 use super::index::{JobIndex, MachineTypeIndex, ZoneIndex};
 use super::job::Job;
-use super::machine::Offer;
+use super::machines::Offer;
 use super::preemption::FailedPreemptions;
 use super::quota::AmountByTeam;
 use super::unplaceable::UnplaceableRequests;
--- /dev/null
+++ b/src/scheduler/image_holders.rs
@@ -0,0 +1,48 @@
+//! Which machines hold or are fetching an image.
+
+use super::index::{ImageIndex, MachineIndex};
+use super::Scheduler;
+use std::collections::{BTreeSet, HashMap};
+
+/// The machines that hold or are fetching each image. Images without such a machine are left out.
+#[derive(Debug, Default)]
+pub(super) struct ImageHolders {
+    by_image: HashMap<ImageIndex, BTreeSet<MachineIndex>>,
+}
+
+impl ImageHolders {
+    /// The machines that hold or are fetching an image, if there are any.
+    pub(super) fn get(&self, image: ImageIndex) -> Option<&BTreeSet<MachineIndex>> {
+        self.by_image.get(&image)
+    }
+
+    /// A machine holds or is fetching an image.
+    pub(super) fn insert(&mut self, image: ImageIndex, machine: MachineIndex) {
+        self.by_image.entry(image).or_default().insert(machine);
+    }
+
+    /// A machine is no longer known to hold an image.
+    pub(super) fn remove(&mut self, image: ImageIndex, machine: MachineIndex) {
+        if let Some(machines) = self.by_image.get_mut(&image) {
+            machines.remove(&machine);
+            if machines.is_empty() {
+                self.by_image.remove(&image);
+            }
+        }
+    }
+}
+
+impl Scheduler {
+    /// Remembers that a machine holds an image, or fetches it.
+    pub(super) fn hold_image(&mut self, machine: MachineIndex, image: ImageIndex) {
+        let holder = self.machine_mut(machine);
+        if holder.images().back() == Some(&image) {
+            return;
+        }
+        let forgotten = holder.use_image(image);
+        self.image_holders.insert(image, machine);
+        if let Some(forgotten) = forgotten {
+            self.image_holders.remove(forgotten, machine);
+        }
+    }
+}
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -115,8 +115,8 @@
         let mut ids = Vec::new();
         for index in self.jobs.stopped() {
             self.unplaced_production.retain(|other| *other != index);
-            for machine in self.machines.values_mut().flatten() {
-                machine.errors.retain(|failed| *failed != index);
+            for machine in self.machines.values_mut() {
+                machine.health.forget_job(index);
             }
             if let Some(job) = self.jobs.remove(index) {
                 ids.push(job.record.spec.id);
--- /dev/null
+++ b/src/scheduler/machines/registry.rs
@@ -0,0 +1,100 @@
+//! The machines that are present, by index and by name.
+
+use super::machine::Machine;
+use crate::scheduler::index::{MachineIndex, Table};
+use std::collections::HashMap;
+use std::ops::{Index, IndexMut};
+
+/// The machines that are present. Indices of machines that are gone are used again: otherwise what is gone over at each
+/// tick would grow with every machine ever rented.
+#[derive(Default)]
+pub(in crate::scheduler) struct MachineRegistry {
+    machines: Table<MachineIndex, Option<Machine>>,
+    free_indices: Vec<MachineIndex>,
+    by_name: HashMap<String, MachineIndex>,
+}
+
+impl MachineRegistry {
+    /// Adds a machine, whose name must be new.
+    pub(super) fn insert(&mut self, machine: Machine) {
+        let name = machine.name().to_string();
+        let index = self
+            .free_indices
+            .pop()
+            .unwrap_or_else(|| self.machines.push(None));
+        self.machines[index] = Some(machine);
+        self.by_name.insert(name, index);
+    }
+
+    /// Removes a machine. Its index may be used again at once.
+    pub(super) fn remove(&mut self, index: MachineIndex) {
+        if let Some(machine) = self.machines[index].take() {
+            self.by_name.remove(machine.name());
+            self.free_indices.push(index);
+        }
+    }
+
+    /// The index of a machine that is present.
+    pub(in crate::scheduler) fn index_of(&self, name: &str) -> Option<MachineIndex> {
+        self.by_name.get(name).copied()
+    }
+
+    /// Whether a machine is present.
+    pub(in crate::scheduler) fn contains(&self, name: &str) -> bool {
+        self.by_name.contains_key(name)
+    }
+
+    /// The machine with an index, if one is present.
+    pub(in crate::scheduler) fn get(&self, index: MachineIndex) -> Option<&Machine> {
+        self.machines[index].as_ref()
+    }
+
+    /// The machine with an index, to be changed, if one is present.
+    pub(in crate::scheduler) fn get_mut(&mut self, index: MachineIndex) -> Option<&mut Machine> {
+        self.machines[index].as_mut()
+    }
+
+    /// All indices in ascending order, also those that are free. The registry may be changed meanwhile.
+    pub(in crate::scheduler) fn indices(&self) -> impl Iterator<Item = MachineIndex> {
+        self.machines.indices()
+    }
+
+    /// The number of indices, also of those that are free.
+    pub(in crate::scheduler) fn index_count(&self) -> usize {
+        self.machines.len()
+    }
+
+    /// The machines that are present, in the order of their indices.
+    pub(in crate::scheduler) fn iter(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
+        self.machines
+            .iter()
+            .filter_map(|(index, machine)| Some((index, machine.as_ref()?)))
+    }
+
+    /// The machines that should send heartbeats. Those being released already are left out.
+    pub(super) fn expected(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
+        self.iter().filter(|(_, machine)| machine.is_expected())
+    }
+
+    /// The machines that are present, to be changed, in the order of their indices.
+    pub(in crate::scheduler) fn values_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
+        self.machines.values_mut().flatten()
+    }
+}
+
+/// Indices of machines are only kept while the machine is present.
+const PRESENT: &str = "indices of machines are only kept while the machine is present";
+
+impl Index<MachineIndex> for MachineRegistry {
+    type Output = Machine;
+
+    fn index(&self, index: MachineIndex) -> &Machine {
+        self.machines[index].as_ref().expect(PRESENT)
+    }
+}
+
+impl IndexMut<MachineIndex> for MachineRegistry {
+    fn index_mut(&mut self, index: MachineIndex) -> &mut Machine {
+        self.machines[index].as_mut().expect(PRESENT)
+    }
+}
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -115,7 +115,7 @@
     /// Tasks of a team with a lower priority, in the order in which they are stopped for a job of the same team.
     fn quota_victims(&self, index: JobIndex, team: TeamIndex) -> Vec<QuotaVictim> {
         let job = self.job(index);
-        let holders = self.holders.get(&job.image);
+        let holders = self.image_holders.get(job.image);
         let mut victims = Vec::new();
         for (other_index, other) in self.jobs.by_submission() {
             if other.team != Some(team)
@@ -177,13 +177,13 @@
     /// Machines on which a job might preempt others: holders of its image first, so that what is freed is used at once.
     fn preemption_hosts(&self, index: JobIndex) -> Vec<MachineIndex> {
         let job = self.job(index);
-        let holders = self.holders.get(&job.image);
+        let holders = self.image_holders.get(job.image);
         let holds_image = |machine| holders.is_some_and(|holders| holders.contains(&machine));
         let mut hosts: Vec<(bool, MachineIndex)> = self
             .machines()
             .filter(|(_, machine)| {
                 self.accepts_tasks(machine)
-                    && !machine.tasks.is_empty()
+                    && !machine.load.tasks().is_empty()
                     && job.allows_machine(machine)
             })
             .map(|(machine, _)| (!holds_image(machine), machine))
@@ -201,7 +201,7 @@
         pool: &mut CapacityPool,
         planned: &mut PlannedByZone,
     ) -> u32 {
-        let zone = self.machine(machine).zone;
+        let zone = self.machine(machine).zone();
         let task_resources = self.job(index).task_resources;
         let mut victims = self.victims_on(machine, index).into_iter();
         let mut won = 0;
@@ -230,7 +230,7 @@
     fn victims_on(&self, machine: MachineIndex, index: JobIndex) -> Vec<Victim> {
         let job = self.job(index);
         let mut victims = Vec::new();
-        for &task in &self.machine(machine).tasks {
+        for &task in self.machine(machine).load.tasks() {
             let other = self.job(task.job);
             let Some(attempt) = self.attempt(task).filter(|a| !a.is_stopping()) else {
                 continue;
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -3,7 +3,7 @@
 use super::attempt::{TaskEvent, TaskId};
 use super::index::{JobIndex, MachineIndex, ZoneIndex};
 use super::job::Job;
-use super::machine::{Machine, MachineState};
+
 use super::unplaceable::UnplaceableRequests;
 use super::{Scheduler, TOKEN_BITS};
 use crate::placement::{self, ByClass, Candidate, Request, ResourceClass, Share};
@@ -34,17 +34,6 @@
 }
 
 impl Scheduler {
-    /// Whether a machine may get tasks now.
-    pub(super) fn accepts_tasks(&self, m: &Machine) -> bool {
-        m.current
-            && m.state == MachineState::Up
-            && m.notice_at.is_none()
-            && m.not_before <= self.now
-            && self.now <= m.last_heard + 3 * self.params.report_ms
-            // One that only direct orders reach is about to lose what it has.
-            && self.now <= m.last_answer + self.params.lease_ms / 2
-    }
-
     /// How many tasks of a job may be added for its team's limit.
     pub(super) fn quota_allowance(&self, job: &Job) -> u32 {
         job.team.map_or(0, |team| {
@@ -86,7 +75,7 @@
             }
             // What has filled up meanwhile is not looked at again.
             pass.machines
-                .retain(|machine| smallest_request.fits(self.machine(*machine).free));
+                .retain(|machine| smallest_request.fits(self.machine(*machine).load.free()));
         }
         true
     }
@@ -100,12 +89,12 @@
                 continue;
             }
             for class in ResourceClass::ALL {
-                if let Some(capability) = machine.c.get(class) {
+                if let Some(capability) = machine.capability.get(class) {
                     let (sum, count) = sums.get(class);
                     sums.set(class, (sum + capability, count + 1));
                 }
             }
-            if smallest_request.fits(machine.free) {
+            if smallest_request.fits(machine.load.free()) {
                 machines.push(index);
             }
         }
@@ -180,14 +169,14 @@
     fn keep_roomiest_zone(&self, candidates: &mut Vec<Candidate<MachineIndex>>) {
         let mut slots: BTreeMap<ZoneIndex, u64> = BTreeMap::new();
         for candidate in candidates.iter() {
-            let zone = self.machine(candidate.machine).zone;
+            let zone = self.machine(candidate.machine).zone();
             *slots.entry(zone).or_default() += u64::from(candidate.free_slots);
         }
         let roomiest = slots
             .iter()
             .max_by_key(|(_, slots)| **slots)
             .map(|(zone, _)| *zone);
-        candidates.retain(|candidate| Some(self.machine(candidate.machine).zone) == roomiest);
+        candidates.retain(|candidate| Some(self.machine(candidate.machine).zone()) == roomiest);
     }
 
     /// What `placement` has to know of a job.
@@ -197,7 +186,7 @@
         goal: &Goal,
         candidates: &[Candidate<MachineIndex>],
     ) -> Request {
-        let machine_type = self.machine(candidates[0].machine).machine_type;
+        let machine_type = self.machine(candidates[0].machine).machine_type();
         let fetch_gb_per_s = self
             .fetch_rate
             .get(&machine_type)
@@ -228,7 +217,7 @@
         let mut left = tasks;
         for share in shares {
             let machine = share.machine;
-            let zone = self.machine(machine).zone;
+            let zone = self.machine(machine).zone();
             for _ in 0..share.tasks {
                 if left == 0 {
                     return;
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -5,6 +5,7 @@
 use super::super::Scheduler;
 use super::text::{self, StoredEntry, NO_ADDRESS};
 use super::{LogEntry, Slot};
+use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
 /// A slot as it is stored.
@@ -72,9 +73,9 @@
                 self.replay_released(&stored, latest);
                 continue;
             };
-            let machine = self.machine_mut(entry.machine);
-            if machine.address.is_empty() && stored.address != NO_ADDRESS {
-                machine.address = stored.address.to_string();
+            if stored.address != NO_ADDRESS {
+                let machine = self.machine_mut(entry.machine);
+                machine.contact.set_address_if_unknown(stored.address);
             }
             entries.push(entry);
             // What was started there has its image there, or is fetching it. Without this a new leader knew as holders only
@@ -130,13 +131,15 @@
         // An earlier leader may have renewed its lease until its authority to do so ended.
         let until = self.now + self.params.grace_ms + self.params.grace_ms / 500;
         let machine = self.machine_mut(machine);
-        machine.contacted = true;
-        machine.last_answer = until;
+        machine.contact.expect();
+        machine
+            .lease
+            .assume_renewed_until(Timestamp::from_millis(until));
     }
 
     /// The entry that a stored one stands for, if its machine, job and task are known.
     pub(super) fn resolve(&self, stored: &StoredEntry) -> Option<LogEntry> {
-        let machine = *self.machine_index.get(stored.machine)?;
+        let machine = self.machines.index_of(stored.machine)?;
         let job = self.jobs.index_of(stored.job)?;
         let task = TaskId {
             job,
--- a/src/scheduler/start_log/text.rs
+++ b/src/scheduler/start_log/text.rs
@@ -96,12 +96,12 @@
     /// Writes the name and the address of an entry's machine.
     fn write_machine(&self, text: &mut String, entry: &LogEntry) {
         let machine = self.machine(entry.machine);
-        let address = if is_loggable_name(&machine.address) {
-            machine.address.as_str()
+        let address = if is_loggable_name(machine.contact.address()) {
+            machine.contact.address()
         } else {
             NO_ADDRESS
         };
-        text.push_str(&machine.name);
+        text.push_str(machine.name());
         text.push(' ');
         text.push_str(address);
     }
--- a/src/scheduler/utilization.rs
+++ b/src/scheduler/utilization.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{TaskEvent, TaskId};
 use super::index::{MachineIndex, ZoneIndex};
-use super::machine::{Machine, MachineState, Offer};
+use super::machines::{Machine, MachineState, Offer};
 use super::Scheduler;
 use std::collections::HashMap;
 
@@ -44,8 +44,8 @@
     pub fn coming_up(&self) -> HashMap<ZoneIndex, u64> {
         let mut by_zone = HashMap::new();
         for (_, machine) in self.machines() {
-            if !machine.spot && self.on_its_way(machine) {
-                *by_zone.entry(machine.zone).or_default() += machine.free.cpu_milli;
+            if !machine.is_spot() && self.is_booting(machine) {
+                *by_zone.entry(machine.zone()).or_default() += machine.load.free().cpu_milli;
             }
         }
         by_zone
@@ -55,16 +55,19 @@
     #[must_use]
     pub fn utilization(&self) -> Vec<Utilization> {
         self.machines()
-            .filter(|(_, machine)| machine.state == MachineState::Up && machine.notice_at.is_none())
+            .filter(|(_, machine)| machine.is_available())
             .map(|(index, machine)| {
-                let cpus = self.machine_types.capacity(machine.machine_type).cpu_milli;
+                let cpus = self
+                    .machine_types
+                    .capacity(machine.machine_type())
+                    .cpu_milli;
                 Utilization {
                     machine: index,
                     offer: machine.offer(),
-                    since: machine.since,
+                    since: machine.boot.known_since().as_millis(),
                     cpus,
-                    used: cpus.saturating_sub(machine.free.cpu_milli),
-                    services: machine.service_cpus,
+                    used: cpus.saturating_sub(machine.load.free().cpu_milli),
+                    services: machine.load.service_cpu_milli(),
                 }
             })
             .collect()
@@ -73,17 +76,17 @@
     /// Takes a machine out of use because there is more than is needed.
     pub fn spare_machine(&mut self, index: MachineIndex) {
         self.set_machine_state(index, MachineState::Draining, "surplus");
-        self.machine_mut(index).surplus = true;
+        self.machine_mut(index).eviction.set_surplus(true);
     }
 
     /// Takes surplus machines back into use.
     pub fn use_surplus(&mut self) {
         let usable =
-            |machine: &Machine| machine.is_draining_surplus() && machine.notice_at.is_none();
+            |machine: &Machine| machine.drains_as_surplus() && !machine.eviction.has_notice();
         for index in self.machines.indices() {
-            if self.machines[index].as_ref().is_some_and(usable) {
+            if self.machines.get(index).is_some_and(usable) {
                 self.set_machine_state(index, MachineState::Up, "needed again");
-                self.machine_mut(index).surplus = false;
+                self.machine_mut(index).eviction.set_surplus(false);
             }
         }
     }
@@ -92,7 +95,7 @@
     pub fn move_replica(&mut self) {
         let movable = self
             .machines()
-            .filter(|(_, machine)| machine.is_draining_surplus())
+            .filter(|(_, machine)| machine.drains_as_surplus())
             .filter_map(|(_, machine)| Some((machine, self.first_of_replicas(machine)?)))
             .find(|(machine, task)| self.has_other_host(*task, machine))
             .map(|(_, task)| task);
@@ -104,29 +107,28 @@
     /// The first task of a machine with only replicas.
     fn first_of_replicas(&self, machine: &Machine) -> Option<TaskId> {
         let only_replicas = machine
-            .tasks
+            .load
+            .tasks()
             .iter()
             .all(|task| self.job(task.job).is_service());
-        machine.tasks.first().copied().filter(|_| only_replicas)
+        machine
+            .load
+            .tasks()
+            .first()
+            .copied()
+            .filter(|_| only_replicas)
     }
 
     /// Whether a task could run on another machine, without fetching its image and within its zone rules.
     fn has_other_host(&self, task: TaskId, current: &Machine) -> bool {
         let job = self.job(task.job);
         self.machines().any(|(_, machine)| {
-            let zone_allowed = machine.zone == current.zone || !job.has_zone_rule();
+            let zone_allowed = machine.zone() == current.zone() || !job.has_zone_rule();
             self.accepts_tasks(machine)
                 && job.allows_machine(machine)
                 && zone_allowed
-                && machine.images.contains(&job.image)
-                && job.task_resources.fits(machine.free)
+                && machine.images().contains(&job.image)
+                && job.task_resources.fits(machine.load.free())
         })
     }
 }
-
-impl Machine {
-    /// Whether it takes no tasks only because there are more machines than are needed.
-    fn is_draining_surplus(&self) -> bool {
-        self.surplus && self.state == MachineState::Draining
-    }
-}
