--- a/benches/load/store.rs
+++ b/benches/load/store.rs
@@ -5,7 +5,7 @@
 use actix_web::{web, HttpResponse};
 use ciborium::Value;
 use hollowswitch::protocol::{
-    decode, encode, Change, Event, Item, LeaseReply, Page, Txn, TxnReply, Watched,
+    decode, encode, Change, Event, Item, LeaseReply, Page, Revision, Txn, TxnReply, Watched,
 };
 use serde::Deserialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -20,13 +20,13 @@
 /// A key's value and version.
 struct StoredValue {
     value: Value,
-    version: u64,
+    version: Revision,
 }
 
 /// The content of the store.
 #[derive(Default)]
 struct Content {
-    revision: u64,
+    revision: Revision,
     last_lease: u64,
     keys: BTreeMap<String, StoredValue>,
     history: VecDeque<Event>,
@@ -35,14 +35,14 @@
 /// The stand-in.
 pub(crate) struct Store {
     content: Mutex<Content>,
-    changed: watch::Sender<u64>,
+    changed: watch::Sender<Revision>,
 }
 
 impl Default for Store {
     fn default() -> Self {
         Store {
             content: Mutex::default(),
-            changed: watch::channel(0).0,
+            changed: watch::channel(Revision::ZERO).0,
         }
     }
 }
@@ -66,7 +66,7 @@
         .body(encode(body))
 }
 
-fn transaction_reply(status: u16, failed: Vec<String>, revision: u64) -> HttpResponse {
+fn transaction_reply(status: u16, failed: Vec<String>, revision: Revision) -> HttpResponse {
     cbor(status, &TxnReply { failed, revision })
 }
 
@@ -99,7 +99,11 @@
 
     /// Commits a transaction whose guards all hold.
     fn commit(&mut self, txn: Txn) -> HttpResponse {
-        let version = |key: &str| self.keys.get(key).map_or(0, |stored| stored.version);
+        let version = |key: &str| {
+            self.keys
+                .get(key)
+                .map_or(Revision::ZERO, |stored| stored.version)
+        };
         let failed: Vec<String> = txn
             .guards
             .iter()
@@ -109,7 +113,9 @@
         if !failed.is_empty() {
             return transaction_reply(409, failed, self.revision);
         }
-        self.revision += u64::from(!txn.apply.is_empty());
+        if !txn.apply.is_empty() {
+            self.revision = self.revision.next();
+        }
         for change in txn.apply {
             self.apply(change);
         }
@@ -140,7 +146,7 @@
     }
 
     /// The changes that a watch has yet to see.
-    fn events_after(&self, revision: u64, prefix: &str) -> Vec<Event> {
+    fn events_after(&self, revision: Revision, prefix: &str) -> Vec<Event> {
         let newer = |event: &&Event| match event {
             Event::Put { put, version, .. } => *version > revision && put.starts_with(prefix),
             Event::Delete { key, version } => *version > revision && key.starts_with(prefix),
@@ -190,7 +196,10 @@
     loop {
         let (events, revision) = {
             let content = store.content();
-            (content.events_after(after, &query.starts), content.revision)
+            (
+                content.events_after(Revision::new(after), &query.starts),
+                content.revision,
+            )
         };
         let left = until.saturating_duration_since(Instant::now());
         if !events.is_empty() || left.is_zero() {
--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -9,7 +9,7 @@
 use crate::clients::cloud::CloudClient;
 use crate::clients::http::http_client;
 use crate::config::Settings;
-use crate::store::StoreClient;
+use crate::store::{Revision, StoreClient};
 use actix::prelude::*;
 use rand::Rng;
 use std::cell::RefCell;
@@ -34,7 +34,7 @@
             store: StoreClient::new(http.clone(), external.state),
             cloud: CloudClient::new(http.clone(), external.cloud),
             http,
-            replica_revision: Rc::new(watch::channel(0).0),
+            replica_revision: Rc::new(watch::channel(Revision::ZERO).0),
             campaign_requested: Rc::new(Notify::new()),
             read_requested: Rc::new(Notify::new()),
             cancellation_recorded: Rc::new(Notify::new()),
--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -6,7 +6,7 @@
 use crate::controller::state::{UnregisteredMachine, WorkerContact};
 use crate::coordination::leadership::Term;
 use crate::scheduler::{first_token, DirectCommands, Origin};
-use crate::store::{self, guard, Decided, RentalRecord};
+use crate::store::{self, guard, Decided, RentalRecord, Revision};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -88,7 +88,7 @@
     async fn store_adoption(&self, name: &str, record: &RentalRecord, term: Term) -> bool {
         let rental = format!("found-{name}");
         let epoch = guard(store::epoch_key(), term.epoch_version);
-        let txn = store::rental_txn(&epoch, &rental, 0, record);
+        let txn = store::rental_txn(&epoch, &rental, Revision::ZERO, record);
         match self.leader_transaction(&txn).await {
             Ok(Decided::Applied(_)) => true,
             // An earlier try without an answer was executed after all: without this the machine was never used, nor
--- a/src/controller/cloud/machine_types.rs
+++ b/src/controller/cloud/machine_types.rs
@@ -3,7 +3,7 @@
 use super::{Handles, Round};
 use crate::coordination::leadership::Term;
 use crate::protocol::{MachineType, Txn};
-use crate::store::{self, guard, put};
+use crate::store::{self, guard, put, Revision};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
             if stored.is_some_and(|stored| have_same_shape(&stored.record, types)) {
                 return None;
             }
-            let version = stored.map_or(0, |stored| stored.version);
+            let version = stored.map_or(Revision::ZERO, |stored| stored.version);
             Some(vec![
                 guard(store::epoch_key(), epoch_version),
                 guard(store::catalogue_key(), version),
--- a/src/controller/cloud/rentals.rs
+++ b/src/controller/cloud/rentals.rs
@@ -9,7 +9,7 @@
 use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::RentRequest;
 use crate::scheduler::{Offer, Origin};
-use crate::store::{self, guard, Decided, RentalRecord, StoreError};
+use crate::store::{self, guard, Decided, RentalRecord, Revision, StoreError};
 use crate::time::duration;
 
 /// For so many calls of the cloud an offer rests after a request while others are wanted.
@@ -39,7 +39,7 @@
 struct OpenRental {
     name: String,
     record: RentalRecord,
-    version: u64,
+    version: Revision,
 }
 
 impl Handles {
@@ -129,7 +129,7 @@
 
     /// Stores a rental over the version that is known of it, and returns its new version. After an error it may have been
     /// stored all the same: the watch brings whatever the store holds, and an open request is called again.
-    async fn store_rental(&self, rental: &OpenRental, term: Term) -> Result<u64, RentalError> {
+    async fn store_rental(&self, rental: &OpenRental, term: Term) -> Result<Revision, RentalError> {
         let epoch = guard(store::epoch_key(), term.epoch_version);
         let txn = store::rental_txn(&epoch, &rental.name, rental.version, &rental.record);
         match self.leader_transaction(&txn).await? {
@@ -197,7 +197,7 @@
         let rental = OpenRental {
             name: format!("{node}-{incarnation:x}-{}", self.rental_requests_made),
             record,
-            version: 0,
+            version: Revision::ZERO,
         };
         Some((rental, term))
     }
--- a/src/controller/election_loop.rs
+++ b/src/controller/election_loop.rs
@@ -3,7 +3,7 @@
 use super::handles::Handles;
 use super::state::{ControllerState, EpochClaim, StepDownReason};
 use crate::coordination::leadership::{LeadershipEvent, Term};
-use crate::store::{self, Decided, EpochRecord, LeaderRecord, StoreError};
+use crate::store::{self, Decided, EpochRecord, LeaderRecord, Revision, StoreError};
 use crate::time::{duration, duration_from_millis, whole_millis, Timestamp};
 use rand::Rng;
 use std::ops::Range;
@@ -129,7 +129,7 @@
     }
 
     /// Runs the transaction of a claim and returns the version of the epoch key, if leadership was claimed.
-    async fn commit_claim(&self, claim: &EpochClaim) -> Option<u64> {
+    async fn commit_claim(&self, claim: &EpochClaim) -> Option<Revision> {
         match self.leader_transaction(&claim.txn).await {
             Ok(Decided::Applied(revision)) => Some(revision),
             // Without an answer, the transaction may have been applied: the store tells.
@@ -139,7 +139,7 @@
     }
 
     /// The version of the epoch key, if the store holds the claimed epoch and its leader.
-    async fn read_claimed_epoch(&self, claimed: &EpochRecord) -> Option<u64> {
+    async fn read_claimed_epoch(&self, claimed: &EpochRecord) -> Option<Revision> {
         let epoch = self.store.get::<EpochRecord>(&store::epoch_key()).await;
         let epoch = self.record_store_answer(epoch);
         let leader = self.store.get::<LeaderRecord>(&store::leader_key()).await;
--- a/src/controller/handles.rs
+++ b/src/controller/handles.rs
@@ -2,7 +2,7 @@
 
 use super::state::ControllerState;
 use crate::clients::cloud::CloudClient;
-use crate::store::StoreClient;
+use crate::store::{Revision, StoreClient};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     pub(super) cloud: CloudClient,
     pub(super) http: awc::Client,
     /// Revision that the replica of the store has reached.
-    pub(super) replica_revision: Rc<watch::Sender<u64>>,
+    pub(super) replica_revision: Rc<watch::Sender<Revision>>,
     /// Leadership may be vacant.
     pub(super) campaign_requested: Rc<Notify>,
     /// A linearizable read is waiting.
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -2,6 +2,7 @@
 
 use crate::coordination::peers::{Cancelled, View};
 use crate::protocol::{JobSpec, JobView, Report, ReportReply};
+use crate::store::Revision;
 use actix::Message;
 use std::time::{Duration, Instant};
 
@@ -37,7 +38,7 @@
 
 /// Another controller sends cancellations that are durable, and is answered by the revision of this one's replica.
 #[derive(Message)]
-#[rtype(result = "u64")]
+#[rtype(result = "Revision")]
 pub struct PeerCancelled(pub Cancelled);
 
 /// The outcome of a user's request about a job.
--- a/src/controller/read_barrier.rs
+++ b/src/controller/read_barrier.rs
@@ -6,7 +6,7 @@
 use crate::coordination::leadership::LeadershipEvent;
 use crate::coordination::linearizable_reads::ReadBatch;
 use crate::protocol::Txn;
-use crate::store::{self, guard};
+use crate::store::{self, guard, Revision};
 use crate::time::Timestamp;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -85,7 +85,11 @@
         if batch.is_empty() && self.term().is_none() {
             return None;
         }
-        let epoch_version = self.replica.epoch.as_ref().map_or(0, |epoch| epoch.version);
+        let epoch_version = self
+            .replica
+            .epoch
+            .as_ref()
+            .map_or(Revision::ZERO, |epoch| epoch.version);
         Some(ReadBarrier {
             requested_at: self.now(),
             transaction: Txn {
--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -4,7 +4,7 @@
 use crate::coordination::cancellations::{Notice, OtherLeader, ReplicaView};
 use crate::coordination::peers::{Cancelled, CancelledJob};
 use crate::protocol as wire;
-use crate::store::{OverRecord, Versioned};
+use crate::store::{OverRecord, Revision, Versioned};
 
 impl ControllerState {
     /// Applies a cancellation that is durable, perhaps before the replica shows it: tasks of the job are stopped, and none is
@@ -48,7 +48,7 @@
     ///
     /// Cancellations that the leader may not know of are passed on. The path from that peer to the leader may be cut, and a
     /// user who repeats the request here is answered only when the leader knows.
-    pub(in crate::controller) fn receive_cancellations(&mut self, message: &Cancelled) -> u64 {
+    pub(in crate::controller) fn receive_cancellations(&mut self, message: &Cancelled) -> Revision {
         let valid = |cancelled: &&CancelledJob| wire::is_job_id(&cancelled.job);
         for cancelled in message.jobs.iter().filter(valid) {
             if self.leader_may_not_know(cancelled.revision) {
@@ -71,7 +71,7 @@
     }
 
     /// Whether the leader may not know of a cancellation that became durable at a revision.
-    fn leader_may_not_know(&self, revision: u64) -> bool {
+    fn leader_may_not_know(&self, revision: Revision) -> bool {
         self.cancellations
             .leader_may_not_know(self.replica_view(), revision)
     }
--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -4,7 +4,7 @@
 use crate::coordination::leadership::Authority;
 use crate::protocol::{Change, Guard, Txn};
 use crate::scheduler::{DoneChunk, Scheduler};
-use crate::store::{self, guard, put, OverRecord, RentalRecord};
+use crate::store::{self, guard, put, OverRecord, RentalRecord, Revision};
 use std::time::Duration;
 
 /// Time between two rounds of durable writes of the leader.
@@ -104,7 +104,7 @@
                 txn.guards.push(job_is_live);
             }
             let stored = self.replica.done.get(&(chunk.job.clone(), chunk.chunk));
-            let stored_version = stored.map_or(0, |row| row.version);
+            let stored_version = stored.map_or(Revision::ZERO, |row| row.version);
             let key = store::done_key(&chunk.job, chunk.chunk);
             txn.guards.push(guard(key.clone(), stored_version));
             let bits = store::bits_to_text(&chunk.bits);
@@ -183,7 +183,7 @@
             guards: vec![epoch.clone()],
             apply: Vec::new(),
         };
-        let mut delete = |key: String, version: u64| {
+        let mut delete = |key: String, version: Revision| {
             if txn.apply.len() < max_changes {
                 txn.guards.push(guard(key.clone(), version));
                 txn.apply.push(Change::Delete { key });
--- a/src/controller/state/replica_changes.rs
+++ b/src/controller/state/replica_changes.rs
@@ -5,7 +5,7 @@
 use crate::coordination::leadership::LeadershipEvent;
 use crate::protocol as wire;
 use crate::protocol::MachineType;
-use crate::store::{Mirror, MirrorChange};
+use crate::store::{Mirror, MirrorChange, Revision};
 
 /// What a change of the replica means for the leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// Applies the events of a watch to the replica.
     pub(in crate::controller) fn apply_watch_events(
         &mut self,
-        revision: u64,
+        revision: Revision,
         events: &[wire::Event],
     ) -> LeaderKeyChange {
         let changes = self.replica.apply(revision, events);
--- a/src/controller/tests/cancellation_broadcast.rs
+++ b/src/controller/tests/cancellation_broadcast.rs
@@ -59,7 +59,7 @@
     let leader = simulation.leader().unwrap();
     let Followers { second, .. } = followers(leader);
     let controller = simulation.nodes[second].running_mut();
-    let revision = controller.replica.revision + 1;
+    let revision = controller.replica.revision.next();
     controller.receive_cancellations(&Cancelled {
         jobs: vec![CancelledJob {
             job: "wk-1".into(),
@@ -100,7 +100,7 @@
         .peer_replica_reached(&leader, revision);
     controller.learn_final_state("wk-8", &cancelled(revision));
     assert!(controller.cancellations.message_for(&leader).is_none());
-    controller.learn_final_state("wk-9", &cancelled(revision + 1));
+    controller.learn_final_state("wk-9", &cancelled(revision.next()));
     assert_eq!(
         controller
             .cancellations
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -11,7 +11,7 @@
 use crate::protocol::{
     Change, Command, Event, ExitReason, FencingToken, JobState, Report, TaskReport, TaskState,
 };
-use crate::store::{Decided, Mirror};
+use crate::store::{Decided, Mirror, Revision};
 use ciborium::{cbor, Value};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 /// The predecessor's epoch is 6: its attempts begin with 6, and the new leader's token is this.
 const TOKEN: u64 = 0x700_0000;
 /// Revision of the claim.
-const CLAIMED_AT: u64 = 301;
+const CLAIMED_AT: Revision = Revision::new(301);
 
 fn live_record(id: &str, tasks: u32) -> Value {
     cbor!({
@@ -96,7 +96,7 @@
         .map(|(key, value, version)| Event::Put {
             put: key.into(),
             value,
-            version,
+            version: Revision::new(version),
         })
         .collect()
 }
@@ -108,7 +108,7 @@
     let clock = Clock::Scripted(Rc::new(Cell::new(10_000)));
     let mut controller = ControllerState::new(settings, 77, clock);
     let mut replica = Mirror::default();
-    replica.apply(300, &put_events(records));
+    replica.apply(Revision::new(300), &put_events(records));
     replica.loaded = true;
     let _ = controller.replace_replica(replica);
     let now = controller.now();
@@ -118,7 +118,7 @@
     let guarded: Vec<(&str, u64)> = txn
         .guards
         .iter()
-        .map(|guard| (guard.key.as_str(), guard.version))
+        .map(|guard| (guard.key.as_str(), guard.version.as_u64()))
         .collect();
     assert_eq!(
         guarded,
@@ -136,8 +136,8 @@
     let own = cbor!({"node" => "drover-0", "incarnation" => 77}).unwrap();
     let epoch = cbor!({"number" => 7, "leader" => own, "members" => [own], "logs_starts" => true});
     let claimed = vec![
-        ("hollowswitch/leader", own, CLAIMED_AT),
-        ("hollowswitch/epoch", epoch.unwrap(), CLAIMED_AT),
+        ("hollowswitch/leader", own, CLAIMED_AT.as_u64()),
+        ("hollowswitch/epoch", epoch.unwrap(), CLAIMED_AT.as_u64()),
     ];
     let _ = controller.apply_watch_events(CLAIMED_AT, &put_events(claimed));
     controller.apply_leadership_event(LeadershipEvent::RevisionRead {
@@ -186,7 +186,12 @@
     while let Some(write) = controller.next_start_log_write() {
         let StartLogWrite { append, term, .. } = write;
         revision += 1;
-        controller.finish_start_log_write(term, append, &Ok(Decided::Applied(revision)), None);
+        controller.finish_start_log_write(
+            term,
+            append,
+            &Ok(Decided::Applied(Revision::new(revision))),
+            None,
+        );
     }
     match controller.handle_heartbeat(report) {
         HeartbeatOutcome::Reply(reply) => {
@@ -288,7 +293,7 @@
     assert!(controller.job_view("wk-5").is_none());
     // The request without an answer is still there to be repeated under its name.
     let open = &controller.replica().rentals["drover-1-70-2"];
-    assert_eq!((open.version, &open.record.machines), (204, &None));
+    assert_eq!((open.version.as_u64(), &open.record.machines), (204, &None));
     let scheduler = controller.scheduler.as_ref().unwrap();
     assert!(scheduler.knows("n-1") && scheduler.knows("n-2") && !scheduler.knows("n-9"));
     // The cancelled job stays among those being stopped until its task is gone; only results of finished jobs are dropped.
@@ -312,12 +317,12 @@
     let guarded: Vec<(&str, u64)> = txn
         .guards
         .iter()
-        .map(|guard| (guard.key.as_str(), guard.version))
+        .map(|guard| (guard.key.as_str(), guard.version.as_u64()))
         .collect();
     assert_eq!(
         guarded,
         [
-            ("hollowswitch/epoch", CLAIMED_AT),
+            ("hollowswitch/epoch", CLAIMED_AT.as_u64()),
             ("hollowswitch/live/wk-1", 205),
             ("hollowswitch/done/wk-1/0", 206)
         ]
--- a/src/controller/tests/fault_combinations/late_writes.rs
+++ b/src/controller/tests/fault_combinations/late_writes.rs
@@ -5,6 +5,7 @@
 use crate::protocol::{Change, Txn};
 use crate::scheduler::tests::spec;
 use crate::store;
+use crate::store::Revision;
 
 #[test]
 fn one_final_state_stands_when_a_cancellation_or_resubmission_meets_the_last_result() {
@@ -72,7 +73,11 @@
     };
     simulation.commit_late(
         40 * SECOND,
-        late(vec![epoch.clone(), live, store::guard(row.clone(), 0)]),
+        late(vec![
+            epoch.clone(),
+            live,
+            store::guard(row.clone(), Revision::ZERO),
+        ]),
     );
     let record = store::RentalRecord {
         machine_type: "m8".into(),
@@ -81,7 +86,10 @@
         count: 1,
         machines: None,
     };
-    simulation.commit_late(41 * SECOND, store::rental_txn(&epoch, "r-late", 0, &record));
+    simulation.commit_late(
+        41 * SECOND,
+        store::rental_txn(&epoch, "r-late", Revision::ZERO, &record),
+    );
     simulation.run(SECOND);
     let leader = simulation.leader().unwrap();
     simulation.crash(leader, 100 * MILLISECOND);
--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -5,7 +5,7 @@
 use crate::autoscaler::{release_silent_machines, ScalingPolicy};
 use crate::protocol::{Guard, MachineType};
 use crate::scheduler::{Hardware, Origin};
-use crate::store::{self, Decided, RentalRecord};
+use crate::store::{self, Decided, RentalRecord, Revision};
 use rand::Rng;
 use std::time::Duration;
 
@@ -111,7 +111,7 @@
             .count();
         let zone = ZONES[usize::from(in_first_zone * 2 > self.workers.len())];
         let record = rental_record(zone, &machine);
-        let txn = store::rental_txn(epoch, &format!("r-{number}"), 0, &record);
+        let txn = store::rental_txn(epoch, &format!("r-{number}"), Revision::ZERO, &record);
         if !matches!(self.transact(node, &txn), Ok(Decided::Applied(_))) {
             return;
         }
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -2,7 +2,7 @@
 
 use super::super::Simulation;
 use crate::coordination::leadership::{Authority, LeadershipEvent, Term};
-use crate::store::Decided;
+use crate::store::{Decided, Revision};
 use crate::time::{duration, Timestamp};
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct ClaimedEpoch {
     epoch: u64,
-    version: u64,
+    version: Revision,
     sent_at: Timestamp,
     deadline: Timestamp,
 }
--- a/src/controller/tests/simulation/store.rs
+++ b/src/controller/tests/simulation/store.rs
@@ -6,7 +6,7 @@
 use super::network::Message;
 use super::Simulation;
 use crate::protocol::{Change, Event, Guard, Txn};
-use crate::store::{self, Decided, EpochRecord, Mirror, StoreError, Versioned};
+use crate::store::{self, Decided, EpochRecord, Mirror, Revision, StoreError, Versioned};
 use crate::time::Timestamp;
 use ciborium::Value;
 use rand::Rng;
@@ -20,7 +20,7 @@
 /// A key's value.
 struct StoredValue {
     value: Value,
-    version: u64,
+    version: Revision,
     /// The lease with which the key ends.
     lease: Option<u64>,
 }
@@ -36,7 +36,7 @@
 pub(crate) struct SimulatedStore {
     keys: BTreeMap<String, StoredValue>,
     events: Vec<Event>,
-    revision: u64,
+    revision: Revision,
     leases: BTreeMap<u64, StoreLease>,
     last_lease: u64,
     down: bool,
@@ -81,13 +81,15 @@
     }
 
     /// Revision of the newest change.
-    pub(super) fn revision(&self) -> u64 {
+    pub(super) fn revision(&self) -> Revision {
         self.revision
     }
 
     /// Version of a key, 0 if there is none.
-    pub(crate) fn version(&self, key: &str) -> u64 {
-        self.keys.get(key).map_or(0, |stored| stored.version)
+    pub(crate) fn version(&self, key: &str) -> Revision {
+        self.keys
+            .get(key)
+            .map_or(Revision::ZERO, |stored| stored.version)
     }
 
     /// Whether a key exists.
@@ -120,7 +122,7 @@
             return Decided::Failed(vec!["hold".into()]);
         }
         if !txn.apply.is_empty() {
-            self.revision += 1;
+            self.revision = self.revision.next();
         }
         for change in &txn.apply {
             self.apply(change);
@@ -192,7 +194,7 @@
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
-            self.revision += 1;
+            self.revision = self.revision.next();
             self.delete(&key);
         }
     }
@@ -214,7 +216,7 @@
     }
 
     /// The changes after a revision, as a watch shows them.
-    pub(super) fn events_after(&self, revision: u64) -> Vec<Event> {
+    pub(super) fn events_after(&self, revision: Revision) -> Vec<Event> {
         let newer = |event: &&Event| match event {
             Event::Put { version, .. } | Event::Delete { version, .. } => *version > revision,
         };
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -14,7 +14,7 @@
 use crate::coordination::cancellations::Notice;
 use crate::coordination::leadership::longest_authority;
 use crate::coordination::peers::CancelledJob;
-use crate::store::{self, Decided, LiveRecord, OverRecord, StoreError, Versioned};
+use crate::store::{self, Decided, LiveRecord, OverRecord, Revision, StoreError, Versioned};
 use crate::time::duration;
 use std::ops::ControlFlow;
 
@@ -89,7 +89,7 @@
     }
 
     /// Spreads and confirms a cancellation that became durable at a revision.
-    async fn confirm(&self, id: &str, final_state: OverRecord, revision: u64) -> JobOutcome {
+    async fn confirm(&self, id: &str, final_state: OverRecord, revision: Revision) -> JobOutcome {
         let cancelled = CancelledJob {
             job: id.to_string(),
             tasks: final_state.tasks,
--- a/src/controller/watch_loop.rs
+++ b/src/controller/watch_loop.rs
@@ -58,7 +58,7 @@
             let watched = match select(watch, stall).await {
                 Either::Left((watched, _)) => watched,
                 Either::Right(_) => {
-                    tracing::info!(after, "watch stalled, reopening");
+                    tracing::info!(%after, "watch stalled, reopening");
                     *stall_timeout = (*stall_timeout * 2).min(WATCH_TIMEOUT);
                     continue;
                 }
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -11,6 +11,7 @@
 mod tests;
 
 use super::peers::{Cancelled, CancelledJob};
+use crate::store::Revision;
 use std::collections::{HashMap, VecDeque};
 
 /// The largest number of notices kept for peers that do not acknowledge them: more than users may cancel in the time for which
@@ -27,13 +28,13 @@
 pub struct Notice {
     /// Position among all notices of this controller.
     sequence: u64,
-    revision: u64,
+    revision: Revision,
 }
 
 impl Notice {
     /// Revision at which the cancellation became durable.
     #[must_use]
-    pub fn revision(&self) -> u64 {
+    pub fn revision(&self) -> Revision {
         self.revision
     }
 }
@@ -60,14 +61,14 @@
     /// It acknowledged every notice that is still kept, up to this position.
     acknowledged: u64,
     /// Its replica of the store holds every change up to this revision.
-    replica_revision: u64,
+    replica_revision: Revision,
 }
 
 /// What the replica of this controller says of the leader.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaView<'a> {
     /// The revision that the replica has reached.
-    pub revision: u64,
+    pub revision: Revision,
     /// The leader, if it is another controller.
     pub other_leader: Option<OtherLeader<'a>>,
 }
@@ -78,7 +79,7 @@
     /// Its name.
     pub node: &'a str,
     /// The revision at which it became the leader.
-    pub elected_at: u64,
+    pub elected_at: Revision,
 }
 
 /// The notices of this controller, and what its peers know.
@@ -155,7 +156,7 @@
     }
 
     /// A peer's replica holds every change up to a revision.
-    pub fn peer_replica_reached(&mut self, peer: &str, revision: u64) {
+    pub fn peer_replica_reached(&mut self, peer: &str, revision: Revision) {
         let knowledge = self.knowledge_mut(peer);
         knowledge.replica_revision = knowledge.replica_revision.max(revision);
     }
@@ -163,7 +164,7 @@
     /// Whether a leader may start tasks of a job whose cancellation became durable at a revision, as far as is known from the
     /// replicas: the leader of that time may not know of it. A later leader has read the store since.
     #[must_use]
-    pub fn leader_may_not_know(&self, view: ReplicaView, revision: u64) -> bool {
+    pub fn leader_may_not_know(&self, view: ReplicaView, revision: Revision) -> bool {
         let leader_lags = view.other_leader.is_some_and(|leader| {
             leader.elected_at <= revision && self.knowledge(leader.node).replica_revision < revision
         });
--- a/src/coordination/cancellations/tests.rs
+++ b/src/coordination/cancellations/tests.rs
@@ -6,7 +6,7 @@
     CancelledJob {
         job: job.into(),
         tasks: 3,
-        revision,
+        revision: Revision::new(revision),
     }
 }
 
@@ -19,8 +19,8 @@
     let (Cancelled { jobs }, last) = cancellations.message_for("b").unwrap();
     assert_eq!((jobs.len(), last), (2, second));
     // Its replica has reached the first; a message that says less takes nothing back.
-    cancellations.peer_replica_reached("b", 41);
-    cancellations.peer_replica_reached("b", 7);
+    cancellations.peer_replica_reached("b", Revision::new(41));
+    cancellations.peer_replica_reached("b", Revision::new(7));
     assert_eq!(
         cancellations.message_for("b").unwrap().0.jobs,
         vec![cancelled("wk-2", 42)]
@@ -68,6 +68,6 @@
         cancellations.acknowledged("b", last);
     }
     assert!(!cancellations.is_known_by("b", lost));
-    cancellations.peer_replica_reached("b", 40);
+    cancellations.peer_replica_reached("b", Revision::new(40));
     assert!(cancellations.is_known_by("b", lost));
 }
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -18,6 +18,7 @@
 #[cfg(test)]
 mod tests;
 
+use crate::store::Revision;
 use crate::time::{whole_millis, Timestamp};
 use std::time::Duration;
 
@@ -45,7 +46,7 @@
     /// Number of the epoch.
     pub epoch: u64,
     /// Version of the epoch key in the store. Every write of the leader is conditional on it.
-    pub epoch_version: u64,
+    pub epoch_version: Revision,
     /// Identifier of the leader lease in the store.
     pub lease: u64,
 }
@@ -86,12 +87,12 @@
         /// When the request was sent.
         requested_at: Timestamp,
         /// The revision that the store had reached when it answered.
-        revision: u64,
+        revision: Revision,
     },
     /// The replica holds every change up to a revision.
     ReplicaAdvanced {
         /// That revision.
-        revision: u64,
+        revision: Revision,
     },
     /// The term is over: the leader lease ended, a later epoch was seen, this controller steps down, or its grace period
     /// without the store is over.
@@ -102,7 +103,7 @@
 #[derive(Debug, Clone, Copy)]
 struct PendingRead {
     requested_at: Timestamp,
-    revision: u64,
+    revision: Revision,
 }
 
 /// The state machine of this controller's leadership.
@@ -116,7 +117,7 @@
     lease_renewed_at: Timestamp,
     /// When the newest read was sent whose revision the replica has reached.
     up_to_date_at: Timestamp,
-    replica_revision: u64,
+    replica_revision: Revision,
     pending_reads: Vec<PendingRead>,
 }
 
@@ -132,7 +133,7 @@
             grace_period,
             lease_renewed_at: Timestamp::ZERO,
             up_to_date_at: Timestamp::ZERO,
-            replica_revision: 0,
+            replica_revision: Revision::ZERO,
             pending_reads: Vec::new(),
         }
     }
--- a/src/coordination/leadership/tests.rs
+++ b/src/coordination/leadership/tests.rs
@@ -1,6 +1,7 @@
 //! The authority of a leader over time, under a fake clock.
 
 use super::*;
+use crate::store::Revision;
 
 /// Leads epoch 3 with a leader lease of 2 s and a grace period of 10 s; renewed and read at 1000, with the replica at revision 9.
 fn leading() -> Leadership {
@@ -9,13 +10,15 @@
     assert!(leadership.apply(LeadershipEvent::CampaignWon {
         term: Term {
             epoch: 3,
-            epoch_version: 9,
+            epoch_version: Revision::new(9),
             lease: 1
         },
         lease_requested_at: at(1000)
     }));
     read(&mut leadership, 1000, 9);
-    leadership.apply(LeadershipEvent::ReplicaAdvanced { revision: 9 });
+    leadership.apply(LeadershipEvent::ReplicaAdvanced {
+        revision: Revision::new(9),
+    });
     leadership
 }
 
@@ -26,7 +29,7 @@
 fn read(leadership: &mut Leadership, requested_at: u64, revision: u64) {
     leadership.apply(LeadershipEvent::RevisionRead {
         requested_at: at(requested_at),
-        revision,
+        revision: Revision::new(revision),
     });
 }
 
@@ -60,13 +63,17 @@
     assert_eq!(leadership.authority(at(9001)), Authority::Renew);
     // The read that follows returns revision 12. The replica, whose watch has stalled, is at 9, then at 11.
     read(&mut leadership, 9010, 12);
-    leadership.apply(LeadershipEvent::ReplicaAdvanced { revision: 11 });
+    leadership.apply(LeadershipEvent::ReplicaAdvanced {
+        revision: Revision::new(11),
+    });
     assert_eq!(leadership.authority(at(9020)), Authority::Renew);
     assert!(
         leadership.lags_behind_read_sent_before(at(9011))
             && !leadership.lags_behind_read_sent_before(at(9010))
     );
-    leadership.apply(LeadershipEvent::ReplicaAdvanced { revision: 12 });
+    leadership.apply(LeadershipEvent::ReplicaAdvanced {
+        revision: Revision::new(12),
+    });
     assert_eq!(leadership.authority(at(9030)), Authority::Full);
     assert!(!leadership.lags_behind_read_sent_before(at(u64::MAX)));
 }
@@ -98,13 +105,17 @@
     // Answers out of order: the read that was sent last returns the lower revision.
     read(&mut leadership, 8000, 20);
     read(&mut leadership, 9000, 15);
-    leadership.apply(LeadershipEvent::ReplicaAdvanced { revision: 15 });
+    leadership.apply(LeadershipEvent::ReplicaAdvanced {
+        revision: Revision::new(15),
+    });
     assert_eq!(leadership.authority(at(10_800)), Authority::Full);
     leadership.apply(LeadershipEvent::LeaseRenewed {
         requested_at: at(10_500),
     });
     // Reaching the revision of the older read neither reduces nor extends the authority.
-    leadership.apply(LeadershipEvent::ReplicaAdvanced { revision: 20 });
+    leadership.apply(LeadershipEvent::ReplicaAdvanced {
+        revision: Revision::new(20),
+    });
     assert_eq!(leadership.authority(at(10_800)), Authority::Full);
     assert_eq!(leadership.authority(at(10_900)), Authority::Renew);
     // The number of pending reads is bounded, and a later read still counts.
@@ -112,7 +123,9 @@
         read(&mut leadership, 10_500, 30 + n);
     }
     assert!(leadership.pending_reads.len() <= PENDING_READS_LIMIT);
-    leadership.apply(LeadershipEvent::ReplicaAdvanced { revision: 5000 });
+    leadership.apply(LeadershipEvent::ReplicaAdvanced {
+        revision: Revision::new(5000),
+    });
     assert_eq!(leadership.authority(at(10_900)), Authority::Full);
 }
 
@@ -134,7 +147,7 @@
     assert!(!leadership.apply(LeadershipEvent::CampaignWon {
         term: Term {
             epoch: 1,
-            epoch_version: 1,
+            epoch_version: Revision::new(1),
             lease: 1
         },
         lease_requested_at: at(1)
--- a/src/coordination/linearizable_reads.rs
+++ b/src/coordination/linearizable_reads.rs
@@ -9,18 +9,19 @@
 #[cfg(test)]
 mod tests;
 
+use crate::store::Revision;
 use tokio::sync::oneshot;
 
 /// The reads that wait for the next read barrier.
 #[derive(Debug, Default)]
 pub struct PendingReads {
-    waiting: Vec<oneshot::Sender<u64>>,
+    waiting: Vec<oneshot::Sender<Revision>>,
 }
 
 impl PendingReads {
     /// Registers a read for the next barrier. The receiver gets the revision that the replica has to reach, or an error if the
     /// barrier fails.
-    pub fn register(&mut self) -> oneshot::Receiver<u64> {
+    pub fn register(&mut self) -> oneshot::Receiver<Revision> {
         let (sender, receiver) = oneshot::channel();
         self.waiting.push(sender);
         receiver
@@ -38,7 +39,7 @@
 /// The reads that share one barrier. Dropping the batch fails them.
 #[derive(Debug)]
 pub struct ReadBatch {
-    waiting: Vec<oneshot::Sender<u64>>,
+    waiting: Vec<oneshot::Sender<Revision>>,
 }
 
 impl ReadBatch {
@@ -49,7 +50,7 @@
     }
 
     /// Hands the revision that the barrier returned to the reads.
-    pub fn resolve(self, revision: u64) {
+    pub fn resolve(self, revision: Revision) {
         for sender in self.waiting {
             // A read that was abandoned meanwhile, by its timeout, has dropped its receiver.
             let _ = sender.send(revision);
--- a/src/coordination/linearizable_reads/tests.rs
+++ b/src/coordination/linearizable_reads/tests.rs
@@ -10,8 +10,11 @@
     let batch = pending_reads.take_batch();
     let mut later = pending_reads.register();
     assert!(!batch.is_empty());
-    batch.resolve(7);
-    assert_eq!((first.try_recv(), second.try_recv()), (Ok(7), Ok(7)));
+    batch.resolve(Revision::new(7));
+    assert_eq!(
+        (first.try_recv(), second.try_recv()),
+        (Ok(Revision::new(7)), Ok(Revision::new(7)))
+    );
     assert_eq!(later.try_recv(), Err(oneshot::error::TryRecvError::Empty));
     // A barrier that fails fails its reads.
     drop(pending_reads.take_batch());
--- a/src/coordination/peers/client.rs
+++ b/src/coordination/peers/client.rs
@@ -2,6 +2,7 @@
 
 use super::messages::{decode, encode, Cancelled, View, MESSAGE_SIZE_LIMIT};
 use crate::clients::http::{exchange, ConnectionReuse, HttpRequest};
+use crate::store::Revision;
 use awc::http::{Method, StatusCode};
 use serde::{de::DeserializeOwned, Serialize};
 use std::net::SocketAddr;
@@ -21,7 +22,7 @@
     http: &awc::Client,
     address: SocketAddr,
     message: &Cancelled,
-) -> Option<u64> {
+) -> Option<Revision> {
     post(http, format!("http://{address}/peer/cancelled"), message).await
 }
 
--- a/src/coordination/peers/messages.rs
+++ b/src/coordination/peers/messages.rs
@@ -3,6 +3,7 @@
 //! Controllers of two versions run side by side during an upgrade. Bincode writes no names, so the order and the types of the
 //! fields must not change.
 
+use crate::store::Revision;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
 /// The largest message accepted from a peer, in bytes.
@@ -16,7 +17,7 @@
     /// Number of the newest epoch that it has seen.
     pub epoch: u64,
     /// The revision that its replica of the store has reached.
-    pub revision: u64,
+    pub revision: Revision,
     /// Whether the store answers it.
     pub store_reachable: bool,
     /// If it leads: the rate of its changes of the store, per second.
@@ -33,7 +34,7 @@
     /// Its number of tasks.
     pub tasks: u32,
     /// Revision at which its cancellation became durable.
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// Notices of cancellations that are durable.
--- a/src/coordination/peers/tests.rs
+++ b/src/coordination/peers/tests.rs
@@ -2,6 +2,7 @@
 
 use super::health::ISOLATED_AFTER;
 use super::*;
+use crate::store::Revision;
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
     CancelledJob {
         job: job.into(),
         tasks: 3,
-        revision,
+        revision: Revision::new(revision),
     }
 }
 
@@ -39,7 +40,7 @@
     let v = View {
         node: "a".into(),
         epoch: 4,
-        revision: 8,
+        revision: Revision::new(8),
         store_reachable: true,
         leader_changes_per_s,
         task_counts,
--- a/src/protocol/state_service.rs
+++ b/src/protocol/state_service.rs
@@ -1,6 +1,46 @@
 //! The calls of the state service.
 
 use serde::{Deserialize, Serialize};
+use std::fmt;
+
+/// A revision of the state service: a number that grows with every change.
+///
+/// The version of a key is the revision of its last change. A guard on version [`Revision::ZERO`] holds while the key does
+/// not exist.
+#[derive(
+    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
+)]
+#[serde(transparent)]
+pub struct Revision(u64);
+
+impl Revision {
+    /// The revision of an empty store, and the version of a key that does not exist.
+    pub const ZERO: Revision = Revision(0);
+
+    /// The revision with this number.
+    #[must_use]
+    pub const fn new(number: u64) -> Revision {
+        Revision(number)
+    }
+
+    /// The revision that follows.
+    #[must_use]
+    pub const fn next(self) -> Revision {
+        Revision(self.0 + 1)
+    }
+
+    /// Its number.
+    #[must_use]
+    pub const fn as_u64(self) -> u64 {
+        self.0
+    }
+}
+
+impl fmt::Display for Revision {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -8,9 +48,9 @@
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Expected version; 0: the key does not exist.
+    /// Expected version; [`Revision::ZERO`]: the key does not exist.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// A change in a transaction.
@@ -54,7 +94,7 @@
     pub failed: Vec<String>,
     /// Revision.
     #[serde(rename = "ledger")]
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// A key's content.
@@ -68,7 +108,7 @@
     pub value: ciborium::Value,
     /// Version.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// A page of keys.
@@ -82,7 +122,7 @@
     pub more: bool,
     /// Revision.
     #[serde(rename = "ledger")]
-    pub revision: u64,
+    pub revision: Revision,
 }
 
 /// A change seen by a watch.
@@ -100,7 +140,7 @@
         value: ciborium::Value,
         /// Version.
         #[serde(rename = "stamp")]
-        version: u64,
+        version: Revision,
     },
     /// A key was removed.
     Delete {
@@ -109,7 +149,7 @@
         key: String,
         /// Version of the removal.
         #[serde(rename = "stamp")]
-        version: u64,
+        version: Revision,
     },
 }
 
@@ -121,7 +161,7 @@
     #[serde(rename = "v")]
     value: Option<ciborium::Value>,
     #[serde(rename = "stamp")]
-    version: u64,
+    version: Revision,
 }
 
 impl TryFrom<EventFields> for Event {
@@ -146,7 +186,7 @@
 pub struct Watched {
     /// Revision.
     #[serde(rename = "ledger")]
-    pub revision: u64,
+    pub revision: Revision,
     /// Changes in order.
     pub events: Vec<Event>,
 }
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -68,7 +68,7 @@
     let txn = Txn {
         guards: vec![Guard {
             key: "a/b".into(),
-            version: 0,
+            version: Revision::ZERO,
         }],
         apply: vec![
             Change::Put {
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -7,7 +7,7 @@
 use crate::placement::ResourceClass;
 use crate::protocol::{JobSpec, Kind, Priority};
 use crate::resources::Resources;
-use crate::store::LiveRecord;
+use crate::store::{LiveRecord, Revision};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// A job that has failed on so many machines, and of which no task has finished, is taken for one with a mistake.
@@ -26,7 +26,7 @@
     /// Its record.
     pub record: LiveRecord,
     /// The version of its record.
-    pub(super) version: u64,
+    pub(super) version: Revision,
     pub(super) submitted_at: u64,
     pub(super) team: Option<TeamIndex>,
     pub(super) image: ImageIndex,
@@ -124,7 +124,7 @@
     /// A job of which nothing is known but its record and its stored results.
     pub(super) fn new(
         record: LiveRecord,
-        version: u64,
+        version: Revision,
         placement: JobPlacement,
         results: TaskBitmap,
         submitted_at: u64,
--- a/src/scheduler/job_table.rs
+++ b/src/scheduler/job_table.rs
@@ -3,7 +3,7 @@
 use super::attempt::TaskId;
 use super::index::{JobIndex, Table};
 use super::job::Job;
-use crate::store::CHUNK;
+use crate::store::{Revision, CHUNK};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::{Index, IndexMut};
 
@@ -20,7 +20,7 @@
     /// Job.
     pub job: String,
     /// Version of its record.
-    pub version: u64,
+    pub version: Revision,
     /// Chunk.
     pub chunk: u32,
     /// Bits to be stored.
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -9,7 +9,7 @@
 use crate::placement::ResourceClass;
 use crate::protocol::JobSpec;
 use crate::resources::Resources;
-use crate::store::LiveRecord;
+use crate::store::{LiveRecord, Revision};
 
 /// A job of which every task is done.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     /// Id.
     pub id: String,
     /// Version of its record.
-    pub version: u64,
+    pub version: Revision,
     /// The number of its tasks.
     pub tasks: u32,
 }
@@ -37,7 +37,7 @@
     pub fn add_job(
         &mut self,
         record: LiveRecord,
-        version: u64,
+        version: Revision,
         results: &[(u32, Vec<u8>)],
         unix_millis: u64,
         cancelled: bool,
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -18,6 +18,7 @@
 use super::attempt::{Phase, TaskEvent, TaskId};
 use super::index::{JobIndex, MachineIndex};
 use super::Scheduler;
+use crate::store::Revision;
 use std::collections::{BTreeMap, VecDeque};
 
 /// How many slots are examined for each write.
@@ -38,7 +39,7 @@
 /// A slot as the leader last wrote or read it.
 #[derive(Debug, Default)]
 struct Slot {
-    version: u64,
+    version: Revision,
     entries: Vec<LogEntry>,
 }
 
@@ -67,9 +68,11 @@
         !self.unwritten.is_empty()
     }
 
-    /// The version that a slot must have to be written; 0 for a new one.
-    fn version(&self, slot: u32) -> u64 {
-        self.slots.get(&slot).map_or(0, |slot| slot.version)
+    /// The version that a slot must have to be written; [`Revision::ZERO`] for a new one.
+    fn version(&self, slot: u32) -> Revision {
+        self.slots
+            .get(&slot)
+            .map_or(Revision::ZERO, |slot| slot.version)
     }
 }
 
@@ -79,7 +82,7 @@
     /// Id.
     pub id: String,
     /// The version of its record, which must still be there: the job must be unfinished when its starts become durable.
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// A write of the log, which makes starts durable.
@@ -88,7 +91,7 @@
     /// Slot.
     pub slot: u32,
     /// Version that the slot must have.
-    pub version: u64,
+    pub version: Revision,
     /// Its new contents.
     pub text: String,
     /// Jobs of the new starts.
@@ -215,7 +218,7 @@
     }
 
     /// A write is durable: its starts may be sent.
-    pub fn log_write_applied(&mut self, write: SlotWrite, version: u64) {
+    pub fn log_write_applied(&mut self, write: SlotWrite, version: Revision) {
         let slot = Slot {
             version,
             entries: write.entries,
@@ -230,7 +233,7 @@
 
     /// A write failed, or its outcome is unknown: its starts wait for another one. `found` is what the slot holds now: its
     /// version and its text.
-    pub fn log_write_failed(&mut self, write: SlotWrite, found: Option<(u64, &str)>) {
+    pub fn log_write_failed(&mut self, write: SlotWrite, found: Option<(Revision, &str)>) {
         for entry in write.new_entries.into_iter().rev() {
             self.start_log.unwritten.push_front(entry);
         }
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -5,6 +5,7 @@
 use super::super::Scheduler;
 use super::text::{self, StoredEntry, NO_ADDRESS};
 use super::{LogEntry, Slot};
+use crate::store::Revision;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
@@ -14,7 +15,7 @@
     /// Its number.
     pub number: u32,
     /// Its version.
-    pub version: u64,
+    pub version: Revision,
     /// Its contents.
     pub text: &'a str,
 }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -14,7 +14,7 @@
     Command, ExitReason, JobSpec, Kind, Priority, Report, TaskReport, TaskState,
 };
 use crate::resources::QuotaResources;
-use crate::store::LiveRecord;
+use crate::store::{LiveRecord, Revision};
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -105,8 +105,13 @@
     }
 
     fn job(&mut self, spec: JobSpec, version: u64) {
-        self.scheduler
-            .add_job(LiveRecord { spec, at_ms: 0 }, version, &[], 0, false);
+        self.scheduler.add_job(
+            LiveRecord { spec, at_ms: 0 },
+            Revision::new(version),
+            &[],
+            0,
+            false,
+        );
     }
 
     /// A machine of this epoch, up.
@@ -149,7 +154,7 @@
         self.scheduler
             .replay_start_log(slots.iter().enumerate().map(|(i, s)| StoredSlot {
                 number: i as u32,
-                version: 50,
+                version: Revision::new(50),
                 text: s.as_str(),
             }));
     }
@@ -157,7 +162,7 @@
     /// Makes the lines of assigned starts durable.
     fn log(&mut self) {
         while let Some(append) = self.scheduler.next_log_write(8000, 60) {
-            self.scheduler.log_write_applied(append, 200);
+            self.scheduler.log_write_applied(append, Revision::new(200));
         }
     }
 
@@ -259,10 +264,10 @@
 }
 
 /// A scheduler with one start of `wk-1` that waits for its line, and the machine it is for.
-pub(crate) fn with_a_start_to_log(version: u64) -> (Scheduler, &'static str) {
+pub(crate) fn with_a_start_to_log(version: Revision) -> (Scheduler, &'static str) {
     let mut w = World::new();
     w.machine("n-1", "a");
-    w.job(spec("wk-1", 1), version);
+    w.job(spec("wk-1", 1), version.as_u64());
     w.scheduler.place();
     (w.scheduler, "n-1")
 }
@@ -275,7 +280,7 @@
 fn logged(id: &str, version: u64) -> LoggedJob {
     LoggedJob {
         id: id.into(),
-        version,
+        version: Revision::new(version),
     }
 }
 
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -1,6 +1,7 @@
 //! What a new leader knows of its predecessor, and how it learns what runs where.
 
 use super::*;
+use crate::store::Revision;
 
 #[test]
 fn a_new_leader_places_all_but_what_an_unheard_machine_may_run() {
@@ -86,7 +87,7 @@
             spec: spec("wk-1", 1),
             at_ms: 0,
         },
-        50,
+        Revision::new(50),
         &[],
         0,
         true,
@@ -111,7 +112,7 @@
             spec: spec("wk-1", 3),
             at_ms: 0,
         },
-        50,
+        Revision::new(50),
         &[(0, vec![0b101])],
         0,
         false,
@@ -223,7 +224,7 @@
             spec: spec("wk-1", 2),
             at_ms: 0,
         },
-        101,
+        Revision::new(101),
         &[],
         0,
         true,
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -1,6 +1,7 @@
 //! What proves that a task is not on a machine any more, and what does not.
 
 use super::*;
+use crate::store::Revision;
 
 #[test]
 fn a_confirmed_release_proves_a_machine_gone() {
@@ -124,7 +125,7 @@
         w.scheduler.complete_jobs(),
         vec![CompleteJob {
             id: "wk-1".to_string(),
-            version: 101,
+            version: Revision::new(101),
             tasks: 2
         }]
     );
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -1,6 +1,7 @@
 //! The start log: no start is sent before its line is durable.
 
 use super::*;
+use crate::store::Revision;
 
 #[test]
 fn the_last_line_of_a_task_counts_and_what_was_released_counts_no_more() {
@@ -55,14 +56,14 @@
     assert!(w.scheduler.direct_commands(9).is_empty());
     // The write failed since the slot had changed: an earlier write without an answer had gone through after all.
     w.scheduler
-        .log_write_failed(first, Some((150, "n-1 - /wk-1 0.1")));
+        .log_write_failed(first, Some((Revision::new(150), "n-1 - /wk-1 0.1")));
     let again = w
         .scheduler
         .next_log_write(8000, 60)
         .expect("they wait again");
-    assert_eq!((again.slot, again.version), (0, 150));
+    assert_eq!((again.slot, again.version), (0, Revision::new(150)));
     let text = again.text.clone();
-    w.scheduler.log_write_applied(again, 151);
+    w.scheduler.log_write_applied(again, Revision::new(151));
     let sent = w.scheduler.direct_commands(9);
     let got = starts(&sent[0].orders);
     assert_eq!(got.len(), 2);
@@ -82,7 +83,7 @@
         w.scheduler.next_log_write(8000, 60)
     });
     let third = third.expect("the lost task is started again");
-    assert_eq!((third.slot, third.version), (0, 151));
+    assert_eq!((third.slot, third.version), (0, Revision::new(151)));
     assert!(
         !third.text.contains(&format!("{:x}", got[0].1))
             && third.text.contains(&format!("{:x}", got[1].1))
@@ -105,7 +106,7 @@
     let again = w.scheduler.next_log_write(8000, 60).unwrap();
     assert_eq!(again.jobs, vec![logged("wk-2", 102)]);
     assert!(!again.text.contains("wk-1"));
-    w.scheduler.log_write_applied(again, 200);
+    w.scheduler.log_write_applied(again, Revision::new(200));
     let sent = w.scheduler.direct_commands(9);
     assert_eq!(starts(&sent[0].orders).len(), 1);
     assert_eq!(starts(&sent[0].orders)[0].0, "wk-2/0");
@@ -121,7 +122,8 @@
     while let Some(a) = w.scheduler.next_log_write(8000, 2) {
         assert!(a.jobs.len() <= 2);
         written.extend(a.jobs.iter().map(|job| job.id.clone()));
-        w.scheduler.log_write_applied(a, 200 + written.len() as u64);
+        w.scheduler
+            .log_write_applied(a, Revision::new(200 + written.len() as u64));
     }
     written.sort();
     written.dedup();
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,7 +1,7 @@
 //! The state service's client.
 
 use super::records::record;
-use super::{Mirror, Versioned, ROOT};
+use super::{Mirror, Revision, Versioned, ROOT};
 use crate::clients::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest};
 use crate::protocol::{self as wire, Item, Txn};
 use serde::de::DeserializeOwned;
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decided {
     /// Applied at this revision.
-    Applied(u64),
+    Applied(Revision),
     /// Conditions failed, for these keys.
     Failed(Vec<String>),
 }
@@ -145,7 +145,7 @@
     }
 
     /// Runs a compare-only transaction for the revision it tells, whatever it finds.
-    pub async fn barrier(&self, txn: &Txn) -> Result<u64, StoreError> {
+    pub async fn barrier(&self, txn: &Txn) -> Result<Revision, StoreError> {
         let (status, body) = self.post("/multi", wire::encode(txn), CALL).await?;
         match (status, wire::decode::<wire::TxnReply>(&body)) {
             (200 | 409, Ok(r)) => Ok(r.revision),
@@ -189,7 +189,7 @@
     }
 
     /// Waits for changes after a revision.
-    pub async fn watch(&self, after: u64, hold_ms: u64) -> Result<wire::Watched, StoreError> {
+    pub async fn watch(&self, after: Revision, hold_ms: u64) -> Result<wire::Watched, StoreError> {
         let path = format!("/watch?starts={ROOT}&after={after}&holdMs={hold_ms}");
         self.read(&path, Duration::from_millis(hold_ms) + CALL)
             .await
@@ -225,7 +225,7 @@
                 }
             }
         }
-        mirror.revision = first.unwrap_or(0);
+        mirror.revision = first.unwrap_or_default();
         mirror.loaded = true;
         Ok(mirror)
     }
--- a/src/store/mirror.rs
+++ b/src/store/mirror.rs
@@ -1,7 +1,9 @@
 //! What a node knows of the store: a mirror of it at one revision, kept by a watch.
 
 use super::records::{record, text_to_bits};
-use super::{EpochRecord, LeaderRecord, LiveRecord, OverRecord, RentalRecord, Versioned, ROOT};
+use super::{
+    EpochRecord, LeaderRecord, LiveRecord, OverRecord, RentalRecord, Revision, Versioned, ROOT,
+};
 use crate::protocol::{Event, MachineType};
 use ciborium::Value;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -30,7 +32,7 @@
     /// How often it was replaced by a fresh one: in between the watch has brought every change.
     pub generation: u64,
     /// Revision up to which changes are in; an empty store has 0.
-    pub revision: u64,
+    pub revision: Revision,
     /// Unfinished jobs.
     pub live: BTreeMap<String, Versioned<LiveRecord>>,
     /// Cancelled jobs of which tasks may still be somewhere.
@@ -85,8 +87,14 @@
 
 impl Mirror {
     /// Takes in one key read in a listing or a watch; older versions than the known one are ignored.
-    pub fn put(&mut self, key: &str, value: &Value, version: u64, seen: &mut Vec<MirrorChange>) {
-        fn newer<T>(old: Option<&Versioned<T>>, version: u64) -> bool {
+    pub fn put(
+        &mut self,
+        key: &str,
+        value: &Value,
+        version: Revision,
+        seen: &mut Vec<MirrorChange>,
+    ) {
+        fn newer<T>(old: Option<&Versioned<T>>, version: Revision) -> bool {
             old.is_none_or(|o| o.version < version)
         }
         let Some(rest) = key.strip_prefix(ROOT) else {
@@ -164,7 +172,7 @@
     }
 
     /// Takes in a rental request, read or just written by this node; a version older than the known one is ignored.
-    pub fn put_rental(&mut self, name: &str, record: RentalRecord, version: u64) {
+    pub fn put_rental(&mut self, name: &str, record: RentalRecord, version: Revision) {
         if self
             .rentals
             .get(name)
@@ -175,7 +183,7 @@
         }
     }
 
-    fn delete(&mut self, key: &str, version: u64, seen: &mut Vec<MirrorChange>) {
+    fn delete(&mut self, key: &str, version: Revision, seen: &mut Vec<MirrorChange>) {
         let Some(rest) = key.strip_prefix(ROOT) else {
             return;
         };
@@ -215,7 +223,7 @@
     }
 
     /// Takes in the changes of a watch.
-    pub fn apply(&mut self, revision: u64, events: &[Event]) -> Vec<MirrorChange> {
+    pub fn apply(&mut self, revision: Revision, events: &[Event]) -> Vec<MirrorChange> {
         let mut seen = Vec::new();
         for event in events {
             match event {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -10,6 +10,7 @@
 mod tests;
 mod transactions;
 
+pub use crate::protocol::Revision;
 pub use client::*;
 pub use keys::*;
 pub use mirror::*;
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,6 +1,6 @@
 //! The records that the keys hold.
 
-use super::CHUNK;
+use super::{Revision, CHUNK};
 use crate::protocol::JobSpec;
 use crate::scheduler::Hardware;
 use ciborium::Value;
@@ -89,7 +89,7 @@
     /// The record.
     pub record: T,
     /// Version of its key.
-    pub version: u64,
+    pub version: Revision,
 }
 
 pub(super) fn record<T: DeserializeOwned>(value: &Value) -> Option<T> {
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -15,7 +15,7 @@
     Event::Put {
         put: live_key(id),
         value: Value::serialized(&record).unwrap(),
-        version,
+        version: Revision::new(version),
     }
 }
 
@@ -23,34 +23,34 @@
 fn a_late_page_never_undoes_a_newer_change() {
     let mut m = Mirror::default();
     assert_eq!(
-        m.apply(4, &[live("wk-1", 4)]),
+        m.apply(Revision::new(4), &[live("wk-1", 4)]),
         vec![MirrorChange::Job("wk-1".into())]
     );
     // A delete older than the version at hand belongs to an earlier life of the key.
     assert!(m
         .apply(
-            4,
+            Revision::new(4),
             &[Event::Delete {
                 key: live_key("wk-1"),
-                version: 3
+                version: Revision::new(3)
             }]
         )
         .is_empty());
     let gone = m.apply(
-        6,
+        Revision::new(6),
         &[Event::Delete {
             key: live_key("wk-1"),
-            version: 6,
+            version: Revision::new(6),
         }],
     );
     assert_eq!(gone, vec![MirrorChange::JobGone("wk-1".into())]);
-    assert_eq!(m.revision, 6);
+    assert_eq!(m.revision, Revision::new(6));
 }
 
 #[test]
 fn a_reload_tells_what_was_missed_and_keeps_final_states() {
     let mut m = Mirror::default();
-    m.apply(4, &[live("wk-1", 3), live("wk-2", 4)]);
+    m.apply(Revision::new(4), &[live("wk-1", 3), live("wk-2", 4)]);
     m.remember_over(
         "wk-9",
         OverRecord {
@@ -59,7 +59,7 @@
         },
     );
     let mut fresh = Mirror::default();
-    fresh.apply(9, &[live("wk-2", 4), live("wk-3", 8)]);
+    fresh.apply(Revision::new(9), &[live("wk-2", 4), live("wk-3", 8)]);
     let mut seen = m.replace(fresh);
     seen.sort_by_key(|s| format!("{s:?}"));
     assert_eq!(
@@ -80,16 +80,16 @@
     m.remember_absent("wk-2", 0);
     m.remember_absent("wk-3", 0);
     assert!(m.absent("wk-1") && m.absent("wk-2") && !m.absent("wk-9"));
-    m.apply(4, &[live("wk-1", 4)]);
+    m.apply(Revision::new(4), &[live("wk-1", 4)]);
     assert!(!m.absent("wk-1"));
     // An answer that was overtaken by the watch.
     m.remember_absent("wk-1", 0);
     assert!(!m.absent("wk-1"));
     m.apply(
-        6,
+        Revision::new(6),
         &[Event::Delete {
             key: live_key("wk-1"),
-            version: 6,
+            version: Revision::new(6),
         }],
     );
     assert!(!m.absent("wk-1"));
@@ -132,22 +132,22 @@
         Event::Put {
             put: rental_key("r-1"),
             value,
-            version,
+            version: Revision::new(version),
         }
     };
     let mut m = Mirror::default();
-    m.apply(4, &[event(&open, 4)]);
-    m.put_rental("r-1", answered.clone(), 6);
+    m.apply(Revision::new(4), &[event(&open, 4)]);
+    m.put_rental("r-1", answered.clone(), Revision::new(6));
     // The watch is behind: what it brings now is older. Without this, each request was called a second time.
-    m.apply(5, &[event(&open, 4)]);
+    m.apply(Revision::new(5), &[event(&open, 4)]);
     assert_eq!(m.rentals["r-1"].record, answered);
-    m.apply(6, &[event(&answered, 6)]);
-    assert_eq!(m.rentals["r-1"].version, 6);
+    m.apply(Revision::new(6), &[event(&answered, 6)]);
+    assert_eq!(m.rentals["r-1"].version, Revision::new(6));
     m.apply(
-        7,
+        Revision::new(7),
         &[Event::Delete {
             key: rental_key("r-1"),
-            version: 7,
+            version: Revision::new(7),
         }],
     );
     assert!(m.rentals.is_empty());
@@ -158,20 +158,20 @@
             machines: Some(Vec::new()),
             ..open.clone()
         },
-        9,
+        Revision::new(9),
     );
     let put = Event::Put {
         put: rental_key("r-2"),
         value: Value::serialized(&open).unwrap(),
-        version: 8,
+        version: Revision::new(8),
     };
-    m.apply(8, &[put]);
+    m.apply(Revision::new(8), &[put]);
     assert!(m.rentals["r-2"].record.machines.is_some());
     m.apply(
-        9,
+        Revision::new(9),
         &[Event::Delete {
             key: rental_key("r-2"),
-            version: 9,
+            version: Revision::new(9),
         }],
     );
     assert!(m.rentals.is_empty());
@@ -180,8 +180,8 @@
 /// A stand-in for the state service's transactions.
 #[derive(Default)]
 struct Service {
-    keys: HashMap<String, u64>,
-    revision: u64,
+    keys: HashMap<String, Revision>,
+    revision: Revision,
 }
 
 impl Service {
@@ -189,11 +189,11 @@
         if txn
             .guards
             .iter()
-            .any(|g| self.keys.get(&g.key).copied().unwrap_or(0) != g.version)
+            .any(|g| self.keys.get(&g.key).copied().unwrap_or_default() != g.version)
         {
             return false;
         }
-        self.revision += 1;
+        self.revision = self.revision.next();
         for change in &txn.apply {
             match change {
                 Change::Put { put, .. } => self.keys.insert(put.clone(), self.revision),
@@ -218,7 +218,7 @@
         guards: vec![],
         apply: vec![put(epoch_key(), &1, None)]
     }));
-    let epoch = guard(epoch_key(), 1);
+    let epoch = guard(epoch_key(), Revision::new(1));
     let submit = submit_txn("wk-1", &record);
     assert!(s.run(&submit) && !s.run(&submit));
     let live = Versioned {
@@ -250,7 +250,10 @@
         version: s.revision,
     };
     let (mut w, _) = crate::scheduler::tests::with_a_start_to_log(live.version);
-    let txn = log_txn(&guard(epoch_key(), 1), &w.next_log_write(8000, 60).unwrap());
+    let txn = log_txn(
+        &guard(epoch_key(), Revision::new(1)),
+        &w.next_log_write(8000, 60).unwrap(),
+    );
     assert!(s.run(&abort_txn("wk-1", &live)));
     assert!(!s.run(&txn) && !s.has(starts_key(0)));
     assert_eq!(live_job(&live_key("wk-1")), Some("wk-1"));
@@ -283,12 +286,12 @@
         machines: None,
     };
     assert!(!s.run(&complete_txn(&old, "wk-2", version, 1)));
-    assert!(!s.run(&rental_txn(&old, "a-1-1", 0, &rental)));
+    assert!(!s.run(&rental_txn(&old, "a-1-1", Revision::ZERO, &rental)));
     // The current leader's request is stored before the call, and once only: names are unique for ever.
     let now = guard(epoch_key(), s.revision);
     assert!(
-        s.run(&rental_txn(&now, "a-1-1", 0, &rental))
-            && !s.run(&rental_txn(&now, "a-1-1", 0, &rental))
+        s.run(&rental_txn(&now, "a-1-1", Revision::ZERO, &rental))
+            && !s.run(&rental_txn(&now, "a-1-1", Revision::ZERO, &rental))
     );
     // Without an answer it stays open, to be repeated under the same name; an answer closes it.
     let version = s.revision;
@@ -361,7 +364,7 @@
             std::future::pending::<()>().await;
         });
         StoreClient::new(crate::clients::http::http_client(1), address)
-            .watch(1, 0)
+            .watch(Revision::new(1), 0)
             .await
             .unwrap_err()
     });
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -2,7 +2,7 @@
 
 use super::{
     epoch_key, leader_key, live_key, over_key, rental_key, starts_key, stopping_key, EpochRecord,
-    LeaderRecord, LiveRecord, Mirror, OverRecord, RentalRecord, Versioned,
+    LeaderRecord, LiveRecord, Mirror, OverRecord, RentalRecord, Revision, Versioned,
 };
 use crate::protocol::{Change, Guard, Txn};
 use crate::scheduler::SlotWrite;
@@ -11,7 +11,7 @@
 
 /// A guard.
 #[must_use]
-pub fn guard(key: String, version: u64) -> Guard {
+pub fn guard(key: String, version: Revision) -> Guard {
     Guard { key, version }
 }
 
@@ -40,11 +40,11 @@
         members: vec![me.clone()],
         logs_starts: true,
     };
-    let leader = mirror.leader.as_ref().map_or(0, |l| l.version);
+    let leader = mirror.leader.as_ref().map_or(Revision::ZERO, |l| l.version);
     let txn = Txn {
         guards: vec![
             guard(leader_key(), leader),
-            guard(epoch_key(), epoch.map_or(0, |e| e.version)),
+            guard(epoch_key(), epoch.map_or(Revision::ZERO, |e| e.version)),
         ],
         apply: vec![
             put(leader_key(), me, Some(lease)),
@@ -58,7 +58,10 @@
 #[must_use]
 pub fn submit_txn(id: &str, record: &LiveRecord) -> Txn {
     Txn {
-        guards: vec![guard(live_key(id), 0), guard(over_key(id), 0)],
+        guards: vec![
+            guard(live_key(id), Revision::ZERO),
+            guard(over_key(id), Revision::ZERO),
+        ],
         apply: vec![put(live_key(id), record, None)],
     }
 }
@@ -71,7 +74,10 @@
         tasks: live.record.spec.tasks,
     };
     Txn {
-        guards: vec![guard(live_key(id), live.version), guard(over_key(id), 0)],
+        guards: vec![
+            guard(live_key(id), live.version),
+            guard(over_key(id), Revision::ZERO),
+        ],
         apply: vec![
             Change::Delete { key: live_key(id) },
             put(stopping_key(id), &live.record, None),
@@ -82,7 +88,7 @@
 
 /// Makes a job with every task done final, in the leader's epoch.
 #[must_use]
-pub fn complete_txn(epoch: &Guard, id: &str, version: u64, tasks: u32) -> Txn {
+pub fn complete_txn(epoch: &Guard, id: &str, version: Revision, tasks: u32) -> Txn {
     let over = OverRecord {
         cancelled: false,
         tasks,
@@ -91,7 +97,7 @@
         guards: vec![
             epoch.clone(),
             guard(live_key(id), version),
-            guard(over_key(id), 0),
+            guard(over_key(id), Revision::ZERO),
         ],
         apply: vec![
             Change::Delete { key: live_key(id) },
@@ -100,9 +106,9 @@
     }
 }
 
-/// Writes a rental in the leader's epoch: a new one (`version` 0) or an answered one; without machines it is dropped.
+/// Writes a rental in the leader's epoch: a new one (`version` zero) or an answered one; without machines it is dropped.
 #[must_use]
-pub fn rental_txn(epoch: &Guard, name: &str, version: u64, record: &RentalRecord) -> Txn {
+pub fn rental_txn(epoch: &Guard, name: &str, version: Revision, record: &RentalRecord) -> Txn {
     let key = rental_key(name);
     let empty = record.machines.as_ref().is_some_and(Vec::is_empty);
     let change = if empty {
--- a/tests/compat/peers.rs
+++ b/tests/compat/peers.rs
@@ -2,6 +2,7 @@
 //! order and the types of all fields have to stay.
 
 use hollowswitch::coordination::peers::{decode, encode, Cancelled, CancelledJob, View};
+use hollowswitch::store::Revision;
 
 /// A follower's view: node, epoch, revision, whether the store answers, then two absent fields.
 const FOLLOWER_VIEW: &[u8] = b"\x08\0\0\0\0\0\0\0drover-1\
@@ -34,7 +35,7 @@
     let view = View {
         node: "drover-1".into(),
         epoch: 7,
-        revision: 258,
+        revision: Revision::new(258),
         store_reachable: true,
         leader_changes_per_s: None,
         task_counts: None,
@@ -43,7 +44,7 @@
     let read: View = decode(FOLLOWER_VIEW).unwrap();
     assert_eq!(read.node, "drover-1");
     assert_eq!(read.epoch, 7);
-    assert_eq!(read.revision, 258);
+    assert_eq!(read.revision, Revision::new(258));
     assert!(read.store_reachable);
     assert_eq!(read.leader_changes_per_s, None);
     assert_eq!(read.task_counts, None);
@@ -54,7 +55,7 @@
     let view = View {
         node: "drover-0".into(),
         epoch: 8,
-        revision: 259,
+        revision: Revision::new(259),
         store_reachable: false,
         leader_changes_per_s: Some(2.5),
         task_counts: Some(vec![("wk-1".into(), 5, 6), ("wk-22".into(), 256, 10)]),
@@ -63,7 +64,7 @@
     let read: View = decode(LEADER_VIEW).unwrap();
     assert_eq!(read.node, "drover-0");
     assert_eq!(read.epoch, 8);
-    assert_eq!(read.revision, 259);
+    assert_eq!(read.revision, Revision::new(259));
     assert!(!read.store_reachable);
     assert_eq!(read.leader_changes_per_s, Some(2.5));
     assert_eq!(
@@ -78,12 +79,12 @@
         CancelledJob {
             job: "wk-1".into(),
             tasks: 3,
-            revision: 40,
+            revision: Revision::new(40),
         },
         CancelledJob {
             job: "wk-22".into(),
             tasks: 100_000,
-            revision: 1 << 32,
+            revision: Revision::new(1 << 32),
         },
     ];
     assert_eq!(encode(&Cancelled { jobs: jobs.clone() }), CANCELLATIONS);
@@ -93,13 +94,13 @@
 
 #[test]
 fn the_answer_to_cancellations_is_written_and_read() {
-    assert_eq!(encode(&259_u64), REVISION);
-    assert_eq!(decode::<u64>(REVISION), Some(259));
+    assert_eq!(encode(&Revision::new(259)), REVISION);
+    assert_eq!(decode::<Revision>(REVISION), Some(Revision::new(259)));
 }
 
 #[test]
 fn a_message_that_breaks_off_is_refused() {
     assert!(decode::<View>(&FOLLOWER_VIEW[..FOLLOWER_VIEW.len() - 1]).is_none());
     assert!(decode::<Cancelled>(&CANCELLATIONS[..CANCELLATIONS.len() - 1]).is_none());
-    assert!(decode::<u64>(&REVISION[..7]).is_none());
+    assert!(decode::<Revision>(&REVISION[..7]).is_none());
 }
--- a/tests/compat/state_service.rs
+++ b/tests/compat/state_service.rs
@@ -3,7 +3,8 @@
 use super::literal::{assert_required, hex, message, read, try_read, with, without, written};
 use ciborium::Value;
 use hollowswitch::protocol::{
-    encode, Change, Event, Guard, Item, LeaseReply, LeaseRequest, Page, Txn, TxnReply, Watched,
+    encode, Change, Event, Guard, Item, LeaseReply, LeaseRequest, Page, Revision, Txn, TxnReply,
+    Watched,
 };
 
 /// A transaction with every kind of change.
@@ -11,7 +12,7 @@
     Txn {
         guards: vec![Guard {
             key: "a/b".into(),
-            version: 412,
+            version: Revision::new(412),
         }],
         apply: vec![
             Change::Put {
@@ -69,7 +70,7 @@
     let compare = Txn {
         guards: vec![Guard {
             key: "a/b".into(),
-            version: 0,
+            version: Revision::ZERO,
         }],
         apply: Vec::new(),
     };
@@ -94,11 +95,11 @@
 #[test]
 fn the_outcome_of_a_transaction_is_read_and_written() {
     let applied = read::<TxnReply>(&message!({"ledger" => 432}));
-    assert_eq!((applied.failed.len(), applied.revision), (0, 432));
+    assert_eq!((applied.failed.len(), applied.revision.as_u64()), (0, 432));
     let literal = message!({"failed" => ["a/b", "c"], "ledger" => 431});
     let failed = read::<TxnReply>(&literal);
     assert_eq!(
-        (failed.failed.clone(), failed.revision),
+        (failed.failed.clone(), failed.revision.as_u64()),
         (vec!["a/b".to_string(), "c".to_string()], 431)
     );
     assert_eq!(written(&failed), literal);
@@ -112,7 +113,7 @@
 #[test]
 fn a_key_is_read_and_written_field_by_field() {
     let item = read::<Item>(&item_message());
-    assert_eq!((item.key.as_str(), item.version), ("a/b", 412));
+    assert_eq!((item.key.as_str(), item.version.as_u64()), ("a/b", 412));
     assert_eq!(item.value, message!({"x" => [1, "y"]}));
     assert_eq!(written(&item), without(&item_message(), "tenure"));
     assert!(try_read::<Item>(&without(&item_message(), "path")).is_none());
@@ -127,9 +128,12 @@
     let literal = message!({"rows" => [{"path" => "c/8", "v" => 5, "stamp" => 430}],
                             "hasNext" => true, "ledger" => 431});
     let page = read::<Page>(&literal);
-    assert_eq!((page.items.len(), page.more, page.revision), (1, true, 431));
     assert_eq!(
-        (page.items[0].key.as_str(), page.items[0].version),
+        (page.items.len(), page.more, page.revision.as_u64()),
+        (1, true, 431)
+    );
+    assert_eq!(
+        (page.items[0].key.as_str(), page.items[0].version.as_u64()),
         ("c/8", 430)
     );
     assert_eq!(page.items[0].value, message!(5));
@@ -143,7 +147,7 @@
     let literal = message!({"ledger" => 433, "events" => [
         {"put" => "c/9", "v" => {"x" => 1}, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}]});
     let watched = read::<Watched>(&literal);
-    assert_eq!(watched.revision, 433);
+    assert_eq!(watched.revision.as_u64(), 433);
     let [Event::Put {
         put,
         value,
@@ -156,10 +160,10 @@
         panic!("a put and a removal: {:?}", watched.events);
     };
     assert_eq!(
-        (put.as_str(), value, *version),
+        (put.as_str(), value, version.as_u64()),
         ("c/9", &message!({"x" => 1}), 433)
     );
-    assert_eq!((key.as_str(), *removed), ("c/d", 432));
+    assert_eq!((key.as_str(), removed.as_u64()), ("c/d", 432));
     assert_eq!(written(&watched), literal);
     assert_required::<Watched>(&literal, &["ledger", "events"]);
     assert!(read::<Watched>(&message!({"ledger" => 1, "events" => []}))
--- a/tests/compat/stored_records/read.rs
+++ b/tests/compat/stored_records/read.rs
@@ -6,14 +6,14 @@
     OVER_DONE, RENTAL_ANSWERED, RENTAL_OPEN, SPEC,
 };
 use hollowswitch::protocol::decode;
-use hollowswitch::store::{EpochRecord, OverRecord};
+use hollowswitch::store::{EpochRecord, OverRecord, Revision};
 
 #[test]
 fn an_unfinished_job_is_read() {
     let record = bytes(&[LIVE_BEGIN, SPEC, LIVE_END]);
     let replica = replica_after(&put_event(b"\x76hollowswitch/live/wk-1", &record));
     let read = &replica.live["wk-1"];
-    assert_eq!((&read.record.spec, read.version), (&job_spec(), 9));
+    assert_eq!((&read.record.spec, read.version.as_u64()), (&job_spec(), 9));
     assert_eq!(read.record.at_ms, 1_700_000_000_000);
     assert!(replica.stopping.is_empty());
 }
@@ -23,7 +23,7 @@
     let record = bytes(&[LIVE_BEGIN, SPEC, LIVE_END]);
     let replica = replica_after(&put_event(b"\x78\x1ahollowswitch/stopping/wk-1", &record));
     let read = &replica.stopping["wk-1"];
-    assert_eq!((&read.record.spec, read.version), (&job_spec(), 9));
+    assert_eq!((&read.record.spec, read.version.as_u64()), (&job_spec(), 9));
     assert_eq!(read.record.at_ms, 1_700_000_000_000);
     assert!(replica.live.is_empty());
 }
@@ -52,7 +52,7 @@
     ));
     let read = &replica.done[&("wk-1".to_string(), 2)];
     assert_eq!(
-        (read.record.as_slice(), read.version),
+        (read.record.as_slice(), read.version.as_u64()),
         (&[0x05, 0x00, 0xff][..], 9)
     );
 }
@@ -65,7 +65,7 @@
     ));
     let read = &replica.starts[&3];
     assert_eq!(
-        (read.record.as_str(), read.version),
+        (read.record.as_str(), read.version.as_u64()),
         ("n-1 - /wk-1 0.400001", 9)
     );
 }
@@ -74,7 +74,7 @@
 fn rentals_are_read() {
     let replica = replica_after(&put_event(b"\x75hollowswitch/hire/r-1", RENTAL_OPEN));
     assert_eq!(replica.rentals["r-1"].record, rental_record(None));
-    assert_eq!(replica.rentals["r-1"].version, 9);
+    assert_eq!(replica.rentals["r-1"].version.as_u64(), 9);
     let replica = replica_after(&put_event(b"\x75hollowswitch/hire/r-1", RENTAL_ANSWERED));
     let machines = Some(vec!["n-1".into(), "n-2".into()]);
     assert_eq!(replica.rentals["r-1"].record, rental_record(machines));
@@ -85,7 +85,7 @@
     let replica = replica_after(&put_event(b"\x73hollowswitch/leader", LEADER));
     let leader = replica.leader.unwrap();
     assert_eq!(
-        (leader.record, leader.version),
+        (leader.record, leader.version.as_u64()),
         (leader_record("drover-0", 77), 9)
     );
     let replica = replica_after(&put_event(b"\x72hollowswitch/epoch", EPOCH));
@@ -96,11 +96,11 @@
         members: vec![leader_record("drover-0", 77)],
         logs_starts: true,
     };
-    assert_eq!((epoch.record, epoch.version), (expected, 9));
+    assert_eq!((epoch.record, epoch.version.as_u64()), (expected, 9));
     let replica = replica_after(&put_event(b"\x76hollowswitch/catalogue", CATALOGUE));
     let catalogue = replica.catalogue.unwrap();
     assert_eq!(
-        (catalogue.record, catalogue.version),
+        (catalogue.record, catalogue.version.as_u64()),
         (vec![machine_type()], 9)
     );
 }
@@ -135,7 +135,7 @@
         let mut replica = replica_after(&put_event(key, record));
         assert_eq!(entries(&replica), 1);
         let removal = bytes(&[b"\xa2\x64drop", key, b"\x65stamp\x0a"]);
-        replica.apply(101, &[decode(&removal).unwrap()]);
+        replica.apply(Revision::new(101), &[decode(&removal).unwrap()]);
         assert_eq!(entries(&replica), 0, "{}", String::from_utf8_lossy(key));
     }
 }
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -8,7 +8,7 @@
 use hollowswitch::scheduler::{
     Hardware, HeartbeatDecision, HeartbeatSource, Origin, Params, Scheduler, StoredSlot, TeamQuota,
 };
-use hollowswitch::store::{guard, log_txn, LiveRecord};
+use hollowswitch::store::{guard, log_txn, LiveRecord, Revision};
 use std::collections::HashMap;
 
 /// A scheduler of epoch 5 with a machine in each of two zones, and jobs that fit there.
@@ -54,7 +54,13 @@
             zone: Some(zone.into()),
             ..job_spec()
         };
-        scheduler.add_job(LiveRecord { spec, at_ms: 0 }, version, &[], 0, false);
+        scheduler.add_job(
+            LiveRecord { spec, at_ms: 0 },
+            Revision::new(version),
+            &[],
+            0,
+            false,
+        );
     }
     scheduler
 }
@@ -115,7 +121,7 @@
         b"n-1 1.2.3.4:9 /wk-1 0.5000004 1.5000005 2.5000006 /wk-2 0.5000001;",
         b"n-2 - /wk-3 0.5000002 1.5000003",
     ]);
-    let epoch = guard("hollowswitch/epoch".into(), 11);
+    let epoch = guard("hollowswitch/epoch".into(), Revision::new(11));
     assert_eq!(
         String::from_utf8_lossy(&encode(&log_txn(&epoch, &append))),
         String::from_utf8_lossy(&expected)
@@ -126,7 +132,7 @@
 fn slot(number: u32, version: u64, text: &str) -> StoredSlot<'_> {
     StoredSlot {
         number,
-        version,
+        version: Revision::new(version),
         text,
     }
 }
--- a/tests/compat/stored_records/written.rs
+++ b/tests/compat/stored_records/written.rs
@@ -9,7 +9,7 @@
 use hollowswitch::store::{
     abort_txn, bits_to_text, catalogue_key, claim_txn, complete_txn, done_key, epoch_key, guard,
     leader_key, live_job, live_key, over_key, put, rental_key, rental_txn, starts_key,
-    stopping_key, submit_txn, Versioned,
+    stopping_key, submit_txn, Revision, Versioned,
 };
 
 #[test]
@@ -63,7 +63,7 @@
     ]);
     let live = Versioned {
         record: live_record(),
-        version: 12,
+        version: Revision::new(12),
     };
     assert_eq!(encode(&abort_txn("wk-1", &live)), expected);
 }
@@ -80,8 +80,11 @@
         b"\xa2\x63put\x76hollowswitch/over/wk-1\x61v",
         OVER_DONE,
     ]);
-    let epoch = guard("hollowswitch/epoch".into(), 11);
-    assert_eq!(encode(&complete_txn(&epoch, "wk-1", 12, 9000)), expected);
+    let epoch = guard("hollowswitch/epoch".into(), Revision::new(11));
+    assert_eq!(
+        encode(&complete_txn(&epoch, "wk-1", Revision::new(12), 9000)),
+        expected
+    );
 }
 
 #[test]
@@ -110,7 +113,7 @@
     // An earlier process of the same node still holds the key.
     replica.leader = Some(Versioned {
         record: leader_record("drover-0", 76),
-        version: 8,
+        version: Revision::new(8),
     });
     let (txn, record) = claim_txn(&replica, &claimant, 88).unwrap();
     assert_eq!(encode(&txn), expected(8));
@@ -119,7 +122,7 @@
 
 #[test]
 fn a_rental_request_is_written_answered_and_dropped() {
-    let epoch = guard("hollowswitch/epoch".into(), 11);
+    let epoch = guard("hollowswitch/epoch".into(), Revision::new(11));
     let begin = |version: u8| {
         bytes(&[
             b"\xa2\x66guards\x82",
@@ -131,19 +134,29 @@
     };
     let put = b"\xa2\x63put\x75hollowswitch/hire/r-1\x61v";
     assert_eq!(
-        encode(&rental_txn(&epoch, "r-1", 0, &rental_record(None))),
+        encode(&rental_txn(
+            &epoch,
+            "r-1",
+            Revision::ZERO,
+            &rental_record(None)
+        )),
         bytes(&[&begin(0), put, RENTAL_OPEN])
     );
     let machines = Some(vec!["n-1".into(), "n-2".into()]);
     assert_eq!(
-        encode(&rental_txn(&epoch, "r-1", 13, &rental_record(machines))),
+        encode(&rental_txn(
+            &epoch,
+            "r-1",
+            Revision::new(13),
+            &rental_record(machines)
+        )),
         bytes(&[&begin(13), put, RENTAL_ANSWERED])
     );
     assert_eq!(
         encode(&rental_txn(
             &epoch,
             "r-1",
-            13,
+            Revision::new(13),
             &rental_record(Some(Vec::new()))
         )),
         bytes(&[&begin(13), b"\xa1\x64drop\x75hollowswitch/hire/r-1"])
