--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -6,7 +6,7 @@
 use crate::controller::state::{UnregisteredMachine, WorkerContact};
 use crate::coordination::leadership::Term;
 use crate::scheduler::{first_token, DirectCommands, Origin};
-use crate::store::{self, guard, Decided, RentalRecord, Revision};
+use crate::store::{self, guard, RentalRecord, Revision, TxnOutcome};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -90,15 +90,14 @@
         let epoch = guard(store::epoch_key(), term.epoch_version);
         let txn = store::rental_txn(&epoch, &rental, Revision::ZERO, record);
         match self.leader_transaction(&txn).await {
-            Ok(Decided::Applied(_)) => true,
+            Ok(TxnOutcome::Applied(_)) => true,
             // An earlier try without an answer was executed after all: without this the machine was never used, nor
             // returned, until the next failover.
-            Ok(Decided::Failed(keys)) if keys == [store::rental_key(&rental)] => {
-                self.read_state(|state| {
+            Ok(TxnOutcome::Failed(keys)) if keys == [store::rental_key(&rental)] => self
+                .read_state(|state| {
                     let stored = state.replica.rentals.get(&rental);
                     stored.is_some_and(|stored| stored.record == *record)
-                })
-            }
+                }),
             // It is remembered again when it reports or is listed again.
             _ => false,
         }
--- a/src/controller/cloud/mod.rs
+++ b/src/controller/cloud/mod.rs
@@ -16,7 +16,7 @@
 use super::handles::Handles;
 use super::state::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
-use crate::scheduler::Origin;
+use crate::scheduler::{Hardware, Origin};
 use crate::store::RentalRecord;
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -108,7 +108,7 @@
                 return;
             };
             for machine in rental.machines.iter().flatten() {
-                scheduler.add_machine(machine, rental.hardware(), origin);
+                scheduler.add_machine(machine, Hardware::from(rental), origin);
             }
         });
     }
--- a/src/controller/cloud/rentals.rs
+++ b/src/controller/cloud/rentals.rs
@@ -9,7 +9,7 @@
 use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::RentRequest;
 use crate::scheduler::{Offer, Origin};
-use crate::store::{self, guard, Decided, RentalRecord, Revision, StoreError};
+use crate::store::{self, guard, RentalRecord, Revision, StoreError, TxnOutcome};
 use crate::time::duration;
 
 /// For so many calls of the cloud an offer rests after a request while others are wanted.
@@ -133,8 +133,8 @@
         let epoch = guard(store::epoch_key(), term.epoch_version);
         let txn = store::rental_txn(&epoch, &rental.name, rental.version, &rental.record);
         match self.leader_transaction(&txn).await? {
-            Decided::Applied(version) => Ok(version),
-            Decided::Failed(keys) => Err(RentalError::Conflict(keys)),
+            TxnOutcome::Applied(version) => Ok(version),
+            TxnOutcome::Failed(keys) => Err(RentalError::Conflict(keys)),
         }
     }
 }
--- a/src/controller/election_loop.rs
+++ b/src/controller/election_loop.rs
@@ -3,8 +3,8 @@
 use super::handles::Handles;
 use super::state::{ControllerState, EpochClaim, StepDownReason};
 use crate::coordination::leadership::{LeadershipEvent, Term};
-use crate::store::{self, Decided, EpochRecord, LeaderRecord, Revision, StoreError};
-use crate::time::{duration, duration_from_millis, whole_millis, Timestamp};
+use crate::store::{self, EpochRecord, LeaderRecord, Revision, StoreError, TxnOutcome};
+use crate::time::{duration, duration_from_millis, Timestamp};
 use rand::Rng;
 use std::ops::Range;
 use std::time::Duration;
@@ -61,7 +61,7 @@
             state.apply_leadership_event(LeadershipEvent::CampaignStarted);
             state.now()
         });
-        let lease = self.record_store_answer(self.store.open_lease(whole_millis(lease_ttl)).await);
+        let lease = self.record_store_answer(self.store.open_lease(lease_ttl).await);
         let term = match lease {
             Ok(lease) => self.claim_leadership(lease).await,
             Err(_) => None,
@@ -131,9 +131,9 @@
     /// Runs the transaction of a claim and returns the version of the epoch key, if leadership was claimed.
     async fn commit_claim(&self, claim: &EpochClaim) -> Option<Revision> {
         match self.leader_transaction(&claim.txn).await {
-            Ok(Decided::Applied(revision)) => Some(revision),
+            Ok(TxnOutcome::Applied(revision)) => Some(revision),
             // Without an answer, the transaction may have been applied: the store tells.
-            Err(StoreError::Unknown) => self.read_claimed_epoch(&claim.record).await,
+            Err(StoreError::OutcomeUnknown) => self.read_claimed_epoch(&claim.record).await,
             _ => None,
         }
     }
--- a/src/controller/flush_loop.rs
+++ b/src/controller/flush_loop.rs
@@ -3,7 +3,7 @@
 use super::handles::Handles;
 use super::state::{ControllerState, FLUSH_INTERVAL};
 use crate::protocol::Guard;
-use crate::store::Decided;
+use crate::store::TxnOutcome;
 
 impl Handles {
     /// Runs the leader's rounds of durable writes. They do not run on followers.
@@ -27,7 +27,7 @@
         let completions = self.read_state(|state| state.job_completions(epoch));
         for completion in completions {
             // If it failed, the job was cancelled, or an earlier try without an answer was applied: the watch tells.
-            if let Ok(Decided::Applied(_)) = self.leader_transaction(&completion.txn).await {
+            if let Ok(TxnOutcome::Applied(_)) = self.leader_transaction(&completion.txn).await {
                 self.with_state(|state| state.finish_job(&completion.job, completion.tasks));
             }
         }
@@ -38,11 +38,11 @@
             return;
         };
         match self.leader_transaction(&write.txn).await {
-            Ok(Decided::Applied(_)) => {
+            Ok(TxnOutcome::Applied(_)) => {
                 self.with_state(|state| state.record_stored_results(epoch, &write.chunks));
             }
             // The replica lags behind an earlier write, or a job has just ended: the watch tells.
-            Ok(Decided::Failed(keys)) => tracing::debug!(?keys, "results not stored yet"),
+            Ok(TxnOutcome::Failed(keys)) => tracing::debug!(?keys, "results not stored yet"),
             // The store refused the write or did not answer: the next round tries again.
             Err(_) => {}
         }
@@ -52,7 +52,7 @@
         let Some(cleanup) = self.read_state(|state| state.rental_cleanup(epoch)) else {
             return;
         };
-        if let Ok(Decided::Applied(_)) = self.leader_transaction(&cleanup.txn).await {
+        if let Ok(TxnOutcome::Applied(_)) = self.leader_transaction(&cleanup.txn).await {
             self.with_state(|state| state.finish_rental_cleanup(&cleanup.machines));
         }
     }
--- a/src/controller/job_status.rs
+++ b/src/controller/job_status.rs
@@ -3,14 +3,14 @@
 use super::state::ControllerState;
 use crate::protocol::{JobState, JobView};
 use crate::scheduler::TaskCounts;
-use crate::store::OverRecord;
+use crate::store::FinalRecord;
 
 impl ControllerState {
     /// The state of a job that is unfinished in the replica or whose final state is remembered.
     ///
     /// A follower shows the task counts that the leader sent last.
     pub(super) fn job_view(&self, id: &str) -> Option<JobView> {
-        if let Some(over) = self.replica.over(id) {
+        if let Some(over) = self.replica.final_state(id) {
             return Some(final_view(id, over));
         }
         let counts = self
@@ -35,7 +35,7 @@
 }
 
 /// The state of a job that is final.
-pub(super) fn final_view(id: &str, over: OverRecord) -> JobView {
+pub(super) fn final_view(id: &str, over: FinalRecord) -> JobView {
     let (state, done) = if over.cancelled {
         (JobState::Cancelled, 0)
     } else {
--- a/src/controller/start_log_loop.rs
+++ b/src/controller/start_log_loop.rs
@@ -2,7 +2,7 @@
 
 use super::handles::Handles;
 use super::state::{ControllerState, StartLogWrite};
-use crate::store::{self, Decided, StoreError, Versioned};
+use crate::store::{self, StoreError, TxnOutcome, Versioned};
 use crate::time::duration_from_millis;
 
 impl Handles {
@@ -20,7 +20,8 @@
             let StartLogWrite { append, term, txn } = write;
             let outcome = self.leader_transaction(&txn).await;
             let slot = match outcome {
-                Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused) => None,
+                Ok(TxnOutcome::Applied(_))
+                | Err(StoreError::RateLimited | StoreError::Unavailable) => None,
                 // The write, or an earlier one without an answer, may have been applied: the slot tells.
                 _ => self.read_start_log_slot(append.slot).await,
             };
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -42,7 +42,7 @@
 use crate::coordination::peers::PeerHealth;
 use crate::protocol::MachineType;
 use crate::scheduler::Scheduler;
-use crate::store::{Decided, LeaderRecord, Mirror, StoreError};
+use crate::store::{LeaderRecord, Replica, StoreError, TxnOutcome};
 use crate::time::{duration, Timestamp};
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
     pub(super) settings: Settings,
     clock: Clock,
     /// The replica of the store.
-    pub(super) replica: Mirror,
+    pub(super) replica: Replica,
     leadership_status: LeadershipStatus,
     /// The scheduler, while this controller leads and has read the store.
     pub(super) scheduler: Option<Scheduler>,
@@ -83,7 +83,7 @@
             request_limits: RequestLimits::new(&settings),
             settings,
             clock,
-            replica: Mirror::default(),
+            replica: Replica::default(),
             leadership_status: LeadershipStatus::new(identity, leadership),
             scheduler: None,
             store_contact: StoreContact::default(),
@@ -122,7 +122,7 @@
     }
 
     /// The replica of the store.
-    pub(super) fn replica(&self) -> &Mirror {
+    pub(super) fn replica(&self) -> &Replica {
         &self.replica
     }
 
@@ -202,7 +202,7 @@
                 let lags = self.scheduler.is_some() && self.authority() == Authority::None;
                 return lags.then_some(StepDownReason::ReplicaLags);
             }
-            Err(StoreError::Gone) => self.apply_leadership_event(LeadershipEvent::TermEnded),
+            Err(StoreError::NotFound) => self.apply_leadership_event(LeadershipEvent::TermEnded),
             Err(_) if self.authority() == Authority::None => {
                 self.apply_leadership_event(LeadershipEvent::TermEnded);
             }
@@ -272,9 +272,9 @@
     }
 
     /// Adapts the rate of users' changes to the store's answer to one of their transactions.
-    pub(super) fn record_user_transaction(&mut self, decided: &Result<Decided, StoreError>) {
+    pub(super) fn record_user_transaction(&mut self, decided: &Result<TxnOutcome, StoreError>) {
         match decided {
-            Err(StoreError::Busy) => self.request_limits.record_user_changes_refused(),
+            Err(StoreError::RateLimited) => self.request_limits.record_user_changes_refused(),
             Ok(_) => self.request_limits.record_user_changes_decided(),
             // Other failures say nothing about the rate.
             Err(_) => {}
@@ -289,7 +289,7 @@
     pub(super) fn is_healthy(&self) -> bool {
         let has_peers = !self.settings.platform.peers.is_empty();
         let isolated = has_peers && self.peer_health.is_isolated(self.now());
-        self.replica.loaded
+        self.replica.initialized
             && !self.machine_types.is_empty()
             && (self.is_store_reachable() || !isolated)
     }
--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -4,17 +4,17 @@
 use crate::coordination::cancellations::{Notice, OtherLeader, ReplicaView};
 use crate::coordination::peers::{Cancelled, CancelledJob};
 use crate::protocol as wire;
-use crate::store::{OverRecord, Revision, Versioned};
+use crate::store::{FinalRecord, Revision, Versioned};
 
 impl ControllerState {
     /// Applies a cancellation that is durable, perhaps before the replica shows it: tasks of the job are stopped, and none is
     /// started or counted as finished any more.
     fn apply_cancellation(&mut self, job: &str, tasks: u32) {
-        let final_state = OverRecord {
+        let final_state = FinalRecord {
             cancelled: true,
             tasks,
         };
-        self.replica.remember_over(job, final_state);
+        self.replica.remember_final(job, final_state);
         if let Some(scheduler) = self.scheduler_at_now() {
             scheduler.drop_job(job);
         }
@@ -31,7 +31,7 @@
     pub(in crate::controller) fn learn_final_state(
         &mut self,
         id: &str,
-        read: &Versioned<OverRecord>,
+        read: &Versioned<FinalRecord>,
     ) {
         if read.record.cancelled && self.leader_may_not_know(read.version) {
             self.record_cancellation(CancelledJob {
@@ -40,7 +40,7 @@
                 revision: read.version,
             });
         } else {
-            self.replica.remember_over(id, read.record);
+            self.replica.remember_final(id, read.record);
         }
     }
 
--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -4,7 +4,7 @@
 use crate::coordination::leadership::Authority;
 use crate::protocol::{Change, Guard, Txn};
 use crate::scheduler::{DoneChunk, Scheduler};
-use crate::store::{self, guard, put, OverRecord, RentalRecord, Revision};
+use crate::store::{self, guard, put, FinalRecord, RentalRecord, Revision};
 use std::time::Duration;
 
 /// Time between two rounds of durable writes of the leader.
@@ -78,11 +78,11 @@
     /// A job was made final.
     pub(in crate::controller) fn finish_job(&mut self, job: &str, tasks: u32) {
         tracing::info!(%job, tasks, "job done");
-        let final_state = OverRecord {
+        let final_state = FinalRecord {
             cancelled: false,
             tasks,
         };
-        self.replica.remember_over(job, final_state);
+        self.replica.remember_final(job, final_state);
         if let Some(scheduler) = self.scheduler.as_mut() {
             scheduler.drop_job(job);
         }
--- a/src/controller/state/epoch_start.rs
+++ b/src/controller/state/epoch_start.rs
@@ -2,8 +2,8 @@
 
 use super::ControllerState;
 use crate::protocol::Txn;
-use crate::scheduler::{Origin, Params, Scheduler, StoredSlot};
-use crate::store::{self, EpochRecord, Mirror};
+use crate::scheduler::{Hardware, Origin, Params, Scheduler, StoredSlot};
+use crate::store::{self, EpochRecord, Replica};
 
 /// An epoch that this controller wants to lead.
 pub(in crate::controller) struct EpochClaim {
@@ -53,7 +53,7 @@
         for rental in self.replica.rentals.values() {
             let rental = &rental.record;
             for machine in rental.machines.iter().flatten() {
-                scheduler.add_machine(machine, rental.hardware(), Origin::Inherited);
+                scheduler.add_machine(machine, Hardware::from(rental), Origin::Inherited);
             }
         }
     }
@@ -61,7 +61,8 @@
     fn add_stored_jobs(&self, scheduler: &mut Scheduler) {
         let unix_millis = self.clock.unix_millis();
         let unfinished = self.replica.live.iter();
-        let unfinished = unfinished.map(|(id, job)| (id, job, self.replica.over(id).is_some()));
+        let unfinished =
+            unfinished.map(|(id, job)| (id, job, self.replica.final_state(id).is_some()));
         let stopping = self.replica.stopping.iter();
         let stopping = stopping.map(|(id, job)| (id, job, true));
         for (id, job, ended) in unfinished.chain(stopping) {
@@ -77,7 +78,7 @@
 }
 
 /// The results of a job that are in the store: chunk and bits of each row.
-pub(super) fn stored_results(replica: &Mirror, job: &str) -> Vec<(u32, Vec<u8>)> {
+pub(super) fn stored_results(replica: &Replica, job: &str) -> Vec<(u32, Vec<u8>)> {
     let from = (job.to_string(), 0);
     let rows = replica
         .done
--- a/src/controller/state/leadership_status.rs
+++ b/src/controller/state/leadership_status.rs
@@ -1,7 +1,7 @@
 //! The leadership of this controller, and what decides whether it campaigns.
 
 use crate::coordination::leadership::{Authority, Leadership, LeadershipEvent, Term};
-use crate::store::{LeaderRecord, Mirror};
+use crate::store::{LeaderRecord, Replica};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -69,13 +69,13 @@
     }
 
     /// Whether leadership is vacant, as far as the replica shows.
-    pub(super) fn may_claim(&self, replica: &Mirror) -> bool {
+    pub(super) fn may_claim(&self, replica: &Replica) -> bool {
         replica.free_to_claim(&self.identity)
     }
 
     /// Whether this controller may start a campaign.
-    pub(super) fn may_campaign(&self, replica: &Mirror, now: Timestamp) -> bool {
-        replica.loaded && self.may_claim(replica) && now >= self.campaign_backoff_until
+    pub(super) fn may_campaign(&self, replica: &Replica, now: Timestamp) -> bool {
+        replica.initialized && self.may_claim(replica) && now >= self.campaign_backoff_until
     }
 
     /// Starts no campaign for a time.
@@ -84,7 +84,7 @@
     }
 
     /// Remembers whether the epoch that the replica shows, before the one that is claimed now, had a start log.
-    pub(super) fn observe_previous_epoch(&mut self, replica: &Mirror) {
+    pub(super) fn observe_previous_epoch(&mut self, replica: &Replica) {
         let previous = replica.epoch.as_ref();
         self.previous_epoch_without_start_log =
             previous.is_some_and(|epoch| !epoch.record.logs_starts);
--- a/src/controller/state/replica_changes.rs
+++ b/src/controller/state/replica_changes.rs
@@ -5,7 +5,7 @@
 use crate::coordination::leadership::LeadershipEvent;
 use crate::protocol as wire;
 use crate::protocol::MachineType;
-use crate::store::{Mirror, MirrorChange, Revision};
+use crate::store::{Replica, ReplicaChange, Revision};
 
 /// What a change of the replica means for the leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 
 impl ControllerState {
     /// Replaces the replica by a fresh one.
-    pub(in crate::controller) fn replace_replica(&mut self, fresh: Mirror) -> LeaderKeyChange {
+    pub(in crate::controller) fn replace_replica(&mut self, fresh: Replica) -> LeaderKeyChange {
         let changes = self.replica.replace(fresh);
         self.apply_replica_changes(changes)
     }
@@ -35,15 +35,15 @@
     }
 
     /// Applies what has changed in the replica. The scheduler knows of the changes before any authority follows from them.
-    fn apply_replica_changes(&mut self, changes: Vec<MirrorChange>) -> LeaderKeyChange {
+    fn apply_replica_changes(&mut self, changes: Vec<ReplicaChange>) -> LeaderKeyChange {
         let mut leader_key = LeaderKeyChange::NotDeleted;
         let unix_millis = self.clock.unix_millis();
         for change in changes {
             match change {
-                MirrorChange::Job(id) => self.add_job(&id, unix_millis),
-                MirrorChange::JobGone(id) => self.remove_job(&id),
-                MirrorChange::LeaderGone => leader_key = LeaderKeyChange::Deleted,
-                MirrorChange::Catalogue => self.apply_stored_machine_types(),
+                ReplicaChange::JobAdded { job: id } => self.add_job(&id, unix_millis),
+                ReplicaChange::JobRemoved { job: id } => self.remove_job(&id),
+                ReplicaChange::LeaderRemoved => leader_key = LeaderKeyChange::Deleted,
+                ReplicaChange::CatalogueChanged => self.apply_stored_machine_types(),
             }
         }
         let epoch = self.replica.epoch.as_ref();
@@ -62,7 +62,7 @@
         else {
             return;
         };
-        if self.replica.over(id).is_some() {
+        if self.replica.final_state(id).is_some() {
             return;
         }
         scheduler.at(now.as_millis());
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -4,7 +4,7 @@
 use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::Txn;
 use crate::scheduler::SlotWrite;
-use crate::store::{self, guard, Decided, StoreError, Versioned};
+use crate::store::{self, guard, StoreError, TxnOutcome, Versioned};
 
 /// Most bytes that a request to the state service may have.
 const MAX_REQUEST_BYTES: usize = 60 << 10;
@@ -40,7 +40,7 @@
             .as_mut()?
             .next_log_write(max_bytes, max_conditions)?;
         let epoch = guard(store::epoch_key(), term.epoch_version);
-        let txn = store::log_txn(&epoch, &append);
+        let txn = store::log_txn(&epoch, append.start_log_write());
         Some(StartLogWrite { append, term, txn })
     }
 
@@ -49,7 +49,7 @@
         &mut self,
         term: Term,
         append: SlotWrite,
-        outcome: &Result<Decided, StoreError>,
+        outcome: &Result<TxnOutcome, StoreError>,
         slot: Option<&Versioned<String>>,
     ) {
         if self.term() != Some(term) {
@@ -59,13 +59,13 @@
             return;
         };
         // The store knows that a job is final before the replica does.
-        if let Ok(Decided::Failed(keys)) = outcome {
+        if let Ok(TxnOutcome::Failed(keys)) = outcome {
             for job in keys.iter().filter_map(|key| store::live_job(key)) {
                 scheduler.drop_job(job);
             }
         }
         match (outcome, slot) {
-            (Ok(Decided::Applied(version)), _) => scheduler.log_write_applied(append, *version),
+            (Ok(TxnOutcome::Applied(version)), _) => scheduler.log_write_applied(append, *version),
             (_, Some(slot)) if slot.record == append.text => {
                 scheduler.log_write_applied(append, slot.version);
             }
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -3,7 +3,7 @@
 use super::handles::{pause, Handles};
 use super::state::ControllerState;
 use crate::protocol::Txn;
-use crate::store::{Decided, StoreError};
+use crate::store::{StoreError, TxnOutcome};
 use rand::Rng;
 use std::ops::Range;
 
@@ -18,19 +18,22 @@
         &self,
         result: Result<T, StoreError>,
     ) -> Result<T, StoreError> {
-        if matches!(result, Ok(_) | Err(StoreError::Gone | StoreError::Busy)) {
+        if matches!(
+            result,
+            Ok(_) | Err(StoreError::NotFound | StoreError::RateLimited)
+        ) {
             self.with_state(ControllerState::record_store_answer);
         }
         result
     }
 
     /// Runs a transaction of the leader, with retries while it exceeds the state service's request rate.
-    pub(super) async fn leader_transaction(&self, txn: &Txn) -> Result<Decided, StoreError> {
+    pub(super) async fn leader_transaction(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         let mut retries = 0;
         loop {
             self.with_state(|state| state.record_own_changes(txn.apply.len()));
             let result = self.record_store_answer(self.store.txn(txn).await);
-            if result != Err(StoreError::Busy) || retries == RETRY_LIMIT {
+            if result != Err(StoreError::RateLimited) || retries == RETRY_LIMIT {
                 return result;
             }
             retries += 1;
--- a/src/controller/tests/cancellation_broadcast.rs
+++ b/src/controller/tests/cancellation_broadcast.rs
@@ -3,7 +3,7 @@
 use super::simulation::{node_name, Simulation, NODES, SECOND};
 use crate::coordination::peers::{Cancelled, CancelledJob};
 use crate::scheduler::tests::spec;
-use crate::store::{OverRecord, Versioned};
+use crate::store::{FinalRecord, Versioned};
 
 /// The controllers that do not lead.
 struct Followers {
@@ -37,7 +37,7 @@
         simulation.nodes[leader]
             .running()
             .replica
-            .over("wk-1")
+            .final_state("wk-1")
             .is_some(),
         "the leader was not told"
     );
@@ -87,7 +87,7 @@
     let leader = node_name(leader);
     let controller = simulation.nodes[first].running_mut();
     let cancelled = |version| Versioned {
-        record: OverRecord {
+        record: FinalRecord {
             cancelled: true,
             tasks: 4,
         },
@@ -111,5 +111,8 @@
             .job,
         "wk-9"
     );
-    assert!(controller.replica.over("wk-8").is_some() && controller.replica.over("wk-9").is_some());
+    assert!(
+        controller.replica.final_state("wk-8").is_some()
+            && controller.replica.final_state("wk-9").is_some()
+    );
 }
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -11,7 +11,7 @@
 use crate::protocol::{
     Change, Command, Event, ExitReason, FencingToken, JobState, Report, TaskReport, TaskState,
 };
-use crate::store::{Decided, Mirror, Revision};
+use crate::store::{Replica, Revision, TxnOutcome};
 use ciborium::{cbor, Value};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -107,9 +107,9 @@
     settings.operator.direct_starts = false;
     let clock = Clock::Scripted(Rc::new(Cell::new(10_000)));
     let mut controller = ControllerState::new(settings, 77, clock);
-    let mut replica = Mirror::default();
+    let mut replica = Replica::default();
     replica.apply(Revision::new(300), &put_events(records));
-    replica.loaded = true;
+    replica.initialized = true;
     let _ = controller.replace_replica(replica);
     let now = controller.now();
     controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
@@ -189,7 +189,7 @@
         controller.finish_start_log_write(
             term,
             append,
-            &Ok(Decided::Applied(Revision::new(revision))),
+            &Ok(TxnOutcome::Applied(Revision::new(revision))),
             None,
         );
     }
--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -5,7 +5,7 @@
 use crate::autoscaler::{release_silent_machines, ScalingPolicy};
 use crate::protocol::{Guard, MachineType};
 use crate::scheduler::{Hardware, Origin};
-use crate::store::{self, Decided, RentalRecord, Revision};
+use crate::store::{self, RentalRecord, Revision, TxnOutcome};
 use rand::Rng;
 use std::time::Duration;
 
@@ -112,7 +112,7 @@
         let zone = ZONES[usize::from(in_first_zone * 2 > self.workers.len())];
         let record = rental_record(zone, &machine);
         let txn = store::rental_txn(epoch, &format!("r-{number}"), Revision::ZERO, &record);
-        if !matches!(self.transact(node, &txn), Ok(Decided::Applied(_))) {
+        if !matches!(self.transact(node, &txn), Ok(TxnOutcome::Applied(_))) {
             return;
         }
         let hardware = Hardware {
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -2,7 +2,7 @@
 
 use super::super::Simulation;
 use crate::coordination::leadership::{Authority, LeadershipEvent, Term};
-use crate::store::{Decided, Revision};
+use crate::store::{Revision, TxnOutcome};
 use crate::time::{duration, Timestamp};
 use std::time::Duration;
 
@@ -95,7 +95,7 @@
         let lease = self.store.grant_lease(now, ttl);
         let claim = self.nodes[node].running_mut().claim_epoch(lease);
         let won = claim.and_then(|claim| match self.transact(node, &claim.txn) {
-            Ok(Decided::Applied(version)) => Some((claim.record.number, version)),
+            Ok(TxnOutcome::Applied(version)) => Some((claim.record.number, version)),
             _ => None,
         });
         let controller = self.nodes[node].running_mut();
--- a/src/controller/tests/simulation/cluster/writes.rs
+++ b/src/controller/tests/simulation/cluster/writes.rs
@@ -4,7 +4,7 @@
 use crate::coordination::leadership::Term;
 use crate::protocol::{Guard, Txn};
 use crate::scheduler::SlotWrite;
-use crate::store::{self, Decided, StoreError};
+use crate::store::{self, StoreError, TxnOutcome};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 pub(super) struct PendingAppend {
     append: SlotWrite,
     term: Term,
-    outcome: Result<Decided, StoreError>,
+    outcome: Result<TxnOutcome, StoreError>,
     answered_at: Timestamp,
 }
 
@@ -41,7 +41,7 @@
             return;
         };
         let outcome = self.transact(node, &write.txn);
-        let answer = if outcome == Err(StoreError::Unknown) {
+        let answer = if outcome == Err(StoreError::OutcomeUnknown) {
             UNANSWERED_WRITE
         } else {
             self.start_log_write
@@ -58,7 +58,7 @@
     fn finish_append(&mut self, node: usize, pending: PendingAppend) {
         let certain = matches!(
             pending.outcome,
-            Ok(Decided::Applied(_)) | Err(StoreError::Busy | StoreError::Refused)
+            Ok(TxnOutcome::Applied(_)) | Err(StoreError::RateLimited | StoreError::Unavailable)
         );
         let found = if !certain && self.store.answers(node) {
             let key = store::starts_key(pending.append.slot);
@@ -96,7 +96,7 @@
     }
 
     fn is_applied(&mut self, node: usize, txn: &Txn) -> bool {
-        matches!(self.transact(node, txn), Ok(Decided::Applied(_)))
+        matches!(self.transact(node, txn), Ok(TxnOutcome::Applied(_)))
     }
 
     /// Writes the final states of jobs whose tasks are all done.
--- a/src/controller/tests/simulation/invariants.rs
+++ b/src/controller/tests/simulation/invariants.rs
@@ -2,7 +2,7 @@
 
 use super::Simulation;
 use crate::protocol::{split_task, Change, Command, Txn};
-use crate::store::{Decided, OverRecord};
+use crate::store::{FinalRecord, TxnOutcome};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 struct FinalState<'a> {
     key: &'a str,
     job: &'a str,
-    record: OverRecord,
+    record: FinalRecord,
 }
 
 impl FinalState<'_> {
@@ -170,7 +170,7 @@
     }
 
     /// The store commits a transaction; the final states that users were told stay true.
-    pub(super) fn commit(&mut self, txn: &Txn) -> Decided {
+    pub(super) fn commit(&mut self, txn: &Txn) -> TxnOutcome {
         let written: Vec<FinalState> = txn
             .apply
             .iter()
@@ -182,7 +182,7 @@
             .map(|state| state.job)
             .collect();
         let decided = self.store.commit(txn);
-        if let Decided::Applied(_) = decided {
+        if let TxnOutcome::Applied(_) = decided {
             for job in rewritten {
                 self.violate(format!("went_back: {job}"));
             }
@@ -194,7 +194,7 @@
     }
 
     /// A job is cancelled only if its user asked for it, and done only if all its tasks are.
-    fn check_final_state(&mut self, id: &str, record: OverRecord) {
+    fn check_final_state(&mut self, id: &str, record: FinalRecord) {
         let job = &self.jobs[id];
         let all_done = job.done.len() >= job.spec.tasks as usize;
         if record.cancelled && !job.cancellation_requested {
--- a/src/controller/tests/simulation/store.rs
+++ b/src/controller/tests/simulation/store.rs
@@ -6,7 +6,7 @@
 use super::network::Message;
 use super::Simulation;
 use crate::protocol::{Change, Event, Guard, Txn};
-use crate::store::{self, Decided, EpochRecord, Mirror, Revision, StoreError, Versioned};
+use crate::store::{self, EpochRecord, Replica, Revision, StoreError, TxnOutcome, Versioned};
 use crate::time::Timestamp;
 use ciborium::Value;
 use rand::Rng;
@@ -107,7 +107,7 @@
     }
 
     /// Commits a transaction whose guards all hold.
-    pub(super) fn commit(&mut self, txn: &Txn) -> Decided {
+    pub(super) fn commit(&mut self, txn: &Txn) -> TxnOutcome {
         let changed = |guard: &&Guard| self.version(&guard.key) != guard.version;
         let failed: Vec<String> = txn
             .guards
@@ -116,10 +116,10 @@
             .map(|guard| guard.key.clone())
             .collect();
         if !failed.is_empty() {
-            return Decided::Failed(failed);
+            return TxnOutcome::Failed(failed);
         }
         if txn.apply.iter().any(|change| self.lease_is_lost(change)) {
-            return Decided::Failed(vec!["hold".into()]);
+            return TxnOutcome::Failed(vec!["hold".into()]);
         }
         if !txn.apply.is_empty() {
             self.revision = self.revision.next();
@@ -127,7 +127,7 @@
         for change in &txn.apply {
             self.apply(change);
         }
-        Decided::Applied(self.revision)
+        TxnOutcome::Applied(self.revision)
     }
 
     fn lease_is_lost(&self, change: &Change) -> bool {
@@ -224,27 +224,27 @@
     }
 
     /// A replica as a controller reads it at its start: everything but final states.
-    pub(super) fn replica(&self) -> Mirror {
-        let (mut replica, mut seen) = (Mirror::default(), Vec::new());
+    pub(super) fn replica(&self) -> Replica {
+        let (mut replica, mut changes) = (Replica::default(), Vec::new());
         for (key, stored) in self.keys.iter().filter(|(key, _)| !key.contains("/over/")) {
-            replica.put(key, &stored.value, stored.version, &mut seen);
+            replica.put(key, &stored.value, stored.version, &mut changes);
         }
-        (replica.revision, replica.loaded) = (self.revision, true);
+        (replica.revision, replica.initialized) = (self.revision, true);
         replica
     }
 }
 
 impl Simulation {
     /// A controller's transaction; it may get no answer.
-    pub(super) fn transact(&mut self, node: usize, txn: &Txn) -> Result<Decided, StoreError> {
+    pub(super) fn transact(&mut self, node: usize, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         if !self.store.answers(node) {
-            return Err(StoreError::Refused);
+            return Err(StoreError::Unavailable);
         }
         let late_writes = self.faults.late_writes;
         if late_writes > 0.0 && self.rng.gen_bool(late_writes) {
             let delay = Duration::from_millis(self.rng.gen_range(LATE_WRITE_MS));
             self.send(delay, Message::LateWrite(txn.clone()));
-            return Err(StoreError::Unknown);
+            return Err(StoreError::OutcomeUnknown);
         }
         Ok(self.commit(txn))
     }
--- a/src/controller/tests/simulation/users.rs
+++ b/src/controller/tests/simulation/users.rs
@@ -4,7 +4,7 @@
 use crate::coordination::cancellations::Notice;
 use crate::coordination::peers::CancelledJob;
 use crate::protocol::JobSpec;
-use crate::store::{self, Decided, LiveRecord, OverRecord};
+use crate::store::{self, FinalRecord, LiveRecord, TxnOutcome};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -55,7 +55,7 @@
         };
         assert!(matches!(
             self.store.commit(&store::submit_txn(&spec.id, &record)),
-            Decided::Applied(_)
+            TxnOutcome::Applied(_)
         ));
         let job = SubmittedJob {
             spec,
@@ -87,7 +87,7 @@
         let Some(live) = controller.replica.live.get(id).cloned() else {
             return false;
         };
-        let Decided::Applied(revision) = self.store.commit(&store::abort_txn(id, &live)) else {
+        let TxnOutcome::Applied(revision) = self.store.commit(&store::cancel_txn(id, &live)) else {
             return false;
         };
         let notice = controller.record_cancellation(CancelledJob {
@@ -114,9 +114,9 @@
     }
 
     /// The final state of a job.
-    pub(crate) fn final_state(&self, id: &str) -> Option<OverRecord> {
+    pub(crate) fn final_state(&self, id: &str) -> Option<FinalRecord> {
         self.store
-            .get::<OverRecord>(&store::over_key(id))
+            .get::<FinalRecord>(&store::final_key(id))
             .map(|stored| stored.record)
     }
 
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -14,7 +14,7 @@
 use crate::coordination::cancellations::Notice;
 use crate::coordination::leadership::longest_authority;
 use crate::coordination::peers::CancelledJob;
-use crate::store::{self, Decided, LiveRecord, OverRecord, Revision, StoreError, Versioned};
+use crate::store::{self, FinalRecord, LiveRecord, Revision, StoreError, TxnOutcome, Versioned};
 use crate::time::duration;
 use std::ops::ControlFlow;
 
@@ -60,15 +60,18 @@
 
     /// Cancels a job whose record is the given one.
     async fn cancel_unfinished(&self, id: &str, live: &Versioned<LiveRecord>) -> Attempt {
-        let final_state = OverRecord {
+        let final_state = FinalRecord {
             cancelled: true,
             tasks: live.record.spec.tasks,
         };
-        match self.run_user_transaction(&store::abort_txn(id, live)).await {
-            Ok(Decided::Applied(revision)) => {
+        match self
+            .run_user_transaction(&store::cancel_txn(id, live))
+            .await
+        {
+            Ok(TxnOutcome::Applied(revision)) => {
                 ControlFlow::Break(self.confirm(id, final_state, revision).await)
             }
-            Ok(Decided::Failed(_)) | Err(StoreError::Unknown) => self.read_back(id).await,
+            Ok(TxnOutcome::Failed(_)) | Err(StoreError::OutcomeUnknown) => self.read_back(id).await,
             Err(_) => ControlFlow::Break(JobOutcome::RETRY_SOON),
         }
     }
@@ -80,7 +83,7 @@
                 ControlFlow::Break(self.confirm(id, found.record, found.version).await)
             }
             Ok(found) => ControlFlow::Break(final_outcome(id, found.record)),
-            Err(StoreError::Gone) => {
+            Err(StoreError::NotFound) => {
                 pause(RETRY_MS).await;
                 ControlFlow::Continue(())
             }
@@ -89,7 +92,7 @@
     }
 
     /// Spreads and confirms a cancellation that became durable at a revision.
-    async fn confirm(&self, id: &str, final_state: OverRecord, revision: Revision) -> JobOutcome {
+    async fn confirm(&self, id: &str, final_state: FinalRecord, revision: Revision) -> JobOutcome {
         let cancelled = CancelledJob {
             job: id.to_string(),
             tasks: final_state.tasks,
@@ -105,7 +108,7 @@
     ///
     /// If it was cancelled, no task of it can start any more by then. A request that was repeated at another controller was
     /// once answered before the leader knew of the cancellation.
-    async fn confirm_final(&self, id: &str, final_state: OverRecord) -> JobOutcome {
+    async fn confirm_final(&self, id: &str, final_state: FinalRecord) -> JobOutcome {
         if let Some(notice) = self.read_state(|state| state.unsettled_cancellation(id)) {
             self.wait_until_no_task_can_start(notice).await;
         }
--- a/src/controller/user_requests/mod.rs
+++ b/src/controller/user_requests/mod.rs
@@ -17,25 +17,25 @@
 use super::messages::JobOutcome;
 use super::state::ControllerState;
 use crate::protocol::Txn;
-use crate::store::{self, Decided, OverRecord, StoreError, Versioned};
+use crate::store::{self, FinalRecord, StoreError, TxnOutcome, Versioned};
 
 impl Handles {
     /// The final state of a job, if this controller remembers it.
-    fn remembered_final_state(&self, id: &str) -> Option<OverRecord> {
-        self.read_state(|state| state.replica.over(id))
+    fn remembered_final_state(&self, id: &str) -> Option<FinalRecord> {
+        self.read_state(|state| state.replica.final_state(id))
     }
 
-    /// The final state of a job, remembered or read from the store; [`StoreError::Gone`] if it has none.
-    async fn final_state(&self, id: &str) -> Result<OverRecord, StoreError> {
+    /// The final state of a job, remembered or read from the store; [`StoreError::NotFound`] if it has none.
+    async fn final_state(&self, id: &str) -> Result<FinalRecord, StoreError> {
         if let Some(final_state) = self.remembered_final_state(id) {
             return Ok(final_state);
         }
         Ok(self.read_final_state(id).await?.record)
     }
 
-    /// Reads the final state of a job from the store and remembers it; [`StoreError::Gone`] if it has none.
-    async fn read_final_state(&self, id: &str) -> Result<Versioned<OverRecord>, StoreError> {
-        let read = self.store.get::<OverRecord>(&store::over_key(id)).await;
+    /// Reads the final state of a job from the store and remembers it; [`StoreError::NotFound`] if it has none.
+    async fn read_final_state(&self, id: &str) -> Result<Versioned<FinalRecord>, StoreError> {
+        let read = self.store.get::<FinalRecord>(&store::final_key(id)).await;
         let found = self.record_store_answer(read)?;
         self.with_state(|state| state.learn_final_state(id, &found));
         Ok(found)
@@ -54,7 +54,7 @@
     }
 
     /// Runs a user's transaction once and adapts the rate of users' changes to the answer.
-    async fn run_user_transaction(&self, transaction: &Txn) -> Result<Decided, StoreError> {
+    async fn run_user_transaction(&self, transaction: &Txn) -> Result<TxnOutcome, StoreError> {
         let decided = self.record_store_answer(self.store.txn(transaction).await);
         self.with_state(|state| state.record_user_transaction(&decided));
         decided
@@ -62,6 +62,6 @@
 }
 
 /// The outcome of a request about a job that is final.
-fn final_outcome(id: &str, final_state: OverRecord) -> JobOutcome {
+fn final_outcome(id: &str, final_state: FinalRecord) -> JobOutcome {
     JobOutcome::Known(final_view(id, final_state))
 }
--- a/src/controller/user_requests/poll.rs
+++ b/src/controller/user_requests/poll.rs
@@ -24,7 +24,7 @@
         if let Some(view) = self.read_state(|state| state.job_view(id)) {
             return JobOutcome::Known(view);
         }
-        if self.read_state(|state| state.replica.absent(id)) {
+        if self.read_state(|state| state.replica.is_absent(id)) {
             return JobOutcome::NotFound;
         }
         if let Err(retry) = self.admit_read() {
@@ -38,7 +38,7 @@
         let generation = self.read_state(|state| state.replica.generation);
         match self.final_state(id).await {
             Ok(final_state) => final_outcome(id, final_state),
-            Err(StoreError::Gone) => {
+            Err(StoreError::NotFound) => {
                 self.with_state(|state| state.replica.remember_absent(id, generation));
                 JobOutcome::NotFound
             }
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -15,7 +15,7 @@
 use crate::controller::messages::{JobOutcome, JobRejection};
 use crate::controller::state::ControllerState;
 use crate::protocol::{JobSpec, JobState, JobView, Kind};
-use crate::store::{self, Decided, LiveRecord, StoreError};
+use crate::store::{self, LiveRecord, StoreError, TxnOutcome};
 
 /// Number of changes of the store by a submission.
 const SUBMISSION_CHANGES: u32 = 1;
@@ -63,15 +63,15 @@
             .run_user_transaction(&store::submit_txn(id, &record))
             .await
         {
-            Ok(Decided::Applied(_)) => JobOutcome::Accepted(queued_view(id)),
-            Ok(Decided::Failed(keys)) if keys.contains(&store::over_key(id)) => {
+            Ok(TxnOutcome::Applied(_)) => JobOutcome::Accepted(queued_view(id)),
+            Ok(TxnOutcome::Failed(keys)) if keys.contains(&store::final_key(id)) => {
                 match self.final_state(id).await {
                     Ok(final_state) => final_outcome(id, final_state),
                     Err(_) => JobOutcome::RETRY_SOON,
                 }
             }
-            Ok(Decided::Failed(_)) => JobOutcome::Known(self.unfinished_view(id)),
-            Err(StoreError::Unknown) => self.read_back_submission(id).await,
+            Ok(TxnOutcome::Failed(_)) => JobOutcome::Known(self.unfinished_view(id)),
+            Err(StoreError::OutcomeUnknown) => self.read_back_submission(id).await,
             Err(_) => JobOutcome::RETRY_SOON,
         }
     }
@@ -100,7 +100,7 @@
     fn assess(&self, spec: &JobSpec) -> Assessment {
         if self.replica.live.contains_key(&spec.id) {
             Assessment::Unfinished
-        } else if !self.replica.loaded || self.machine_types.is_empty() {
+        } else if !self.replica.initialized || self.machine_types.is_empty() {
             Assessment::NotReady
         } else if let Err(reason) = self.check_runnable(spec) {
             Assessment::Rejected(reason)
--- a/src/controller/watch_loop.rs
+++ b/src/controller/watch_loop.rs
@@ -3,7 +3,7 @@
 use super::handles::Handles;
 use super::state::{ControllerState, LeaderKeyChange};
 use crate::store::StoreError;
-use crate::time::{duration_from_millis, whole_millis};
+use crate::time::duration_from_millis;
 use futures_util::future::{select, Either};
 use std::time::Duration;
 use tokio::time::sleep;
@@ -53,7 +53,7 @@
     async fn follow_store(&self, watch_interval: Duration, stall_timeout: &mut Duration) {
         loop {
             let after = self.read_state(|state| state.replica().revision);
-            let watch = Box::pin(self.store.watch(after, whole_millis(WATCH_TIMEOUT)));
+            let watch = Box::pin(self.store.watch(after, WATCH_TIMEOUT));
             let stall = Box::pin(self.watch_stalled(*stall_timeout));
             let watched = match select(watch, stall).await {
                 Either::Left((watched, _)) => watched,
@@ -79,7 +79,7 @@
                         sleep(watch_interval).await;
                     }
                 }
-                Err(reason @ (StoreError::Gone | StoreError::TooLarge)) => {
+                Err(reason @ (StoreError::NotFound | StoreError::ResponseTooLarge)) => {
                     tracing::info!(%reason, "watch too far behind, reloading");
                     return;
                 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -31,13 +31,5 @@
 )]
 pub mod scheduler;
 pub mod service;
-#[allow(
-    clippy::assigning_clones,
-    clippy::cast_possible_truncation,
-    clippy::missing_errors_doc,
-    clippy::needless_pass_by_value,
-    clippy::too_many_lines,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod store;
 pub mod time;
--- a/src/scheduler/job_table.rs
+++ b/src/scheduler/job_table.rs
@@ -3,7 +3,7 @@
 use super::attempt::TaskId;
 use super::index::{JobIndex, Table};
 use super::job::Job;
-use crate::store::{Revision, CHUNK};
+use crate::store::{Revision, TASKS_PER_CHUNK};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::{Index, IndexMut};
 
@@ -116,7 +116,7 @@
     pub(super) fn mark_unsaved(&mut self, task: TaskId, now: u64) {
         let chunk = ChunkId {
             job: task.job,
-            chunk: task.number / CHUNK,
+            chunk: task.number / TASKS_PER_CHUNK,
         };
         self.unsaved.entry(chunk).or_insert(now);
     }
--- a/src/scheduler/machines/offer.rs
+++ b/src/scheduler/machines/offer.rs
@@ -1,6 +1,7 @@
 //! What a machine is in the terms of the cloud.
 
 use crate::scheduler::index::{MachineTypeIndex, ZoneIndex};
+use crate::store::RentalRecord;
 
 /// What the cloud offers: machines of a type in a zone, spot or on demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -24,6 +25,16 @@
     pub spot: bool,
 }
 
+impl<'a> From<&'a RentalRecord> for Hardware<'a> {
+    fn from(rental: &'a RentalRecord) -> Self {
+        Hardware {
+            machine_type: &rental.machine_type,
+            zone: &rental.zone,
+            spot: rental.spot,
+        }
+    }
+}
+
 /// How a machine became known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -40,7 +40,7 @@
 pub use jobs::{CompleteJob, TaskCounts};
 pub use machines::{DirectCommands, Hardware, Machine, MachineState, Offer, Origin};
 pub use params::{Params, TeamQuota};
-pub use start_log::{LoggedJob, SlotWrite, StoredSlot};
+pub use start_log::{SlotWrite, StoredSlot};
 pub use utilization::Utilization;
 
 use crate::protocol::{FencingToken, MachineType, ReportReply};
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -18,7 +18,7 @@
 use super::attempt::{Phase, TaskEvent, TaskId};
 use super::index::{JobIndex, MachineIndex};
 use super::Scheduler;
-use crate::store::Revision;
+use crate::store::{LoggedJob, Revision, StartLogWrite};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How many slots are examined for each write.
@@ -76,15 +76,6 @@
     }
 }
 
-/// A job with starts in a write of the log.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LoggedJob {
-    /// Id.
-    pub id: String,
-    /// The version of its record, which must still be there: the job must be unfinished when its starts become durable.
-    pub version: Revision,
-}
-
 /// A write of the log, which makes starts durable.
 #[derive(Debug)]
 pub struct SlotWrite {
@@ -102,6 +93,19 @@
     new_entries: Vec<LogEntry>,
 }
 
+impl SlotWrite {
+    /// What it writes to the store.
+    #[must_use]
+    pub fn start_log_write(&self) -> StartLogWrite<'_> {
+        StartLogWrite {
+            slot: self.slot,
+            version: self.version,
+            text: &self.text,
+            jobs: &self.jobs,
+        }
+    }
+}
+
 impl Scheduler {
     /// The next write of the log, at most `max_bytes` long and with starts of at most `max_jobs` jobs; none if no entry waits
     /// to be written.
--- a/src/scheduler/task_bitmap.rs
+++ b/src/scheduler/task_bitmap.rs
@@ -1,6 +1,6 @@
 //! A set of a job's tasks, stored as it is in the state service: a bit a task.
 
-use crate::store::CHUNK;
+use crate::store::TASKS_PER_CHUNK;
 use std::ops::Range;
 
 /// Whether a bit is set; what is beyond the end is not.
@@ -48,8 +48,9 @@
 
     /// Adds the tasks of a stored chunk. Bits beyond the job's tasks are ignored.
     pub(super) fn insert_chunk(&mut self, chunk: u32, bits: &[u8]) {
-        let first = chunk.saturating_mul(CHUNK);
-        let bit_count = u32::try_from(bits.len() * 8).map_or(CHUNK, |count| count.min(CHUNK));
+        let first = chunk.saturating_mul(TASKS_PER_CHUNK);
+        let bit_count = u32::try_from(bits.len() * 8)
+            .map_or(TASKS_PER_CHUNK, |count| count.min(TASKS_PER_CHUNK));
         for offset in (0..bit_count).filter(|offset| is_set(bits, *offset)) {
             let number = first.saturating_add(offset);
             if number < self.tasks {
@@ -64,8 +65,8 @@
     }
 
     fn chunk_bytes(&self, chunk: u32) -> Range<usize> {
-        let first = (chunk * CHUNK) as usize / 8;
-        let end = (first + CHUNK as usize / 8).min(self.bytes.len());
+        let first = (chunk * TASKS_PER_CHUNK) as usize / 8;
+        let end = (first + TASKS_PER_CHUNK as usize / 8).min(self.bytes.len());
         first..end
     }
 }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -14,7 +14,7 @@
     Command, ExitReason, JobSpec, Kind, Priority, Report, TaskReport, TaskState,
 };
 use crate::resources::QuotaResources;
-use crate::store::{LiveRecord, Revision};
+use crate::store::{LiveRecord, LoggedJob, Revision};
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,39 +1,55 @@
-//! The state service's client.
+//! The state service's client: one call each, without retries.
 
-use super::records::record;
-use super::{Mirror, Revision, Versioned, ROOT};
-use crate::clients::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest};
-use crate::protocol::{self as wire, Item, Txn};
+use super::keys::KeyFamily;
+use super::records::read_record;
+use super::{Replica, ReplicaChange, Revision, Versioned, ROOT};
+use crate::clients::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest, HttpResponse};
+use crate::protocol::{
+    decode, encode, Item, LeaseReply, LeaseRequest, Page, Txn, TxnReply, Watched,
+};
+use crate::time::whole_millis;
+use awc::http::{Method, StatusCode};
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a call to the state service can end without an answer to rely on.
+/// Time allowed for an ordinary call.
+const TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time allowed for a page of keys.
+const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Keys on a page.
+const PAGE_SIZE: usize = 200;
+/// Largest response accepted. A page of keys has 512 KiB at most. Only a watch has no limit: one that brings more than this is
+/// replaced by reading the keys page by page, which costs less memory.
+const RESPONSE_LIMIT: usize = 4 << 20;
+
+/// Why a call to the state service has brought no result to rely on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
 pub enum StoreError {
-    /// Over the rate; surely not executed (429).
-    #[error("busy")]
-    Busy,
-    /// Refused and surely not executed (503).
+    /// Over the request rate (429): certainly not executed.
+    #[error("request rate exceeded")]
+    RateLimited,
+    /// Refused (503): certainly not executed.
     #[error("refused")]
-    Refused,
-    /// No answer: executed, or to be executed later, or not at all.
-    #[error("no answer")]
-    Unknown,
-    /// The thing asked for does not exist or no longer does (404, 410, no such lease).
-    #[error("gone")]
-    Gone,
-    /// The answer is larger than this process is ready to hold.
-    #[error("answer too large")]
-    TooLarge,
+    Unavailable,
+    /// What was asked for does not exist or no longer does (404, 410, no such lease).
+    #[error("not found")]
+    NotFound,
+    /// The response is larger than this process is ready to hold. Only a read ends so.
+    #[error("response too large")]
+    ResponseTooLarge,
+    /// No response, or one that is not understood: executed, or to be executed later, or not at all.
+    #[error("outcome unknown")]
+    OutcomeUnknown,
 }
 
 /// The outcome of a transaction that was decided.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Decided {
-    /// Applied at this revision.
+pub enum TxnOutcome {
+    /// Applied at this revision, which is now the version of every key that it wrote.
     Applied(Revision),
-    /// Conditions failed, for these keys.
+    /// Not applied: these keys had other versions.
     Failed(Vec<String>),
 }
 
@@ -44,88 +60,24 @@
     base: String,
 }
 
-/// Time allowed for an ordinary call.
-const CALL: Duration = Duration::from_millis(1500);
-/// Largest answer taken. A page of keys has 512 KiB at most; only a watch has no limit, and one that brings more than this is
-/// replaced by reading the keys page by page, which costs less memory.
-const ANSWER_LIMIT: usize = 4 << 20;
-
 impl StoreClient {
-    /// A client of the service at `addr`.
+    /// A client of the service at `address`.
     #[must_use]
-    pub fn new(http: awc::Client, addr: SocketAddr) -> Self {
+    pub fn new(http: awc::Client, address: SocketAddr) -> Self {
         StoreClient {
             http,
-            base: format!("http://{addr}"),
-        }
-    }
-
-    async fn call(
-        &self,
-        method: awc::http::Method,
-        path: &str,
-        body: Option<Vec<u8>>,
-        within: Duration,
-    ) -> Result<(u16, Vec<u8>), StoreError> {
-        let request = HttpRequest {
-            method,
-            url: format!("{}{path}", self.base),
-            body,
-            timeout: within,
-            response_limit: ANSWER_LIMIT,
-            connection: ConnectionReuse::Keep,
-        };
-        let response = exchange(&self.http, request)
-            .await
-            .map_err(|error| match error {
-                ExchangeError::TooLarge => StoreError::TooLarge,
-                _ => StoreError::Unknown,
-            })?;
-        match response.status.as_u16() {
-            429 => Err(StoreError::Busy),
-            503 => Err(StoreError::Refused),
-            404 | 410 => Err(StoreError::Gone),
-            status => Ok((status, response.body)),
-        }
-    }
-
-    async fn read<T: DeserializeOwned>(
-        &self,
-        path: &str,
-        within: Duration,
-    ) -> Result<T, StoreError> {
-        let (status, body) = self
-            .call(awc::http::Method::GET, path, None, within)
-            .await?;
-        if status != 200 {
-            return Err(StoreError::Unknown);
+            base: format!("http://{address}"),
         }
-        wire::decode(&body).map_err(|_| StoreError::Unknown)
     }
 
-    async fn post(
-        &self,
-        path: &str,
-        body: Vec<u8>,
-        within: Duration,
-    ) -> Result<(u16, Vec<u8>), StoreError> {
-        let answer = self
-            .call(awc::http::Method::POST, path, Some(body), within)
-            .await;
-        // Whatever it was that came back, what was asked for may have been done.
-        answer.map_err(|error| {
-            if error == StoreError::TooLarge {
-                StoreError::Unknown
-            } else {
-                error
-            }
-        })
-    }
-
-    /// Reads a key; `Gone` if it does not exist.
+    /// Reads a key.
+    ///
+    /// # Errors
+    /// [`StoreError::NotFound`] if the key does not exist, any other if the service does not answer with a record of this
+    /// type.
     pub async fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Versioned<T>, StoreError> {
-        let item: Item = self.read(&format!("/keys/{key}"), CALL).await?;
-        let record = record(&item.value).ok_or(StoreError::Unknown)?;
+        let item: Item = self.read(&format!("/keys/{key}"), TIMEOUT).await?;
+        let record = read_record(&item.value).ok_or(StoreError::OutcomeUnknown)?;
         Ok(Versioned {
             record,
             version: item.version,
@@ -133,100 +85,179 @@
     }
 
     /// Runs a transaction.
-    pub async fn txn(&self, txn: &Txn) -> Result<Decided, StoreError> {
-        let (status, body) = self.post("/multi", wire::encode(txn), CALL).await?;
-        let reply = wire::decode::<wire::TxnReply>(&body);
-        match (status, reply) {
-            (200, Ok(r)) => Ok(Decided::Applied(r.revision)),
-            (409, Ok(r)) => Ok(Decided::Failed(r.failed)),
-            (400, _) => Err(StoreError::Gone),
-            _ => Err(StoreError::Unknown),
+    ///
+    /// # Errors
+    /// If it was certainly not executed, or may have been or may yet be ([`StoreError::OutcomeUnknown`]).
+    pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
+        let response = self.post("/multi", encode(txn), TIMEOUT).await?;
+        let reply = decode::<TxnReply>(&response.body).ok();
+        match (response.status, reply) {
+            (StatusCode::OK, Some(reply)) => Ok(TxnOutcome::Applied(reply.revision)),
+            (StatusCode::CONFLICT, Some(reply)) => Ok(TxnOutcome::Failed(reply.failed)),
+            (StatusCode::BAD_REQUEST, _) => Err(StoreError::NotFound),
+            _ => Err(StoreError::OutcomeUnknown),
         }
     }
 
-    /// Runs a compare-only transaction for the revision it tells, whatever it finds.
+    /// Runs a transaction without changes for the revision that the service is at, whether its guards hold or not.
+    ///
+    /// # Errors
+    /// If the service does not answer.
     pub async fn barrier(&self, txn: &Txn) -> Result<Revision, StoreError> {
-        let (status, body) = self.post("/multi", wire::encode(txn), CALL).await?;
-        match (status, wire::decode::<wire::TxnReply>(&body)) {
-            (200 | 409, Ok(r)) => Ok(r.revision),
-            _ => Err(StoreError::Unknown),
+        let response = self.post("/multi", encode(txn), TIMEOUT).await?;
+        match (response.status, decode::<TxnReply>(&response.body).ok()) {
+            (StatusCode::OK | StatusCode::CONFLICT, Some(reply)) => Ok(reply.revision),
+            _ => Err(StoreError::OutcomeUnknown),
         }
     }
 
-    /// Opens a lease.
-    pub async fn open_lease(&self, ttl_ms: u64) -> Result<u64, StoreError> {
-        let (status, body) = self
-            .post("/holds", wire::encode(&wire::LeaseRequest { ttl_ms }), CALL)
-            .await?;
-        match (status, wire::decode::<wire::LeaseReply>(&body)) {
-            (200, Ok(r)) => Ok(r.lease),
-            _ => Err(StoreError::Unknown),
+    /// Opens a lease that ends when it is not renewed for `ttl`, in whole milliseconds, and tells its id.
+    ///
+    /// # Errors
+    /// If the service does not answer. A lease may have been opened all the same; it ends by itself.
+    pub async fn open_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
+        let ttl_ms = whole_millis(ttl);
+        let body = encode(&LeaseRequest { ttl_ms });
+        let response = self.post("/holds", body, TIMEOUT).await?;
+        match (response.status, decode::<LeaseReply>(&response.body).ok()) {
+            (StatusCode::OK, Some(reply)) => Ok(reply.lease),
+            _ => Err(StoreError::OutcomeUnknown),
         }
     }
 
     /// Renews a lease.
-    pub async fn renew(&self, lease: u64, within: Duration) -> Result<(), StoreError> {
-        match self
-            .post(&format!("/holds/{lease}/extend"), Vec::new(), within)
-            .await?
-            .0
-        {
-            200 => Ok(()),
-            _ => Err(StoreError::Unknown),
+    ///
+    /// # Errors
+    /// [`StoreError::NotFound`] if the lease has ended, any other if the service does not answer within the timeout.
+    pub async fn renew(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
+        let path = format!("/holds/{lease}/extend");
+        let response = self.post(&path, Vec::new(), timeout).await?;
+        match response.status {
+            StatusCode::OK => Ok(()),
+            _ => Err(StoreError::OutcomeUnknown),
         }
     }
 
-    /// Gives a lease up.
+    /// Ends a lease, and with it the keys that are attached to it. If this fails the lease ends when its time is over.
     pub async fn close_lease(&self, lease: u64) {
-        let _ = self
-            .call(
-                awc::http::Method::DELETE,
-                &format!("/holds/{lease}"),
-                None,
-                CALL,
-            )
-            .await;
+        let path = format!("/holds/{lease}");
+        let _ = self.call(Method::DELETE, &path, None, TIMEOUT).await;
     }
 
-    /// Waits for changes after a revision.
-    pub async fn watch(&self, after: Revision, hold_ms: u64) -> Result<wire::Watched, StoreError> {
+    /// Waits for changes after a revision, at most for `hold`, in whole milliseconds.
+    ///
+    /// # Errors
+    /// [`StoreError::NotFound`] if the service no longer has all changes since then, [`StoreError::ResponseTooLarge`] if there
+    /// are too many, any other if the service does not answer.
+    pub async fn watch(&self, after: Revision, hold: Duration) -> Result<Watched, StoreError> {
+        let hold_ms = whole_millis(hold);
         let path = format!("/watch?starts={ROOT}&after={after}&holdMs={hold_ms}");
-        self.read(&path, Duration::from_millis(hold_ms) + CALL)
-            .await
+        self.read(&path, hold + TIMEOUT).await
     }
 
-    /// Reads everything that a mirror holds; final states are read only when asked for.
-    pub async fn load(&self) -> Result<Mirror, StoreError> {
-        let mut mirror = Mirror::default();
-        let mut first = None;
-        let mut seen = Vec::new();
-        for family in [
-            "catalogue",
-            "done/",
-            "epoch",
-            "hire/",
-            "leader",
-            "live/",
-            "starts/",
-            "stopping/",
-        ] {
-            let mut after = String::new();
-            loop {
-                let path = format!("/keys?starts={ROOT}{family}&after={after}&limit=200");
-                let page: wire::Page = self.read(&path, CALL * 2).await?;
-                // Changes between the pages are seen by the watch, which begins at the first page's revision.
-                first.get_or_insert(page.revision);
-                for item in &page.items {
-                    mirror.put(&item.key, &item.value, item.version, &mut seen);
-                }
-                match page.items.last() {
-                    Some(last) if page.more => after = last.key.clone(),
-                    _ => break,
-                }
+    /// Reads everything that a replica holds, family by family and page by page. Final states are not among it.
+    ///
+    /// # Errors
+    /// If one of the pages cannot be read.
+    pub async fn load(&self) -> Result<Replica, StoreError> {
+        let mut replica = Replica::default();
+        let mut first_revision = None;
+        for family in KeyFamily::REPLICATED {
+            let revision = self.load_family(&mut replica, family).await?;
+            first_revision.get_or_insert(revision);
+        }
+        // The watch begins at the first page's revision, so that it brings the changes between the pages.
+        replica.revision = first_revision.unwrap_or_default();
+        replica.initialized = true;
+        Ok(replica)
+    }
+
+    /// Reads the keys of a family into a replica, and tells the revision of the first page.
+    async fn load_family(
+        &self,
+        replica: &mut Replica,
+        family: KeyFamily,
+    ) -> Result<Revision, StoreError> {
+        let prefix = family.prefix();
+        let mut after = String::new();
+        let mut first_revision = None;
+        loop {
+            let page = self.page(&prefix, &after).await?;
+            let revision = *first_revision.get_or_insert(page.revision);
+            put_page(replica, &page);
+            match page.items.last() {
+                Some(last) if page.more => after.clone_from(&last.key),
+                _ => return Ok(revision),
             }
         }
-        mirror.revision = first.unwrap_or_default();
-        mirror.loaded = true;
-        Ok(mirror)
+    }
+
+    /// One page of the keys with a prefix, in their order, from the one that follows `after`.
+    async fn page(&self, prefix: &str, after: &str) -> Result<Page, StoreError> {
+        let path = format!("/keys?starts={prefix}&after={after}&limit={PAGE_SIZE}");
+        self.read(&path, PAGE_TIMEOUT).await
+    }
+
+    async fn read<T: DeserializeOwned>(
+        &self,
+        path: &str,
+        timeout: Duration,
+    ) -> Result<T, StoreError> {
+        let response = self.call(Method::GET, path, None, timeout).await?;
+        if response.status != StatusCode::OK {
+            return Err(StoreError::OutcomeUnknown);
+        }
+        decode(&response.body).map_err(|_| StoreError::OutcomeUnknown)
+    }
+
+    async fn post(
+        &self,
+        path: &str,
+        body: Vec<u8>,
+        timeout: Duration,
+    ) -> Result<HttpResponse, StoreError> {
+        let result = self.call(Method::POST, path, Some(body), timeout).await;
+        result.map_err(|error| match error {
+            // Whatever came back, what was asked for may have been done.
+            StoreError::ResponseTooLarge => StoreError::OutcomeUnknown,
+            error => error,
+        })
+    }
+
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+        timeout: Duration,
+    ) -> Result<HttpResponse, StoreError> {
+        let request = HttpRequest {
+            method,
+            url: format!("{}{path}", self.base),
+            body,
+            timeout,
+            response_limit: RESPONSE_LIMIT,
+            connection: ConnectionReuse::Keep,
+        };
+        let response = exchange(&self.http, request)
+            .await
+            .map_err(|error| match error {
+                ExchangeError::TooLarge => StoreError::ResponseTooLarge,
+                _ => StoreError::OutcomeUnknown,
+            })?;
+        match response.status {
+            StatusCode::TOO_MANY_REQUESTS => Err(StoreError::RateLimited),
+            StatusCode::SERVICE_UNAVAILABLE => Err(StoreError::Unavailable),
+            StatusCode::NOT_FOUND | StatusCode::GONE => Err(StoreError::NotFound),
+            _ => Ok(response),
+        }
+    }
+}
+
+/// Takes in a page of a replica that is being read. What has changed is of no interest: the replica is new as a whole.
+fn put_page(replica: &mut Replica, page: &Page) {
+    let mut changes: Vec<ReplicaChange> = Vec::new();
+    for item in &page.items {
+        replica.put(&item.key, &item.value, item.version, &mut changes);
     }
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,8 +1,7 @@
-//! The records that the keys hold.
+//! The records that the keys hold. The names of their fields are stored: a renamed field needs `#[serde(rename)]`.
 
-use super::{Revision, CHUNK};
+use super::{Revision, TASKS_PER_CHUNK};
 use crate::protocol::JobSpec;
-use crate::scheduler::Hardware;
 use ciborium::Value;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
@@ -11,79 +10,68 @@
 pub struct LiveRecord {
     /// The job.
     pub spec: JobSpec,
-    /// Time of day of the submission, in milliseconds.
+    /// Time of day of the submission, in milliseconds since 1970.
     pub at_ms: u64,
 }
 
-/// A finished job; final.
+/// The final state of a job. It never changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OverRecord {
-    /// Whether its user cancelled it.
+pub struct FinalRecord {
+    /// Whether its user cancelled it; otherwise all of its tasks are done.
     pub cancelled: bool,
     /// Its number of tasks.
     pub tasks: u32,
 }
 
-/// The node that leads, attached to its leader lease.
+/// A process of a controller: the one that leads, attached to its leader lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Node.
+    /// Name of the controller.
     pub node: String,
-    /// Its incarnation: another one after every start of the process.
+    /// Its incarnation: another random number after every start of the process.
     pub incarnation: u64,
 }
 
 impl LeaderRecord {
-    /// Whether this was an earlier process of the same node: one that has ended, since this one runs. It is told apart by
-    /// its incarnation, so that its key and leader lease are never taken for one's own.
+    /// Whether this was an earlier process of the same controller: one that has ended, since `current` runs. It is told apart
+    /// by its incarnation, so that its key and its leader lease are never taken for those of the current process.
     #[must_use]
-    pub fn ended_before(&self, me: &LeaderRecord) -> bool {
-        self.node == me.node && self.incarnation != me.incarnation
+    pub fn ended_before(&self, current: &LeaderRecord) -> bool {
+        self.node == current.node && self.incarnation != current.incarnation
     }
 }
 
 /// The current epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// Number; grows by one with every change.
+    /// Its number; grows by one with every change of the leader.
     pub number: u64,
     /// Who leads it.
     pub leader: LeaderRecord,
-    /// Its members, among which the machines are divided.
+    /// Its members: the leader alone.
     pub members: Vec<LeaderRecord>,
-    /// Whether its leader keeps the start log: versions before it did not, and their new leader has to outwait every lease.
+    /// Whether its leader keeps the start log. Versions before it did not, and the next leader has to wait until all leases
+    /// of workers have expired.
     #[serde(default)]
     pub logs_starts: bool,
 }
 
-/// A rental request, written before the cloud is called, and the machines it brought.
+/// A rental request, written before the cloud is called, and the machines that it brought.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentalRecord {
     /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot machines.
+    /// Whether spot instances were asked for.
     pub spot: bool,
-    /// How many were asked for.
+    /// How many machines were asked for.
     pub count: u32,
-    /// Machines; none while the answer is unknown.
+    /// Names of the machines; `None` while the cloud's answer is unknown.
     pub machines: Option<Vec<String>>,
 }
 
-impl RentalRecord {
-    /// What its machines are.
-    #[must_use]
-    pub fn hardware(&self) -> Hardware<'_> {
-        Hardware {
-            machine_type: &self.machine_type,
-            zone: &self.zone,
-            spot: self.spot,
-        }
-    }
-}
-
-/// A versioned record.
+/// A record and the version of its key.
 #[derive(Debug, Clone)]
 pub struct Versioned<T> {
     /// The record.
@@ -92,28 +80,34 @@
     pub version: Revision,
 }
 
-pub(super) fn record<T: DeserializeOwned>(value: &Value) -> Option<T> {
+/// Reads a record; `None` if the value does not hold one of this type.
+pub(super) fn read_record<T: DeserializeOwned>(value: &Value) -> Option<T> {
     value.deserialized().ok()
 }
 
-/// Bits as text: the store takes nothing binary.
+/// Bits as hexadecimal text, the first byte first: the store takes nothing binary.
 #[must_use]
 pub fn bits_to_text(bits: &[u8]) -> String {
-    bits.iter()
-        .fold(String::with_capacity(bits.len() * 2), |mut s, b| {
-            for n in [b >> 4, b & 15] {
-                s.push(char::from_digit(u32::from(n), 16).unwrap_or('0'));
-            }
-            s
-        })
+    let digits = bits.iter().flat_map(|byte| [byte >> 4, byte & 15]);
+    let mut text = String::with_capacity(bits.len() * 2);
+    text.extend(digits.filter_map(|digit| char::from_digit(u32::from(digit), 16)));
+    text
 }
 
+/// Reads the text of [`bits_to_text`]; `None` if it is none, or longer than a chunk.
 pub(super) fn text_to_bits(text: &str) -> Option<Vec<u8>> {
-    let digits: Option<Vec<u8>> = text
-        .chars()
-        .map(|c| c.to_digit(16).map(|d| d as u8))
-        .collect();
+    let digits: Option<Vec<u8>> = text.chars().map(hexadecimal_digit).collect();
     let digits = digits?;
-    (digits.len() % 2 == 0 && digits.len() <= CHUNK as usize / 4)
-        .then(|| digits.chunks(2).map(|p| p[0] << 4 | p[1]).collect())
+    let fits = digits.len() % 2 == 0 && digits.len() <= TASKS_PER_CHUNK as usize / 4;
+    fits.then(|| {
+        digits
+            .chunks_exact(2)
+            .map(|pair| pair[0] << 4 | pair[1])
+            .collect()
+    })
+}
+
+fn hexadecimal_digit(character: char) -> Option<u8> {
+    let digit = character.to_digit(16)?;
+    u8::try_from(digit).ok()
 }
--- /dev/null
+++ b/src/store/tests/mod.rs
@@ -0,0 +1,23 @@
+//! Keys, records, transactions, the replica and the client.
+
+mod client;
+mod records;
+mod replica;
+mod transactions;
+
+use super::{live_key, LiveRecord, Revision};
+use crate::protocol::Event;
+use ciborium::Value;
+
+/// A write of an unfinished job.
+fn live(id: &str, version: u64) -> Event {
+    let record = LiveRecord {
+        spec: crate::scheduler::tests::spec(id, 1),
+        at_ms: 5,
+    };
+    Event::Put {
+        put: live_key(id),
+        value: Value::serialized(&record).unwrap(),
+        version: Revision::new(version),
+    }
+}
--- a/tests/compat/stored_records/load.rs
+++ b/tests/compat/stored_records/load.rs
@@ -87,5 +87,5 @@
     // The watch begins at the first page's revision.
     assert_eq!(replica.revision.as_u64(), 100);
     assert_eq!(entries(&replica), 6);
-    assert!(replica.loaded && replica.epoch.is_some() && replica.catalogue.is_some());
+    assert!(replica.initialized && replica.epoch.is_some() && replica.catalogue.is_some());
 }
--- a/tests/compat/stored_records/mod.rs
+++ b/tests/compat/stored_records/mod.rs
@@ -8,7 +8,7 @@
 mod written;
 
 use hollowswitch::protocol::{decode, JobSpec, Kind, MachineType, Priority, Watched};
-use hollowswitch::store::{LeaderRecord, LiveRecord, Mirror, RentalRecord};
+use hollowswitch::store::{LeaderRecord, LiveRecord, RentalRecord, Replica};
 
 /// `JobSpec` of `job_spec`.
 const SPEC: &[u8] = b"\xb4\
@@ -135,10 +135,10 @@
 }
 
 /// A replica that has read the answer of a watch, as it came over the wire.
-fn replica_after(events: &[u8]) -> Mirror {
+fn replica_after(events: &[u8]) -> Replica {
     let answer = bytes(&[b"\xa2\x66ledger\x18\x64\x66events", events]);
     let watched: Watched = decode(&answer).unwrap();
-    let mut replica = Mirror::default();
+    let mut replica = Replica::default();
     replica.apply(watched.revision, &watched.events);
     replica
 }
@@ -148,7 +148,7 @@
     bytes(&[b"\x81\xa3\x63put", key, b"\x61v", record, b"\x65stamp\x09"])
 }
 
-fn entries(replica: &Mirror) -> usize {
+fn entries(replica: &Replica) -> usize {
     replica.live.len()
         + replica.stopping.len()
         + replica.done.len()
--- a/tests/compat/stored_records/read.rs
+++ b/tests/compat/stored_records/read.rs
@@ -6,7 +6,7 @@
     OVER_DONE, RENTAL_ANSWERED, RENTAL_OPEN, SPEC,
 };
 use hollowswitch::protocol::decode;
-use hollowswitch::store::{EpochRecord, OverRecord, Revision};
+use hollowswitch::store::{EpochRecord, FinalRecord, Revision};
 
 #[test]
 fn an_unfinished_job_is_read() {
@@ -31,17 +31,17 @@
 #[test]
 fn final_states_are_read() {
     let replica = replica_after(&put_event(b"\x76hollowswitch/over/wk-1", OVER_CANCELLED));
-    let cancelled = OverRecord {
+    let cancelled = FinalRecord {
         cancelled: true,
         tasks: 9000,
     };
-    assert_eq!(replica.over("wk-1"), Some(cancelled));
+    assert_eq!(replica.final_state("wk-1"), Some(cancelled));
     let replica = replica_after(&put_event(b"\x76hollowswitch/over/wk-1", OVER_DONE));
-    let done = OverRecord {
+    let done = FinalRecord {
         cancelled: false,
         tasks: 9000,
     };
-    assert_eq!(replica.over("wk-1"), Some(done));
+    assert_eq!(replica.final_state("wk-1"), Some(done));
 }
 
 #[test]
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -123,10 +123,10 @@
     ]);
     let epoch = guard("hollowswitch/epoch".into(), Revision::new(11));
     assert_eq!(
-        String::from_utf8_lossy(&encode(&log_txn(&epoch, &append))),
+        String::from_utf8_lossy(&encode(&log_txn(&epoch, append.start_log_write()))),
         String::from_utf8_lossy(&expected)
     );
-    assert_eq!(encode(&log_txn(&epoch, &append)), expected);
+    assert_eq!(encode(&log_txn(&epoch, append.start_log_write())), expected);
 }
 
 fn slot(number: u32, version: u64, text: &str) -> StoredSlot<'_> {
--- a/tests/compat/stored_records/unreadable.rs
+++ b/tests/compat/stored_records/unreadable.rs
@@ -53,7 +53,7 @@
         });
         assert_eq!(entries(&replica), 0, "{text}");
         assert!(replica.epoch.is_none() && replica.catalogue.is_none());
-        assert!(replica.over("wk-1").is_none());
+        assert!(replica.final_state("wk-1").is_none());
         assert_eq!(replica.revision.as_u64(), 100);
         let logged = String::from_utf8(log.0.lock().unwrap().clone()).unwrap();
         assert!(
--- a/tests/compat/stored_records/written.rs
+++ b/tests/compat/stored_records/written.rs
@@ -7,8 +7,8 @@
 };
 use hollowswitch::protocol::{encode, Txn};
 use hollowswitch::store::{
-    abort_txn, bits_to_text, catalogue_key, claim_txn, complete_txn, done_key, epoch_key, guard,
-    leader_key, live_job, live_key, over_key, put, rental_key, rental_txn, starts_key,
+    bits_to_text, cancel_txn, catalogue_key, claim_txn, complete_txn, done_key, epoch_key,
+    final_key, guard, leader_key, live_job, live_key, put, rental_key, rental_txn, starts_key,
     stopping_key, submit_txn, Revision, Versioned,
 };
 
@@ -19,7 +19,7 @@
     assert_eq!(catalogue_key(), "hollowswitch/catalogue");
     assert_eq!(live_key("wk-1"), "hollowswitch/live/wk-1");
     assert_eq!(stopping_key("wk-1"), "hollowswitch/stopping/wk-1");
-    assert_eq!(over_key("wk-1"), "hollowswitch/over/wk-1");
+    assert_eq!(final_key("wk-1"), "hollowswitch/over/wk-1");
     assert_eq!(done_key("wk-1", 17), "hollowswitch/done/wk-1/17");
     assert_eq!(starts_key(3), "hollowswitch/starts/3");
     assert_eq!(
@@ -65,7 +65,7 @@
         record: live_record(),
         version: Revision::new(12),
     };
-    assert_eq!(encode(&abort_txn("wk-1", &live)), expected);
+    assert_eq!(encode(&cancel_txn("wk-1", &live)), expected);
 }
 
 #[test]
