--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,23 +1,11 @@
-//! Admission control: how many requests are in progress, how many changes users may make, and the rates of both.
+//! Admission control: which requests are accepted when there are more than can be served.
+//!
+//! - [`concurrency_limit`] bounds the user requests in progress;
+//! - [`write_admission`] bounds the changes that users cause in the state service;
+//! - [`rate`] has the token bucket and the rate meter for calls to the state service and to the cloud.
+//!
+//! All of them work on times that are handed in, and none waits: whoever is not admitted is told when to try again.
 
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::missing_panics_doc,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod concurrency_limit;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::missing_errors_doc,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod rate;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::missing_errors_doc,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod write_admission;
--- a/src/admission/rate.rs
+++ b/src/admission/rate.rs
@@ -1,72 +1,98 @@
-//! How often something may be done, and how often something is done.
+//! A token bucket, which limits how often something is done, and a rate meter, which measures it.
 
 #[cfg(test)]
 mod tests;
 
-/// The bucket; all times in milliseconds of a steady clock.
+use crate::time::Timestamp;
+use std::time::Duration;
+
+/// Lowest rate of a bucket, per second, so that it is refilled at all.
+const MIN_RATE_PER_S: f64 = 0.001;
+/// A bucket that is short of a token by less than this has been refilled: the difference is a rounding error.
+const TOKEN_TOLERANCE: f64 = 1e-6;
+/// A wait that is longer than whole milliseconds by less than this is rounded down: the difference is a rounding error.
+const WAIT_TOLERANCE_MS: f64 = 1e-3;
+
+/// A token bucket.
 #[derive(Debug)]
 pub struct TokenBucket {
-    per_ms: f64,
-    burst: f64,
+    tokens_per_ms: f64,
+    capacity: f64,
     tokens: f64,
-    updated_at: u64,
+    refilled_at: Timestamp,
 }
 
 impl TokenBucket {
-    /// A full bucket that refills at `per_s` tokens a second and holds `burst` tokens, one at least.
+    /// A full bucket that is refilled with `rate_per_s` tokens per second and holds `capacity` tokens, at least one.
     #[must_use]
-    pub fn new(per_s: f64, burst: f64) -> TokenBucket {
-        let burst = burst.max(1.0);
+    pub fn new(rate_per_s: f64, capacity: f64) -> TokenBucket {
+        let capacity = capacity.max(1.0);
         TokenBucket {
-            per_ms: per_s.max(0.001) / 1000.0,
-            burst,
-            tokens: burst,
-            updated_at: 0,
+            tokens_per_ms: rate_per_s.max(MIN_RATE_PER_S) / 1000.0,
+            capacity,
+            tokens: capacity,
+            refilled_at: Timestamp::ZERO,
         }
     }
 
-    /// Takes a token, or tells after how many milliseconds there will be one.
-    pub fn take(&mut self, now: u64) -> Result<(), u64> {
-        let refilled = now.saturating_sub(self.updated_at) as f64 * self.per_ms;
-        self.tokens = (self.tokens + refilled).min(self.burst);
-        self.updated_at = self.updated_at.max(now);
-        if self.tokens >= 1.0 - 1e-6 {
+    /// Takes a token.
+    ///
+    /// # Errors
+    ///
+    /// There is none; there will be one after the returned time.
+    pub fn try_take(&mut self, now: Timestamp) -> Result<(), Duration> {
+        let elapsed_ms = now.saturating_duration_since(self.refilled_at).as_millis() as f64;
+        let refilled = self.tokens + elapsed_ms * self.tokens_per_ms;
+        self.tokens = refilled.min(self.capacity);
+        self.refilled_at = self.refilled_at.max(now);
+        if self.tokens >= 1.0 - TOKEN_TOLERANCE {
             self.tokens -= 1.0;
             return Ok(());
         }
-        // Less than a thousandth of a millisecond is rounding.
-        Err(((1.0 - self.tokens) / self.per_ms - 1e-3).ceil().max(1.0) as u64)
+        Err(self.time_until_token())
+    }
+
+    #[expect(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "a wait is positive, and a cast of one that is too long saturates"
+    )]
+    fn time_until_token(&self) -> Duration {
+        let wait_ms = (1.0 - self.tokens) / self.tokens_per_ms;
+        let whole_ms = (wait_ms - WAIT_TOLERANCE_MS).ceil().max(1.0);
+        Duration::from_millis(whole_ms as u64)
     }
 }
 
-/// Measures a rate: a mean over the last seconds, in which what is older counts less.
+/// Measures a rate as an exponentially weighted mean over the last seconds.
 #[derive(Debug)]
 pub struct RateMeter {
     window_ms: f64,
-    per_s: f64,
-    updated_at: u64,
+    rate_per_s: f64,
+    updated_at: Timestamp,
 }
 
 impl RateMeter {
-    /// One that forgets within a few times `window_ms`.
+    /// A meter in which the weight of an event falls to 1/e within `window`, at least 1 ms.
     #[must_use]
-    pub fn new(window_ms: u64) -> RateMeter {
+    pub fn new(window: Duration) -> RateMeter {
         RateMeter {
-            window_ms: window_ms.max(1) as f64,
-            per_s: 0.0,
-            updated_at: 0,
+            window_ms: window.as_millis().max(1) as f64,
+            rate_per_s: 0.0,
+            updated_at: Timestamp::ZERO,
         }
     }
 
-    /// Takes in that something was done a number of times just now.
-    pub fn record(&mut self, times: usize, now: u64) {
-        self.per_s = self.per_s(now) + times as f64 * 1000.0 / self.window_ms;
+    /// Records a number of events at this moment.
+    pub fn record(&mut self, events: usize, now: Timestamp) {
+        self.rate_per_s = self.per_s(now) + events as f64 * 1000.0 / self.window_ms;
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// The rate.
+    /// The rate per second.
     #[must_use]
-    pub fn per_s(&self, now: u64) -> f64 {
-        self.per_s * (-(now.saturating_sub(self.updated_at) as f64) / self.window_ms).exp()
+    pub fn per_s(&self, now: Timestamp) -> f64 {
+        let elapsed_ms = now.saturating_duration_since(self.updated_at).as_millis() as f64;
+        self.rate_per_s * (-elapsed_ms / self.window_ms).exp()
     }
 }
--- /dev/null
+++ b/src/api/health.rs
@@ -0,0 +1,13 @@
+//! Health checks of the load balancer.
+
+use super::ApiState;
+use crate::controller::Health;
+use actix_web::{web, HttpResponse};
+
+/// `GET /up`: whether this controller can take user requests.
+pub(super) async fn check(state: web::Data<ApiState>) -> HttpResponse {
+    match state.controller.send(Health).await {
+        Ok(true) => HttpResponse::Ok().finish(),
+        Ok(false) | Err(_) => HttpResponse::ServiceUnavailable().finish(),
+    }
+}
--- /dev/null
+++ b/src/api/mod.rs
@@ -0,0 +1,142 @@
+//! The HTTP interface of a controller: for users, workers and health checks at one address, for the other controllers at
+//! another.
+//!
+//! A handler decodes the request, asks the [controller](crate::controller) and maps the typed outcome to a status and a body.
+//! It decides nothing itself, but for what no controller needs to see: malformed requests, and user requests beyond the
+//! [concurrency limit](crate::admission::concurrency_limit).
+
+mod connections;
+mod health;
+mod peers;
+mod responses;
+mod server;
+#[cfg(test)]
+mod tests;
+mod users;
+mod workers;
+
+use crate::admission::concurrency_limit::ConcurrencyLimit;
+use crate::controller::Controller;
+use crate::protocol::BODY_LIMIT;
+use actix::Addr;
+use actix_web::http::StatusCode;
+use actix_web::{web, App};
+use connections::Connections;
+use std::cell::RefCell;
+use std::net::SocketAddr;
+
+/// The part of the connections, as a divisor, that may have a user request in progress.
+const CONNECTIONS_PER_USER_REQUEST: usize = 4;
+/// Largest heartbeat, in bytes: it lists all tasks of its machine. Workers are not limited as users are.
+const HEARTBEAT_LIMIT: usize = 16 * BODY_LIMIT;
+
+/// The addresses at which a controller serves.
+#[derive(Debug, Clone, Copy)]
+pub struct Addresses {
+    /// For users, workers and health checks.
+    pub api: SocketAddr,
+    /// For the other controllers.
+    pub internal: SocketAddr,
+}
+
+/// What the handlers share.
+struct ApiState {
+    controller: Addr<Controller>,
+    concurrency_limit: RefCell<ConcurrencyLimit>,
+    connections: Connections,
+}
+
+impl ApiState {
+    /// Gives access to the concurrency limit, but not across a wait.
+    fn with_concurrency_limit<T>(&self, access: impl FnOnce(&mut ConcurrencyLimit) -> T) -> T {
+        access(&mut self.concurrency_limit.borrow_mut())
+    }
+}
+
+/// Which requests an application serves.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Audience {
+    /// Those of users, workers and health checks.
+    Public,
+    /// Those of the other controllers.
+    Peers,
+    /// All, if both addresses are the same.
+    Everyone,
+}
+
+/// Serves both addresses until the process ends, with at most `max_connections` open at a time.
+///
+/// # Errors
+///
+/// An address cannot be listened on.
+pub async fn serve(
+    controller: Addr<Controller>,
+    addresses: Addresses,
+    max_connections: usize,
+) -> std::io::Result<()> {
+    let connections = Connections::new(max_connections);
+    let max_user_requests = max_connections / CONNECTIONS_PER_USER_REQUEST;
+    let state = web::Data::new(ApiState {
+        controller,
+        concurrency_limit: RefCell::new(ConcurrencyLimit::new(max_user_requests)),
+        connections: connections.clone(),
+    });
+    // A closure, since the type of an application cannot be named.
+    let app = |audience: Audience| {
+        App::new()
+            .app_data(state.clone())
+            .app_data(web::PayloadConfig::new(BODY_LIMIT))
+            .configure(|config| configure_routes(config, audience))
+            .default_service(web::to(|| async {
+                responses::error(StatusCode::NOT_FOUND, "no such path")
+            }))
+    };
+    if addresses.api == addresses.internal {
+        return server::serve(addresses.api, app(Audience::Everyone), connections).await;
+    }
+    let public = server::serve(addresses.api, app(Audience::Public), connections.clone());
+    let internal = server::serve(addresses.internal, app(Audience::Peers), connections);
+    futures_util::future::try_join(public, internal)
+        .await
+        .map(|_| ())
+}
+
+fn configure_routes(config: &mut web::ServiceConfig, audience: Audience) {
+    if audience != Audience::Peers {
+        configure_public_routes(config);
+    }
+    if audience != Audience::Public {
+        configure_peer_routes(config);
+    }
+}
+
+/// The routes of users, workers and health checks. The most frequent requests come first: routes are compared in this order,
+/// and those with a variable part by a slow matcher.
+fn configure_public_routes(config: &mut web::ServiceConfig) {
+    config
+        .service(
+            web::resource("/hello")
+                .app_data(web::PayloadConfig::new(HEARTBEAT_LIMIT))
+                .route(web::post().to(workers::heartbeat)),
+        )
+        .service(web::resource("/up").route(web::get().to(health::check)))
+        .service(web::resource("/v1/jobs").route(web::post().to(users::submit)))
+        .service(web::resource("/v1/jobs/{id}").route(web::get().to(users::poll)))
+        .service(web::resource("/v1/jobs/{id}/abort").route(web::post().to(users::cancel)));
+}
+
+/// The routes of the other controllers.
+fn configure_peer_routes(config: &mut web::ServiceConfig) {
+    let limit = || web::PayloadConfig::new(crate::coordination::peers::MESSAGE_SIZE_LIMIT);
+    config
+        .service(
+            web::resource("/peer/view")
+                .app_data(limit())
+                .route(web::post().to(peers::view)),
+        )
+        .service(
+            web::resource("/peer/cancelled")
+                .app_data(limit())
+                .route(web::post().to(peers::cancelled)),
+        );
+}
--- /dev/null
+++ b/src/api/peers.rs
@@ -0,0 +1,28 @@
+//! Messages of the other controllers.
+
+use super::{responses, ApiState};
+use crate::controller::{PeerCancelled, PeerView};
+use crate::coordination::peers::{decode, encode, Cancelled, View};
+use actix_web::{web, HttpResponse};
+
+/// `POST /peer/view`: another controller's view, answered with the own one.
+pub(super) async fn view(state: web::Data<ApiState>, body: web::Bytes) -> HttpResponse {
+    let Some(view) = decode::<View>(&body) else {
+        return responses::malformed();
+    };
+    match state.controller.send(PeerView(view)).await {
+        Ok(own_view) => HttpResponse::Ok().body(encode(&own_view)),
+        Err(_) => responses::stopping(),
+    }
+}
+
+/// `POST /peer/cancelled`: cancellations that are durable, answered with the revision that the own replica has reached.
+pub(super) async fn cancelled(state: web::Data<ApiState>, body: web::Bytes) -> HttpResponse {
+    let Some(cancelled) = decode::<Cancelled>(&body) else {
+        return responses::malformed();
+    };
+    match state.controller.send(PeerCancelled(cancelled)).await {
+        Ok(revision) => HttpResponse::Ok().body(encode(&revision)),
+        Err(_) => responses::stopping(),
+    }
+}
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,10 +1,12 @@
 //! The HTTP responses that outcomes are mapped to.
 
-use super::*;
-use crate::controller::JobRejection;
-use crate::protocol::{JobState, JobView};
+use super::users::job_response;
+use super::workers::heartbeat_response;
+use crate::controller::{HeartbeatOutcome, HeartbeatResponse, JobOutcome, JobRejection};
+use crate::protocol::{FencingToken, JobState, JobView, ReportReply};
 use actix_web::body::MessageBody;
-use std::time::Duration;
+use actix_web::http::ConnectionType;
+use std::time::{Duration, Instant};
 
 #[test]
 fn a_busy_response_says_when_to_retry_and_closes_the_connection() {
@@ -27,8 +29,8 @@
 fn an_answer_to_a_worker_is_withheld_once_its_authority_has_expired() {
     let now = Instant::now();
     let decided = |valid_until| {
-        let outcome = HeartbeatOutcome::Reply(wire::ReportReply {
-            token: wire::FencingToken::new(5),
+        let outcome = HeartbeatOutcome::Reply(ReportReply {
+            token: FencingToken::new(5),
             orders: Vec::new(),
         });
         heartbeat_response(
--- /dev/null
+++ b/src/api/users.rs
@@ -0,0 +1,88 @@
+//! Requests of users: submissions, polls and cancellations.
+
+use super::{responses, ApiState};
+use crate::admission::concurrency_limit::{Completion, RequestKind};
+use crate::controller::{Cancel, JobOutcome, Poll, Submit};
+use crate::protocol::{decode, is_job_id, JobSpec};
+use actix_web::http::StatusCode;
+use actix_web::{web, HttpResponse};
+use std::future::Future;
+use std::time::{Duration, Instant};
+
+/// Time after which a user may repeat a request that was beyond the concurrency limit.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
+
+/// `POST /v1/jobs`: submits a job.
+pub(super) async fn submit(state: web::Data<ApiState>, body: web::Bytes) -> HttpResponse {
+    let Ok(spec) = decode::<JobSpec>(&body) else {
+        return responses::malformed();
+    };
+    if let Err(invalid) = spec.validate() {
+        return responses::error(StatusCode::BAD_REQUEST, &invalid.to_string());
+    }
+    let request = async { state.controller.send(Submit(spec)).await.ok() };
+    limited(&state, RequestKind::Change, request).await
+}
+
+/// `GET /v1/jobs/{id}`: the state of a job.
+pub(super) async fn poll(state: web::Data<ApiState>, id: web::Path<String>) -> HttpResponse {
+    if !is_job_id(&id) {
+        return no_such_job();
+    }
+    let request = async { state.controller.send(Poll(id.into_inner())).await.ok() };
+    limited(&state, RequestKind::Query, request).await
+}
+
+/// `POST /v1/jobs/{id}/abort`: cancels a job.
+pub(super) async fn cancel(state: web::Data<ApiState>, id: web::Path<String>) -> HttpResponse {
+    if !is_job_id(&id) {
+        return no_such_job();
+    }
+    let request = async { state.controller.send(Cancel(id.into_inner())).await.ok() };
+    limited(&state, RequestKind::Change, request).await
+}
+
+/// Carries out a request under the limit on user requests in progress. `None` stands for a controller that has stopped.
+async fn limited(
+    state: &ApiState,
+    kind: RequestKind,
+    request: impl Future<Output = Option<JobOutcome>>,
+) -> HttpResponse {
+    if !state.with_concurrency_limit(|limit| limit.try_acquire(kind)) {
+        let overloaded = StatusCode::TOO_MANY_REQUESTS;
+        let reason = "too many requests in progress";
+        return responses::retry_later(overloaded, reason, OVERLOAD_RETRY_AFTER);
+    }
+    let started = Instant::now();
+    let outcome = request.await.unwrap_or(JobOutcome::RETRY_SOON);
+    let completion = match outcome {
+        JobOutcome::RetryAfter(_) => Completion::NotServed,
+        _ => Completion::Served(started.elapsed()),
+    };
+    state.with_concurrency_limit(|limit| limit.release(completion));
+    job_response(outcome)
+}
+
+/// Maps the outcome of a request about a job to a response.
+pub(super) fn job_response(outcome: JobOutcome) -> HttpResponse {
+    match outcome {
+        JobOutcome::Accepted(view) => responses::message(StatusCode::CREATED, &view),
+        JobOutcome::Known(view) => responses::message(StatusCode::OK, &view),
+        JobOutcome::NotFound => no_such_job(),
+        JobOutcome::Rejected(reason) => {
+            responses::error(StatusCode::UNPROCESSABLE_ENTITY, &reason.to_string())
+        }
+        JobOutcome::RetryAfter(after) => {
+            let unavailable = StatusCode::SERVICE_UNAVAILABLE;
+            let mut response = responses::retry_later(unavailable, "try again", after);
+            // With another connection the user may reach another controller. A controller that had lost the store once kept
+            // its users.
+            responses::close_connection(&mut response);
+            response
+        }
+    }
+}
+
+fn no_such_job() -> HttpResponse {
+    responses::error(StatusCode::NOT_FOUND, "no such job")
+}
--- a/src/controller/state/request_limits.rs
+++ b/src/controller/state/request_limits.rs
@@ -1,10 +1,10 @@
 //! How often this controller may use the store and the cloud, whose request rates all controllers share.
 
 use crate::admission::rate::{RateMeter, TokenBucket};
-use crate::admission::write_admission::{users_share, Pacer};
+use crate::admission::write_admission::{users_share, WriteAdmission};
 use crate::config::Settings;
 use crate::controller::cloud::REQUEST_RATE_SHARE;
-use crate::time::{whole_millis, Timestamp};
+use crate::time::Timestamp;
 use std::time::Duration;
 
 /// Share of the store's request rate that reads on behalf of users may take on all controllers together. The rest is for leader
@@ -16,7 +16,7 @@
 /// The limits of one controller, and the rate of its own changes.
 pub(super) struct RequestLimits {
     /// Changes of the store by users.
-    user_changes: Pacer,
+    user_changes: WriteAdmission,
     /// Reads of the store on behalf of users: polls of jobs that are neither unfinished nor known to be final or absent.
     user_reads: TokenBucket,
     /// Calls of the cloud.
@@ -34,21 +34,21 @@
         let user_reads = deployment.state.rps * USER_READ_SHARE / controllers as f64;
         let cloud_calls = deployment.cloud.rps * REQUEST_RATE_SHARE;
         RequestLimits {
-            user_changes: Pacer::new(user_changes),
+            user_changes: WriteAdmission::new(user_changes),
             user_reads: TokenBucket::new(user_reads, user_reads),
             cloud_calls: TokenBucket::new(cloud_calls, cloud_calls),
-            own_changes: RateMeter::new(whole_millis(OWN_CHANGES_WINDOW)),
+            own_changes: RateMeter::new(OWN_CHANGES_WINDOW),
         }
     }
 
     /// Takes a read on behalf of a user, or tells when one will be allowed.
     pub(super) fn take_user_read(&mut self, now: Timestamp) -> Result<(), Duration> {
-        take(&mut self.user_reads, now)
+        self.user_reads.try_take(now)
     }
 
     /// Takes a call of the cloud, or tells when one will be allowed.
     pub(super) fn take_cloud_call(&mut self, now: Timestamp) -> Result<(), Duration> {
-        take(&mut self.cloud_calls, now)
+        self.cloud_calls.try_take(now)
     }
 
     /// Takes changes by a user, or tells when to repeat the request. `limit` is the rate that the leader leaves to users.
@@ -58,34 +58,27 @@
         limit: f64,
         now: Timestamp,
     ) -> Result<(), Duration> {
-        self.user_changes.set_most(limit);
-        self.user_changes
-            .take(changes, now.as_millis())
-            .map_err(|seconds| Duration::from_secs(u64::from(seconds)))
+        self.user_changes.set_max_rate(limit);
+        self.user_changes.try_admit(changes, now)
     }
 
     /// The store has decided on changes by a user.
     pub(super) fn record_user_changes_decided(&mut self) {
-        self.user_changes.taken();
+        self.user_changes.record_accepted();
     }
 
     /// The store has refused changes by a user, since there were too many requests.
     pub(super) fn record_user_changes_refused(&mut self) {
-        self.user_changes.refused();
+        self.user_changes.record_throttled();
     }
 
     /// This controller makes changes as the leader.
     pub(super) fn record_own_changes(&mut self, changes: usize, now: Timestamp) {
-        self.own_changes.record(changes, now.as_millis());
+        self.own_changes.record(changes, now);
     }
 
     /// The rate per second at which this controller makes changes as the leader.
     pub(super) fn own_change_rate(&self, now: Timestamp) -> f64 {
-        self.own_changes.per_s(now.as_millis())
+        self.own_changes.per_s(now)
     }
 }
-
-/// Takes a token, or tells when there will be one.
-fn take(bucket: &mut TokenBucket, now: Timestamp) -> Result<(), Duration> {
-    bucket.take(now.as_millis()).map_err(Duration::from_millis)
-}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,11 +4,6 @@
 //! without I/O, and `docs/design.md`.
 
 pub mod admission;
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::missing_errors_doc,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod api;
 pub mod autoscaler;
 pub mod clients;
