--- a/src/main.rs
+++ b/src/main.rs
@@ -1,9 +1,10 @@
-//! The program: reads its settings and runs a controller.
+//! The program: reads the settings and runs a controller until the process ends.
 
 use clap::Parser;
 use hollowswitch::{config::Settings, service};
 use std::path::PathBuf;
 use std::process::ExitCode;
+use tracing::Level;
 
 /// A cluster scheduler that rents machines by the second and keeps every task in at most one place.
 #[derive(Parser)]
@@ -15,30 +16,22 @@
     /// The operators' own settings file.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Check the settings and exit.
+    /// Check the settings and exit
     #[arg(long)]
     check: bool,
 }
 
+/// Exit status of a program whose settings are wrong.
+const INVALID_SETTINGS: u8 = 2;
+
 fn main() -> ExitCode {
     let args = Args::parse();
-    let level = match std::env::var("LOG_LEVEL").as_deref() {
-        Ok("debug") => tracing::Level::DEBUG,
-        Ok("info") => tracing::Level::INFO,
-        _ => tracing::Level::ERROR,
-    };
-    tracing_subscriber::fmt()
-        .with_max_level(level)
-        .with_writer(std::io::stderr)
-        .without_time()
-        .with_ansi(false)
-        .with_target(false)
-        .init();
+    init_logging();
     let settings = match Settings::load(&args.config, args.operator.as_deref()) {
         Ok(settings) => settings,
-        Err(e) => {
-            eprintln!("hollowswitch: {e}");
-            return ExitCode::from(2);
+        Err(error) => {
+            eprintln!("hollowswitch: {error}");
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if args.check {
@@ -47,9 +40,25 @@
     }
     match service::run(settings) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("hollowswitch: {e}");
+        Err(error) => {
+            eprintln!("hollowswitch: {error}");
             ExitCode::FAILURE
         }
     }
 }
+
+/// Logs to standard error, at the level that the variable `LOG_LEVEL` sets.
+fn init_logging() {
+    let level = match std::env::var("LOG_LEVEL").as_deref() {
+        Ok("debug") => Level::DEBUG,
+        Ok("info") => Level::INFO,
+        _ => Level::ERROR,
+    };
+    tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .without_time()
+        .with_ansi(false)
+        .with_target(false)
+        .init();
+}
