--- a/src/clients/permit/tests.rs
+++ b/src/clients/authority_check/tests.rs
@@ -1,4 +1,4 @@
-//! A call whose steps are counted, under a permission that ends before any of them.
+//! A call whose steps are counted, under an authority that ends before any of them.
 
 use super::*;
 use std::cell::Cell;
@@ -18,19 +18,19 @@
 }
 
 #[test]
-fn a_call_takes_no_step_once_its_permission_has_ended() {
-    for permitted_steps in 0..5 {
+fn a_call_takes_no_step_once_its_authority_has_ended() {
+    for authorized_steps in 0..5 {
         let steps = Rc::new(Cell::new(0));
-        let permitted = {
+        let is_authorized = {
             let steps = steps.clone();
-            move || steps.get() < permitted_steps
+            move || steps.get() < authorized_steps
         };
-        let mut guarded = pin!(while_permitted(permitted, call(steps.clone())));
+        let mut guarded = pin!(while_authorized(is_authorized, call(steps.clone())));
         let mut context = Context::from_waker(Waker::noop());
         let mut poll = || guarded.as_mut().poll(&mut context);
         let outcome = (0..3).map(|_| poll()).find(Poll::is_ready);
-        let answered = permitted_steps >= 3;
+        let answered = authorized_steps >= 3;
         assert_eq!(outcome, Some(Poll::Ready(answered.then_some("answered"))));
-        assert_eq!(steps.get(), permitted_steps.min(3));
+        assert_eq!(steps.get(), authorized_steps.min(3));
     }
 }
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -3,7 +3,8 @@
 //! A client encodes one request, makes one call within a time limit, and maps the response to a typed outcome. Retries and
 //! rate limits are a matter of the caller.
 
+pub mod authority_check;
 pub mod cloud;
 pub mod http;
-pub mod permit;
+
 pub mod worker;
--- a/src/controller/cloud/releases.rs
+++ b/src/controller/cloud/releases.rs
@@ -1,8 +1,8 @@
 //! Releases: machines that the scheduler holds for release are returned to the cloud.
 
 use super::Handles;
+use crate::clients::authority_check::while_authorized;
 use crate::clients::cloud::MAX_RELEASE_COUNT;
-use crate::clients::permit::while_permitted;
 use crate::controller::state::ControllerState;
 use crate::coordination::leadership::Authority;
 
@@ -23,7 +23,7 @@
         }
         let term = self.read_state(ControllerState::term);
         let call = self.cloud.release(&names);
-        let confirmed = while_permitted(|| self.may_call(term), call).await;
+        let confirmed = while_authorized(|| self.may_call(term), call).await;
         if matches!(confirmed, Some(Ok(()))) {
             tracing::info!(machines = ?names, "released");
             self.with_state(|state| state.record_releases(names));
--- a/src/controller/cloud/rentals.rs
+++ b/src/controller/cloud/rentals.rs
@@ -3,8 +3,8 @@
 
 use super::{Handles, REQUEST_RATE_SHARE};
 use crate::autoscaler::{RentalRequest, ScalingPolicy};
+use crate::clients::authority_check::while_authorized;
 use crate::clients::cloud::RentOutcome;
-use crate::clients::permit::while_permitted;
 use crate::controller::state::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::RentRequest;
@@ -116,7 +116,7 @@
             count: record.count,
         };
         let call = self.cloud.rent(&request);
-        let outcome = while_permitted(|| self.may_call(Some(term)), call)
+        let outcome = while_authorized(|| self.may_call(Some(term)), call)
             .await
             .unwrap_or(RentOutcome::Unknown);
         tracing::info!(request = name, machine_type = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, ?outcome, "rental");
--- a/src/controller/scheduling_loop.rs
+++ b/src/controller/scheduling_loop.rs
@@ -2,7 +2,7 @@
 
 use super::handles::Handles;
 use super::state::{ControllerState, RoundOutcome, SendLimits, MIN_ROUND_INTERVAL};
-use crate::clients::permit::while_permitted;
+use crate::clients::authority_check::while_authorized;
 use crate::clients::worker;
 use crate::scheduler::DirectCommands;
 use std::cell::Cell;
@@ -50,10 +50,11 @@
         let term = self.read_state(ControllerState::term);
         in_flight.set(in_flight.get() + 1);
         actix::spawn(async move {
-            let permitted = || handles.read_state(|state| state.may_send_direct(term, &message));
-            let answer = while_permitted(permitted, worker::send_commands(&handles.http, &message))
-                .await
-                .and_then(Result::ok);
+            let authorized = || handles.read_state(|state| state.may_send_direct(term, &message));
+            let answer =
+                while_authorized(authorized, worker::send_commands(&handles.http, &message))
+                    .await
+                    .and_then(Result::ok);
             in_flight.set(in_flight.get() - 1);
             handles.with_state(|state| {
                 state.handle_direct_answer(term, &message, answer.as_ref());
