--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -52,7 +52,7 @@
         ScalingPolicy {
             silence_limit: duration(silence_limit_s),
             zone_silence_limit: duration(4.0 * workers.lease_s),
-            idle_limit: duration(settings.operator.idle_return_s),
+            idle_limit: settings.operator.idle_timeout(),
         }
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -73,7 +73,7 @@
     pub fn grace_period(&self) -> Duration {
         let workers = &self.platform.deployment.workers;
         // The leader lease itself and, for stops that are sent late, the time of two heartbeats and their responses.
-        let margin = self.operator.hold_s + STOP_MARGIN_S + 2.0 * workers.report_s;
+        let margin = self.operator.leader_lease_s + STOP_MARGIN_S + 2.0 * workers.report_s;
         duration(workers.cancel_s - workers.lease_s * CLOCK_DRIFT_FACTOR - margin)
     }
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -18,9 +18,11 @@
     /// Whether starts are also sent directly to the workers, instead of only with the responses to heartbeats.
     pub direct_starts: bool,
     /// An idle machine is returned to the cloud after this time, in seconds.
-    pub idle_return_s: f64,
+    #[serde(rename = "idle_return_s")]
+    pub idle_timeout_s: f64,
     /// Time to live of the leader lease, in seconds.
-    pub hold_s: f64,
+    #[serde(rename = "hold_s")]
+    pub leader_lease_s: f64,
 }
 
 impl Default for Operator {
@@ -30,8 +32,8 @@
             fetch_gb_per_s: 0.1,
             transfer_test: true,
             direct_starts: true,
-            idle_return_s: 45.0,
-            hold_s: 2.5,
+            idle_timeout_s: 45.0,
+            leader_lease_s: 2.5,
         }
     }
 }
@@ -40,12 +42,12 @@
     /// Time to live of the leader lease.
     #[must_use]
     pub fn leader_lease(&self) -> Duration {
-        duration(self.hold_s)
+        duration(self.leader_lease_s)
     }
 
     /// How long a machine may be idle before it is returned to the cloud.
     #[must_use]
     pub fn idle_timeout(&self) -> Duration {
-        duration(self.idle_return_s)
+        duration(self.idle_timeout_s)
     }
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -92,6 +92,14 @@
     pub within_s: Option<f64>,
 }
 
+impl Objective {
+    /// The time allowed, for kinds that have one.
+    #[must_use]
+    pub fn time_allowed(&self) -> Option<Duration> {
+        self.within_s.map(duration)
+    }
+}
+
 /// Timing of workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -64,14 +64,16 @@
     let s = settings();
     let w = &s.platform.deployment.workers;
     assert!(
-        s.operator.hold_s + s.grace_period().as_secs_f64() + w.lease_s + 2.0 * w.report_s
+        s.operator.leader_lease_s + s.grace_period().as_secs_f64() + w.lease_s + 2.0 * w.report_s
             < w.cancel_s
     );
     // A longer leader lease leaves less, never an overstay.
     let mut long = settings();
-    long.operator.hold_s = 20.0;
+    long.operator.leader_lease_s = 20.0;
     let w = &long.platform.deployment.workers;
-    assert!(long.operator.hold_s + long.grace_period().as_secs_f64() + w.lease_s <= w.cancel_s);
+    assert!(
+        long.operator.leader_lease_s + long.grace_period().as_secs_f64() + w.lease_s <= w.cancel_s
+    );
     assert!(long.grace_period() < s.grace_period());
 }
 
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -82,9 +82,9 @@
         ensure(group_factor, "group_factor", Problem::BelowOne)?;
         let fetch_rate = is_positive(self.fetch_gb_per_s);
         ensure(fetch_rate, "fetch_gb_per_s", Problem::NotAboveZero)?;
-        let idle_return = is_amount(self.idle_return_s);
-        ensure(idle_return, "idle_return_s", Problem::Negative)?;
-        let leader_lease = LEADER_LEASE_S.contains(&self.hold_s);
+        let idle_timeout = is_amount(self.idle_timeout_s);
+        ensure(idle_timeout, "idle_return_s", Problem::Negative)?;
+        let leader_lease = LEADER_LEASE_S.contains(&self.leader_lease_s);
         ensure(leader_lease, "hold_s", Problem::LeaderLeaseOutOfRange)
     }
 }
--- a/src/controller/cloud/machine_list.rs
+++ b/src/controller/cloud/machine_list.rs
@@ -25,7 +25,7 @@
 
 impl MachineListing {
     pub(super) fn new(settings: &Settings) -> MachineListing {
-        let lag = duration(settings.platform.deployment.cloud.list_lag_s);
+        let lag = settings.platform.deployment.cloud.list_lag();
         MachineListing {
             interval: lag.max(MIN_INTERVAL),
             started_at: Timestamp::ZERO,
--- a/src/controller/election_loop.rs
+++ b/src/controller/election_loop.rs
@@ -4,7 +4,7 @@
 use super::state::{ControllerState, EpochClaim, StepDownReason};
 use crate::coordination::leadership::{LeadershipEvent, Term};
 use crate::store::{self, EpochRecord, LeaderRecord, Revision, StoreError, TxnOutcome};
-use crate::time::{duration, duration_from_millis, Timestamp};
+use crate::time::{duration_from_millis, Timestamp};
 use rand::Rng;
 use std::ops::Range;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 impl Handles {
     /// Renews the leadership of this controller, or campaigns for it when it is vacant.
     pub(super) async fn run_election_loop(self) {
-        let lease_ttl = self.read_state(|state| duration(state.settings().operator.hold_s));
+        let lease_ttl = self.read_state(|state| state.settings().operator.leader_lease());
         let interval = (lease_ttl / 5).min(MAX_ELECTION_INTERVAL);
         loop {
             // The same follows whether a campaign was requested or the interval has passed.
@@ -162,7 +162,7 @@
             actix::spawn(async move { store.close_lease(term.lease).await });
         }
         self.with_state(|state| {
-            let lease_ttl_ms = state.settings().operator.hold_s * 1000.0;
+            let lease_ttl_ms = state.settings().operator.leader_lease_s * 1000.0;
             let backoff = duration_from_millis(lease_ttl_ms * STEP_DOWN_BACKOFF_LEASES);
             state.step_down(backoff);
         });
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -43,7 +43,7 @@
 use crate::protocol::MachineType;
 use crate::scheduler::Scheduler;
 use crate::store::{LeaderRecord, Replica, StoreError, TxnOutcome};
-use crate::time::{duration, Timestamp};
+use crate::time::Timestamp;
 use std::time::Duration;
 
 /// The state of a controller.
@@ -76,7 +76,7 @@
             node: settings.platform.node.clone(),
             incarnation,
         };
-        let lease_ttl = duration(settings.operator.hold_s);
+        let lease_ttl = settings.operator.leader_lease();
         let grace_period = settings.grace_period();
         let leadership = Leadership::new(lease_ttl, grace_period);
         ControllerState {
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -3,7 +3,7 @@
 use super::super::Simulation;
 use crate::coordination::leadership::{Authority, LeadershipEvent, Term};
 use crate::store::{Revision, TxnOutcome};
-use crate::time::{duration, Timestamp};
+use crate::time::Timestamp;
 use std::time::Duration;
 
 /// Time between two renewals of a leader lease.
@@ -90,7 +90,7 @@
     fn campaign(&mut self, node: usize) {
         let now = self.now();
         let controller = self.nodes[node].running_mut();
-        let ttl = duration(controller.settings.operator.hold_s);
+        let ttl = controller.settings.operator.leader_lease();
         controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
         let lease = self.store.grant_lease(now, ttl);
         let claim = self.nodes[node].running_mut().claim_epoch(lease);
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -15,7 +15,6 @@
 use crate::coordination::leadership::longest_authority;
 use crate::coordination::peers::CancelledJob;
 use crate::store::{self, FinalRecord, LiveRecord, Revision, StoreError, TxnOutcome, Versioned};
-use crate::time::duration;
 use std::ops::ControlFlow;
 
 /// Number of changes of the store by a cancellation.
@@ -119,7 +118,7 @@
     /// takes milliseconds, or until its authority to start tasks has ended in any case.
     async fn wait_until_no_task_can_start(&self, notice: Notice) {
         let deadline = self.read_state(|state| {
-            let lease_ttl = duration(state.settings.operator.hold_s);
+            let lease_ttl = state.settings.operator.leader_lease();
             state.now() + longest_authority(lease_ttl)
         });
         let settled = || {
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -2,7 +2,7 @@
 
 use crate::config;
 use crate::resources::QuotaResources;
-use crate::time::{duration, millis, whole_millis};
+use crate::time::whole_millis;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -59,8 +59,8 @@
     pub fn new(settings: &config::Settings) -> Self {
         let deployment = &settings.platform.deployment;
         Params {
-            lease_ms: millis(deployment.workers.lease_s),
-            report_ms: millis(deployment.workers.report_s),
+            lease_ms: whole_millis(deployment.workers.lease()),
+            report_ms: whole_millis(deployment.workers.heartbeat_interval()),
             grace_ms: whole_millis(settings.grace_period()),
             group_factor: settings.operator.group_factor,
             fetch_gb_per_s: settings.operator.fetch_gb_per_s,
@@ -75,8 +75,7 @@
 fn finish_objectives(objectives: &[config::Objective]) -> HashMap<String, Duration> {
     let mut shortest: HashMap<String, Duration> = HashMap::new();
     for objective in objectives.iter().filter(|o| o.kind == FINISHED) {
-        if let (Some(class), Some(within_s)) = (&objective.class, objective.within_s) {
-            let within = duration(within_s);
+        if let (Some(class), Some(within)) = (&objective.class, objective.time_allowed()) {
             let known = shortest.entry(class.clone()).or_insert(within);
             *known = within.min(*known);
         }
--- a/tests/compat/settings.rs
+++ b/tests/compat/settings.rs
@@ -253,8 +253,8 @@
     assert_eq!(operator.fetch_gb_per_s, 0.2);
     assert!(!operator.transfer_test);
     assert!(!operator.direct_starts);
-    assert_eq!(operator.idle_return_s, 30.0);
-    assert_eq!(operator.hold_s, 3.5);
+    assert_eq!(operator.idle_timeout_s, 30.0);
+    assert_eq!(operator.leader_lease_s, 3.5);
 }
 
 fn assert_defaults(operator: &Operator) {
@@ -262,8 +262,8 @@
     assert_eq!(operator.fetch_gb_per_s, 0.1);
     assert!(operator.transfer_test);
     assert!(operator.direct_starts);
-    assert_eq!(operator.idle_return_s, 45.0);
-    assert_eq!(operator.hold_s, 2.5);
+    assert_eq!(operator.idle_timeout_s, 45.0);
+    assert_eq!(operator.leader_lease_s, 2.5);
 }
 
 #[test]
@@ -271,7 +271,7 @@
     assert_defaults(&load(PLATFORM, None).unwrap().operator);
     assert_defaults(&load(PLATFORM, Some("")).unwrap().operator);
     let one = load(PLATFORM, Some("hold_s = 3.0")).unwrap().operator;
-    assert_eq!((one.hold_s, one.group_factor), (3.0, 1.25));
+    assert_eq!((one.leader_lease_s, one.group_factor), (3.0, 1.25));
 }
 
 #[test]
