--- a/src/controller/tests/fault_combinations/store_refusals.rs
+++ b/src/controller/tests/fault_combinations/store_refusals.rs
@@ -5,26 +5,61 @@
 use crate::scheduler::tests::spec;
 use std::time::Duration;
 
+/// A refusal of the leader that ends with an outage for all.
+struct Refusal {
+    refused_ms: u64,
+    /// When users cancel their jobs after the refusal began; at its end if that is sooner.
+    cancelled_after_ms: u64,
+    /// Whether the controllers reach each other.
+    peers_connected: bool,
+}
+
+const REFUSALS: [Refusal; 6] = [
+    Refusal {
+        refused_ms: 1000,
+        cancelled_after_ms: 500,
+        peers_connected: true,
+    },
+    Refusal {
+        refused_ms: 1000,
+        cancelled_after_ms: 500,
+        peers_connected: false,
+    },
+    Refusal {
+        refused_ms: 2500,
+        cancelled_after_ms: 2000,
+        peers_connected: false,
+    },
+    Refusal {
+        refused_ms: 5000,
+        cancelled_after_ms: 300,
+        peers_connected: false,
+    },
+    Refusal {
+        refused_ms: 14_000,
+        cancelled_after_ms: 1000,
+        peers_connected: false,
+    },
+    Refusal {
+        refused_ms: 20_000,
+        cancelled_after_ms: 4000,
+        peers_connected: true,
+    },
+];
+
 /// The store refuses the leader alone, another controller confirms cancellations, and then the store is down for all for
 /// longer than `cancel_s`, while the workers keep reporting to the old leader.
 #[test]
 fn cancelled_tasks_stop_when_the_store_refuses_the_leader_and_then_goes_down() {
-    for (refused_ms, cancelled_after_ms, peers) in [
-        (1000, 500, true),
-        (1000, 500, false),
-        (2500, 2000, false),
-        (5000, 300, false),
-        (14_000, 1000, false),
-        (20_000, 4000, true),
-    ] {
-        let refusal = Duration::from_millis(refused_ms);
-        let until_cancelled = Duration::from_millis(cancelled_after_ms).min(refusal);
+    for refusal in REFUSALS {
+        let refused = Duration::from_millis(refusal.refused_ms);
+        let until_cancelled = Duration::from_millis(refusal.cancelled_after_ms).min(refused);
         let mut simulation = Simulation::new(7, 6);
         submit_long_jobs(&mut simulation, 0..6);
         simulation.run(10 * SECOND);
         assert_eq!(simulation.running("wk-0"), 4);
         let leader = simulation.leader().unwrap();
-        if !peers {
+        if !refusal.peers_connected {
             simulation.cut_peers(Duration::MAX);
         }
         // More work waits for the room that a cancellation makes.
@@ -35,16 +70,12 @@
         for id in ["wk-0", "wk-1", "wk-7"] {
             assert!(simulation.cancel(next_node(leader), id));
         }
-        simulation.run(refusal.saturating_sub(until_cancelled));
+        simulation.run(refused.saturating_sub(until_cancelled));
         simulation.begin_store_outage();
         simulation.store.accept(leader);
         simulation.run(CANCEL + 20 * SECOND);
         for id in ["wk-0", "wk-1", "wk-7"] {
-            assert_eq!(
-                simulation.running(id),
-                0,
-                "{id}, refused for {refused_ms} ms"
-            );
+            assert_eq!(simulation.running(id), 0, "{id}, refused for {refused:?}");
             assert!(simulation.cancellation_is_confirmed(id));
         }
         simulation.end_store_outage();
