--- a/tests/compat/stored_records/read.rs
+++ b/tests/compat/stored_records/read.rs
@@ -6,7 +6,7 @@
     OVER_DONE, RENTAL_ANSWERED, RENTAL_OPEN, SPEC,
 };
 use hollowswitch::protocol::decode;
-use hollowswitch::store::{EpochRecord, FinalRecord, Revision};
+use hollowswitch::store::{EpochRecord, FinalRecord, Revision, TASKS_PER_CHUNK};
 
 #[test]
 fn an_unfinished_job_is_read() {
@@ -57,6 +57,23 @@
     );
 }
 
+#[test]
+fn the_results_of_4096_tasks_are_one_record_of_hexadecimal_digits() {
+    assert_eq!(TASKS_PER_CHUNK, 4096);
+    let read = |text: &[u8]| {
+        let replica = replica_after(&put_event(b"\x78\x18hollowswitch/done/wk-1/2", text));
+        replica.done.into_values().next().map(|read| read.record)
+    };
+    // Texts of 1,024 and of 1,026 digits.
+    assert_eq!(
+        read(&bytes(&[b"\x79\x04\x00", &[b'f'; 1024]])),
+        Some(vec![0xff; 512])
+    );
+    assert_eq!(read(&bytes(&[b"\x79\x04\x02", &[b'f'; 1026]])), None);
+    assert_eq!(read(b"\x640g00"), None);
+    assert_eq!(read(b"\x63050"), None);
+}
+
 #[test]
 fn a_slot_of_the_start_log_is_read() {
     let replica = replica_after(&put_event(
