--- a/src/controller/tests/fault_combinations/partitions.rs
+++ b/src/controller/tests/fault_combinations/partitions.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn jobs_settle_after_workers_reached_no_controller_but_direct_orders_reached_them() {
+fn jobs_settle_after_workers_reached_no_controller_but_direct_commands_reached_them() {
     let mut simulation = Simulation::new(3, 4);
     simulation.submit(spec("wk-1", 10), 30 * SECOND);
     simulation.run(4 * SECOND);
--- a/src/controller/tests/fault_combinations/stale_messages.rs
+++ b/src/controller/tests/fault_combinations/stale_messages.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, orders and answers that arrive late or twice.
+//! Heartbeats, commands and answers that arrive late or twice.
 
 use super::super::simulation::{Simulation, LEASE, MILLISECOND, NODES, SECOND};
 use super::{job_id, next_node};
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 #[test]
-fn jobs_settle_when_orders_are_delayed_and_workers_hang() {
+fn jobs_settle_when_commands_are_delayed_and_workers_hang() {
     let mut simulation = Simulation::new(2, 4);
-    simulation.faults.delayed_orders = 0.8;
-    simulation.faults.order_delay = 1500 * MILLISECOND;
+    simulation.faults.delayed_commands = 0.8;
+    simulation.faults.command_delay = 1500 * MILLISECOND;
     for round in 0..6 {
         simulation.submit(spec(&job_id(round), 4), 9 * SECOND);
         simulation.run(300 * MILLISECOND);
@@ -23,7 +23,7 @@
             }
         }
     }
-    simulation.faults.delayed_orders = 0.0;
+    simulation.faults.delayed_commands = 0.0;
     simulation.assert_settles();
 }
 
--- a/src/controller/tests/random_schedules/mod.rs
+++ b/src/controller/tests/random_schedules/mod.rs
@@ -42,7 +42,7 @@
             fault.begin(simulation);
             under_way.push(fault);
             simulation.faults.duplicated_heartbeats = 0.2;
-            simulation.faults.delayed_orders = 0.1;
+            simulation.faults.delayed_commands = 0.1;
         }
         let now = simulation.now();
         let (over, rest): (Vec<ScheduledFault>, Vec<ScheduledFault>) = under_way
--- a/src/controller/tests/simulation/cluster/dispatch.rs
+++ b/src/controller/tests/simulation/cluster/dispatch.rs
@@ -1,4 +1,4 @@
-//! Scheduling rounds, and the sending of direct orders to workers.
+//! Scheduling rounds, and the sending of direct commands to workers.
 
 use super::super::network::{Dispatch, Message, DIRECT_TIMEOUT};
 use super::super::{Simulation, STEP};
@@ -15,14 +15,14 @@
     probes: 8,
 };
 
-/// Longest delay of direct orders.
-const LONGEST_ORDER_DELAY_MS: u64 = 20_000;
+/// Longest delay of direct commands.
+const LONGEST_COMMAND_DELAY_MS: u64 = 20_000;
 
 fn starts_tasks(direct: &DirectCommands) -> bool {
     direct
         .orders
         .iter()
-        .any(|order| matches!(order, Command::Start { .. }))
+        .any(|command| matches!(command, Command::Start { .. }))
 }
 
 impl Simulation {
@@ -53,24 +53,24 @@
         } else if !self.faults.connection_delay.is_zero() {
             self.delay_sending(self.faults.connection_delay, dispatches);
         } else {
-            self.send_orders(dispatches);
+            self.send_commands(dispatches);
         }
     }
 
     fn delay_sending(&mut self, delay: Duration, dispatches: Vec<Dispatch>) {
         for dispatch in dispatches {
-            self.send(delay, Message::UnsentOrders(dispatch));
+            self.send(delay, Message::UnsentCommands(dispatch));
         }
     }
 
-    /// Direct orders leave their controller; some are delayed on their way, which may be longer than it waits for the answer.
-    pub(in super::super) fn send_orders(&mut self, dispatches: Vec<Dispatch>) {
+    /// Direct commands leave their controller; some are delayed on their way, which may be longer than it waits for the answer.
+    pub(in super::super) fn send_commands(&mut self, dispatches: Vec<Dispatch>) {
         for dispatch in dispatches {
-            self.record_sent_orders(&dispatch.direct.orders);
-            let delayed_orders = self.faults.delayed_orders;
-            let delay = if delayed_orders > 0.0 && self.rng.gen_bool(delayed_orders) {
-                let shortest_ms = whole_millis(self.faults.order_delay);
-                Duration::from_millis(self.rng.gen_range(shortest_ms..LONGEST_ORDER_DELAY_MS))
+            self.record_sent_commands(&dispatch.direct.orders);
+            let delayed_commands = self.faults.delayed_commands;
+            let delay = if delayed_commands > 0.0 && self.rng.gen_bool(delayed_commands) {
+                let shortest_ms = whole_millis(self.faults.command_delay);
+                Duration::from_millis(self.rng.gen_range(shortest_ms..LONGEST_COMMAND_DELAY_MS))
             } else {
                 STEP
             };
@@ -78,7 +78,7 @@
                 self.lose_direct_answer(DIRECT_TIMEOUT, dispatch.clone());
             }
             let sent_at = self.now();
-            self.send(delay, Message::DirectOrders { dispatch, sent_at });
+            self.send(delay, Message::DirectCommands { dispatch, sent_at });
         }
     }
 }
--- a/src/controller/tests/simulation/delivery.rs
+++ b/src/controller/tests/simulation/delivery.rs
@@ -23,9 +23,9 @@
                 node,
                 answer,
             } => self.deliver_heartbeat_answer(&machine, session, sent_at, node, answer),
-            Message::UnsentOrders(dispatch) => self.send_delayed_orders(dispatch),
-            Message::DirectOrders { dispatch, sent_at } => {
-                self.deliver_direct_orders(dispatch, sent_at);
+            Message::UnsentCommands(dispatch) => self.send_delayed_commands(dispatch),
+            Message::DirectCommands { dispatch, sent_at } => {
+                self.deliver_direct_commands(dispatch, sent_at);
             }
             Message::DirectAnswer { dispatch, report } => {
                 self.deliver_direct_answer(&dispatch, report.as_ref());
@@ -53,8 +53,14 @@
             return;
         };
         let answer = controller.handle_heartbeat(&report);
-        if let (HeartbeatOutcome::Reply(ReportReply { orders, .. }), false) = (&answer, copy) {
-            self.record_sent_orders(orders);
+        if let (
+            HeartbeatOutcome::Reply(ReportReply {
+                orders: commands, ..
+            }),
+            false,
+        ) = (&answer, copy)
+        {
+            self.record_sent_commands(commands);
         }
         let Some(worker) = self.workers.get(&report.machine) else {
             return;
@@ -95,13 +101,13 @@
         if now < worker.hung_until || !waits || worker.session != session {
             return;
         }
-        if let Some(orders) = worker.take_answer(now, sent_at, node, answer) {
-            worker.execute(machine, &orders, now, image_fetch, &self.jobs);
+        if let Some(commands) = worker.take_answer(now, sent_at, node, answer) {
+            worker.execute(machine, &commands, now, image_fetch, &self.jobs);
         }
     }
 
     /// What was decided before a pause or before its connection was open is sent only if it still may be.
-    fn send_delayed_orders(&mut self, dispatch: Dispatch) {
+    fn send_delayed_commands(&mut self, dispatch: Dispatch) {
         let node = &mut self.nodes[dispatch.node];
         if node.incarnation != dispatch.incarnation {
             return;
@@ -110,14 +116,14 @@
             return;
         };
         if controller.may_send_direct(dispatch.term, &dispatch.direct) {
-            self.send_orders(vec![dispatch]);
+            self.send_commands(vec![dispatch]);
         } else {
             controller.handle_direct_answer(dispatch.term, &dispatch.direct, None);
         }
     }
 
-    /// A worker takes direct orders: it executes them unless a newer leader or its next incarnation has made them void.
-    fn deliver_direct_orders(&mut self, dispatch: Dispatch, sent_at: Timestamp) {
+    /// A worker takes direct commands: it executes them unless a newer leader or its next incarnation has made them void.
+    fn deliver_direct_commands(&mut self, dispatch: Dispatch, sent_at: Timestamp) {
         let (now, image_fetch) = (self.now(), self.image_fetch);
         let machine = dispatch.direct.machine.clone();
         let Some(worker) = self.workers.get_mut(&machine) else {
@@ -129,7 +135,7 @@
         }
         if now < worker.hung_until {
             let hung_until = worker.hung_until;
-            return self.postpone_direct_orders(dispatch, sent_at, hung_until);
+            return self.postpone_direct_commands(dispatch, sent_at, hung_until);
         }
         if worker.accept_token(dispatch.direct.token, dispatch.direct.session) {
             worker.execute(
@@ -147,8 +153,8 @@
         }
     }
 
-    /// A worker that hangs executes direct orders when it goes on, though nobody waits for the answer any more.
-    fn postpone_direct_orders(
+    /// A worker that hangs executes direct commands when it goes on, though nobody waits for the answer any more.
+    fn postpone_direct_commands(
         &mut self,
         dispatch: Dispatch,
         sent_at: Timestamp,
@@ -159,14 +165,14 @@
             let rest = (sent_at + DIRECT_TIMEOUT).saturating_duration_since(now);
             self.lose_direct_answer(rest, dispatch.clone());
         }
-        let again = Message::DirectOrders {
+        let again = Message::DirectCommands {
             dispatch,
             sent_at: Timestamp::ZERO,
         };
         self.send(hung_until.saturating_duration_since(now) + STEP, again);
     }
 
-    /// A controller gives up waiting for the answer to direct orders after that time.
+    /// A controller gives up waiting for the answer to direct commands after that time.
     pub(super) fn lose_direct_answer(&mut self, delay: Duration, dispatch: Dispatch) {
         let lost = Message::DirectAnswer {
             dispatch,
--- a/src/controller/tests/simulation/faults.rs
+++ b/src/controller/tests/simulation/faults.rs
@@ -30,10 +30,10 @@
     pub cut_paths: BTreeSet<(usize, usize)>,
     /// Share of heartbeats of which a copy arrives again later.
     pub duplicated_heartbeats: f64,
-    /// Share of direct orders that are delayed on their way.
-    pub delayed_orders: f64,
+    /// Share of direct commands that are delayed on their way.
+    pub delayed_commands: f64,
     /// Shortest such delay.
-    pub order_delay: Duration,
+    pub command_delay: Duration,
     /// How long a connection to a worker takes to open.
     pub connection_delay: Duration,
     /// The next controller that decides to start something is paused for so long before it sends that; zero for none.
@@ -54,8 +54,8 @@
             cut_from_peers: BTreeSet::new(),
             cut_paths: BTreeSet::new(),
             duplicated_heartbeats: 0.0,
-            delayed_orders: 0.0,
-            order_delay: 2 * SECOND,
+            delayed_commands: 0.0,
+            command_delay: 2 * SECOND,
             connection_delay: Duration::ZERO,
             pause_before_send: Duration::ZERO,
             late_writes: 0.0,
@@ -156,7 +156,7 @@
         self.worker_mut(machine).hung_until = until;
     }
 
-    /// A worker hears nothing, neither answers nor direct orders.
+    /// A worker hears nothing, neither answers nor direct commands.
     pub(crate) fn deafen_worker(&mut self, machine: &str, deaf: Duration) {
         let until = self.now() + deaf;
         self.worker_mut(machine).deaf_until = until;
--- a/src/controller/tests/simulation/invariants.rs
+++ b/src/controller/tests/simulation/invariants.rs
@@ -152,11 +152,11 @@
         }
     }
 
-    /// Orders leave a controller: none may start a task of a job whose cancellation was confirmed to its user.
-    pub(super) fn record_sent_orders(&mut self, orders: &[Command]) {
+    /// Commands leave a controller: none may start a task of a job whose cancellation was confirmed to its user.
+    pub(super) fn record_sent_commands(&mut self, commands: &[Command]) {
         let now = self.now();
-        for order in orders {
-            let Command::Start { task, .. } = order else {
+        for command in commands {
+            let Command::Start { task, .. } = command else {
                 continue;
             };
             let (id, _) = split_task(task).unwrap();
--- a/src/controller/tests/simulation/network.rs
+++ b/src/controller/tests/simulation/network.rs
@@ -8,13 +8,13 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// After how long a controller gives up waiting for the answer to direct orders.
+/// After how long a controller gives up waiting for the answer to direct commands.
 pub(super) const DIRECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// After how long a worker gives up waiting for the answer to a heartbeat.
 pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Direct orders with the process that decided them.
+/// Direct commands with the process that decided them.
 #[derive(Clone)]
 pub(super) struct Dispatch {
     pub node: usize,
@@ -41,14 +41,14 @@
         node: usize,
         answer: HeartbeatOutcome,
     },
-    /// Direct orders that were decided, but not sent yet: the process is paused, or the connection is being opened.
-    UnsentOrders(Dispatch),
-    /// Direct orders on their way to a worker.
-    DirectOrders {
+    /// Direct commands that were decided, but not sent yet: the process is paused, or the connection is being opened.
+    UnsentCommands(Dispatch),
+    /// Direct commands on their way to a worker.
+    DirectCommands {
         dispatch: Dispatch,
         sent_at: Timestamp,
     },
-    /// The answer to direct orders; none if it was lost or came too late.
+    /// The answer to direct commands; none if it was lost or came too late.
     DirectAnswer {
         dispatch: Dispatch,
         report: Option<Report>,
--- a/src/controller/tests/simulation/workers/orders.rs
+++ b/src/controller/tests/simulation/workers/commands.rs
@@ -1,4 +1,4 @@
-//! What a worker does with orders, whether they come in the answer to a heartbeat or directly.
+//! What a worker does with commands, whether they come in the answer to a heartbeat or directly.
 
 use super::super::users::SubmittedJob;
 use super::{Attempt, Worker, CHANGE_HEARTBEAT};
@@ -17,20 +17,20 @@
 const NEVER: Timestamp = Timestamp::from_millis(u64::MAX);
 
 impl Worker {
-    /// Executes orders.
+    /// Executes commands.
     pub(in super::super) fn execute(
         &mut self,
         machine: &str,
-        orders: &[Command],
+        commands: &[Command],
         now: Timestamp,
         image_fetch: Duration,
         jobs: &BTreeMap<String, SubmittedJob>,
     ) {
-        if !orders.is_empty() {
-            tracing::info!(now = now.as_millis(), machine, ?orders, "executes");
+        if !commands.is_empty() {
+            tracing::info!(now = now.as_millis(), machine, ?commands, "executes");
         }
-        for order in orders {
-            match order {
+        for command in commands {
+            match command {
                 Command::Start { task, attempt } => {
                     self.start(task, *attempt, now + image_fetch, jobs);
                 }
--- a/src/controller/tests/simulation/workers/mod.rs
+++ b/src/controller/tests/simulation/workers/mod.rs
@@ -1,9 +1,9 @@
 //! The workers: one for each machine, with a lease, agent incarnations (sessions), a fencing token and tasks.
 //!
 //! A worker has one heartbeat in flight. It ends its tasks and begins a new session when no answer has renewed its lease in
-//! time. [`delivery`](super::delivery) hands it what arrives, and [`orders`] executes what it is ordered.
+//! time. [`delivery`](super::delivery) hands it what arrives, and [`commands`] executes the commands.
 
-mod orders;
+mod commands;
 
 use super::network::{Message, HEARTBEAT_TIMEOUT};
 use super::users::SubmittedJob;
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Takes the answer to a heartbeat; returns the orders that are to be executed.
+    /// Takes the answer to a heartbeat; returns the commands that are to be executed.
     pub(super) fn take_answer(
         &mut self,
         now: Timestamp,
@@ -209,7 +209,10 @@
     ) -> Option<Vec<Command>> {
         self.awaiting_answer_since = None;
         match answer {
-            HeartbeatOutcome::Reply(ReportReply { token, orders }) => {
+            HeartbeatOutcome::Reply(ReportReply {
+                token,
+                orders: commands,
+            }) => {
                 // An answer of an earlier leader is dropped.
                 if token < self.token {
                     return None;
@@ -218,7 +221,7 @@
                     self.report_within(now, CHANGE_HEARTBEAT);
                 }
                 (self.token, self.lease_renewed_at, self.node) = (token, sent_at, node);
-                return Some(orders);
+                return Some(commands);
             }
             HeartbeatOutcome::Redirect(leader) => {
                 let leader = leader.as_deref().and_then(super::cluster::node_index);
@@ -233,7 +236,7 @@
         None
     }
 
-    /// Takes the fencing token of direct orders; false if they are void, since a newer one is known or the session has ended.
+    /// Takes the fencing token of direct commands; false if they are void, since a newer one is known or the session has ended.
     pub(super) fn accept_token(&mut self, token: FencingToken, session: u64) -> bool {
         let valid = token >= self.token && session == self.session;
         if valid {
