--- a/src/controller/state/leader_report.rs
+++ b/src/controller/state/leader_report.rs
@@ -1,5 +1,6 @@
 //! What the leader last reported of itself to this controller.
 
+use crate::coordination::peers::JobTaskCounts;
 use crate::scheduler::TaskCounts;
 use crate::time::Timestamp;
 use std::collections::HashMap;
@@ -40,10 +41,10 @@
     }
 
     /// Replaces the task counts of all jobs.
-    pub(super) fn replace_task_counts(&mut self, task_counts: Vec<(String, u32, u32)>) {
+    pub(super) fn replace_task_counts(&mut self, task_counts: Vec<JobTaskCounts>) {
         self.task_counts = task_counts
             .into_iter()
-            .map(|(job, done, running)| (job, TaskCounts { done, running }))
+            .map(|JobTaskCounts { job, done, running }| (job, TaskCounts { done, running }))
             .collect();
     }
 
--- a/src/controller/state/peer_views.rs
+++ b/src/controller/state/peer_views.rs
@@ -3,14 +3,18 @@
 use super::ControllerState;
 use crate::admission::write_admission::users_share;
 use crate::coordination::leadership::Authority;
-use crate::coordination::peers::View;
+use crate::coordination::peers::{JobTaskCounts, View};
 use crate::scheduler::{Scheduler, TaskCounts};
 
 /// The done and running tasks of every job, as views have them.
-fn all_task_counts(scheduler: &Scheduler) -> Vec<(String, u32, u32)> {
+fn all_task_counts(scheduler: &Scheduler) -> Vec<JobTaskCounts> {
     scheduler
         .all_task_counts()
-        .map(|(job, counts)| (job.to_string(), counts.done, counts.running))
+        .map(|(job, counts)| JobTaskCounts {
+            job: job.to_string(),
+            done: counts.done,
+            running: counts.running,
+        })
         .collect()
 }
 
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -12,4 +12,6 @@
 
 pub use client::{exchange_views, send_cancellations};
 pub use health::PeerHealth;
-pub use messages::{decode, encode, Cancelled, CancelledJob, View, MESSAGE_SIZE_LIMIT};
+pub use messages::{
+    decode, encode, Cancelled, CancelledJob, JobTaskCounts, View, MESSAGE_SIZE_LIMIT,
+};
--- a/src/coordination/peers/messages.rs
+++ b/src/coordination/peers/messages.rs
@@ -23,7 +23,18 @@
     /// If it leads: the rate of its changes of the store, per second.
     pub leader_changes_per_s: Option<f64>,
     /// If it leads: done and running tasks of every job, for display.
-    pub task_counts: Option<Vec<(String, u32, u32)>>,
+    pub task_counts: Option<Vec<JobTaskCounts>>,
+}
+
+/// How many tasks of a job are done and running.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct JobTaskCounts {
+    /// Name of the job.
+    pub job: String,
+    /// Tasks that are done.
+    pub done: u32,
+    /// Tasks that are running.
+    pub running: u32,
 }
 
 /// A job whose cancellation is durable.
--- a/src/coordination/peers/tests.rs
+++ b/src/coordination/peers/tests.rs
@@ -35,7 +35,11 @@
 
 #[test]
 fn malformed_messages_are_refused() {
-    let task_counts = Some(vec![("wk-1".into(), 1, 2)]);
+    let task_counts = Some(vec![JobTaskCounts {
+        job: "wk-1".into(),
+        done: 1,
+        running: 2,
+    }]);
     let leader_changes_per_s = Some(7.5);
     let v = View {
         node: "a".into(),
--- a/tests/compat/peers.rs
+++ b/tests/compat/peers.rs
@@ -1,7 +1,9 @@
 //! Messages between controllers, as literal bincode. An old and a new process run side by side during an upgrade, so that the
 //! order and the types of all fields have to stay.
 
-use hollowswitch::coordination::peers::{decode, encode, Cancelled, CancelledJob, View};
+use hollowswitch::coordination::peers::{
+    decode, encode, Cancelled, CancelledJob, JobTaskCounts, View,
+};
 use hollowswitch::store::Revision;
 
 /// A follower's view: node, epoch, revision, whether the store answers, then two absent fields.
@@ -30,6 +32,14 @@
 /// The answer to cancellations: the revision that the peer's replica of the store has reached.
 const REVISION: &[u8] = b"\x03\x01\0\0\0\0\0\0";
 
+fn task_counts(job: &str, done: u32, running: u32) -> JobTaskCounts {
+    JobTaskCounts {
+        job: job.into(),
+        done,
+        running,
+    }
+}
+
 #[test]
 fn a_followers_view_is_written_and_read() {
     let view = View {
@@ -58,7 +68,10 @@
         revision: Revision::new(259),
         store_reachable: false,
         leader_changes_per_s: Some(2.5),
-        task_counts: Some(vec![("wk-1".into(), 5, 6), ("wk-22".into(), 256, 10)]),
+        task_counts: Some(vec![
+            task_counts("wk-1", 5, 6),
+            task_counts("wk-22", 256, 10),
+        ]),
     };
     assert_eq!(encode(&view), LEADER_VIEW);
     let read: View = decode(LEADER_VIEW).unwrap();
@@ -69,7 +82,10 @@
     assert_eq!(read.leader_changes_per_s, Some(2.5));
     assert_eq!(
         read.task_counts,
-        Some(vec![("wk-1".into(), 5, 6), ("wk-22".into(), 256, 10)])
+        Some(vec![
+            task_counts("wk-1", 5, 6),
+            task_counts("wk-22", 256, 10)
+        ])
     );
 }
 
