--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -2,10 +2,9 @@
 
 use super::Handles;
 use crate::clients::worker;
-use crate::controller::state::ControllerState;
-use crate::controller::state::{UnregisteredMachine, WorkerContact};
+use crate::controller::state::{ControllerState, UnregisteredMachine, WorkerContact};
 use crate::coordination::leadership::Term;
-use crate::scheduler::{first_token, DirectCommands, Origin};
+use crate::scheduler::{first_token, DirectCommands};
 use crate::store::{self, guard, RentalRecord, Revision, TxnOutcome};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -39,7 +38,7 @@
     /// delay every release and rental.
     pub(super) fn adopt_unregistered(&self, slots: &AdoptionSlots) {
         for _ in 0..slots.free() {
-            let next = self.with_state(|state| state.rental_reconciliation.pop_unregistered());
+            let next = self.with_state(ControllerState::pop_unregistered_machine);
             let Some((name, machine)) = next else {
                 return;
             };
@@ -74,14 +73,7 @@
             return;
         }
         tracing::info!(machine = %name, "unregistered machine adopted");
-        // The leader of a later epoch knows it from the store.
-        let same_epoch = |present: Term| present.epoch_version == term.epoch_version;
-        if self
-            .read_state(ControllerState::term)
-            .is_some_and(same_epoch)
-        {
-            self.add_machines(&record, Origin::Found);
-        }
+        self.with_state(|state| state.finish_adoption(&record, term));
     }
 
     /// Stores the rental record of an unregistered machine. Whether it is in the store now.
@@ -93,33 +85,15 @@
             Ok(TxnOutcome::Applied(_)) => true,
             // An earlier try without an answer was executed after all: without this the machine was never used, nor
             // returned, until the next failover.
-            Ok(TxnOutcome::Failed(keys)) if keys == [store::rental_key(&rental)] => self
-                .read_state(|state| {
-                    let stored = state.replica.rentals.get(&rental);
-                    stored.is_some_and(|stored| stored.record == *record)
-                }),
+            Ok(TxnOutcome::Failed(keys)) if keys == [store::rental_key(&rental)] => {
+                self.read_state(|state| state.has_rental(&rental, record))
+            }
             // It is remembered again when it reports or is listed again.
             _ => false,
         }
     }
 }
 
-impl ControllerState {
-    /// The term in which a machine may be adopted, if it may: it is not known by now, and no rental without an answer can
-    /// have brought it.
-    fn term_to_adopt(&self, name: &str, machine: &UnregisteredMachine) -> Option<Term> {
-        let term = self.term()?;
-        let mut rentals = self.replica.rentals.values().map(|rental| &rental.record);
-        let may_be_rented = rentals.any(|rental| {
-            rental.machines.is_none()
-                && rental.machine_type == machine.machine_type
-                && rental.zone == machine.zone
-        });
-        let is_unknown = !self.scheduler.as_ref()?.knows(name);
-        (is_unknown && !may_be_rented).then_some(term)
-    }
-}
-
 /// Direct commands that ask a worker for a report and nothing else.
 fn empty_command(machine: &str, worker: &WorkerContact, term: Term) -> DirectCommands {
     DirectCommands {
--- a/src/controller/cloud/machine_list.rs
+++ b/src/controller/cloud/machine_list.rs
@@ -1,18 +1,12 @@
 //! Reconciliation with the cloud's list of machines.
 
 use super::Handles;
-use crate::clients::cloud::MachinePage;
 use crate::config::Settings;
-use crate::controller::state::ControllerState;
-use crate::controller::state::UnregisteredMachine;
-use crate::scheduler::MachineState;
-use crate::time::{duration, Timestamp};
+use crate::time::Timestamp;
 use std::time::Duration;
 
 /// Shortest time between the beginnings of two listings.
 const MIN_INTERVAL: Duration = Duration::from_secs(4);
-/// Added to twice the lag of the list, after which it shows nothing that an earlier leader has released.
-const LAG_MARGIN: Duration = Duration::from_secs(2);
 
 /// How far the listing is.
 #[derive(Debug)]
@@ -61,42 +55,3 @@
         }
     }
 }
-
-impl ControllerState {
-    /// Compares a page with the scheduler's machines. Returns where the next page begins.
-    fn reconcile_page(&mut self, page: MachinePage) -> Option<String> {
-        let now = self.now();
-        // The list may still show what an earlier leader has released: a new leader once adopted such machines and counted
-        // on them for a minute. Machines whose workers report are adopted at once.
-        let lag = duration(2.0 * self.settings.platform.deployment.cloud.list_lag_s) + LAG_MARGIN;
-        let is_settled = now > self.leading_since() + lag;
-        let scheduler = self.scheduler.as_mut()?;
-        for machine in page.machines {
-            match scheduler.machine_index(&machine.id) {
-                Some(index) if machine.state == "failed" => {
-                    scheduler.set_machine_state(index, MachineState::Releasing, "failed");
-                }
-                Some(index) => {
-                    let running = machine.state == "running";
-                    scheduler.record_listing(
-                        index,
-                        running,
-                        &machine.address,
-                        duration(machine.age_s),
-                    );
-                }
-                None if is_settled => {
-                    self.rental_reconciliation
-                        .add_unregistered(&machine.id, || UnregisteredMachine {
-                            machine_type: machine.machine_type,
-                            zone: machine.zone,
-                            spot: machine.spot,
-                            worker: None,
-                        });
-                }
-                None => {}
-            }
-        }
-        page.next
-    }
-}
--- a/src/controller/cloud/mod.rs
+++ b/src/controller/cloud/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! `machine_types` refreshes the catalogue, `adoption` gives unregistered machines a rental record, `releases` returns
 //! machines, `machine_list` reconciles the scheduler with the cloud's list, `rentals` rents. What to rent and to return is
-//! decided by the autoscaler.
+//! decided by the autoscaler; the state's part of each concern stands in `state`, in a module of the same name.
 
 mod adoption;
 mod machine_list;
@@ -16,15 +16,10 @@
 use super::handles::Handles;
 use super::state::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
-use crate::scheduler::{Hardware, Origin};
-use crate::store::RentalRecord;
 use crate::time::Timestamp;
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Share of the cloud's request rate that a leader uses; the rest is for a node that has yet to read the machine types, and
-/// for the previous leader, whose calls may still be under way.
-pub(super) const REQUEST_RATE_SHARE: f64 = 0.9;
 /// Time between two rounds of the loop.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 /// How often a node without full authority looks whether it has it again.
@@ -56,7 +51,7 @@
     /// Keeps the machines of the cloud and those of the scheduler in line, for as long as this node runs.
     pub(super) async fn run_cloud_loop(self) {
         let mut machine_types = MachineTypeRefresh::default();
-        let mut listing = self.read_state(|state| MachineListing::new(&state.settings));
+        let mut listing = self.read_state(|state| MachineListing::new(state.settings()));
         let adoptions = AdoptionSlots::default();
         let mut rented = false;
         loop {
@@ -101,18 +96,6 @@
         }
     }
 
-    /// Adds the machines of a rental to the scheduler.
-    fn add_machines(&self, rental: &RentalRecord, origin: Origin) {
-        self.with_state(|state| {
-            let Some(scheduler) = state.scheduler_at_now() else {
-                return;
-            };
-            for machine in rental.machines.iter().flatten() {
-                scheduler.add_machine(machine, Hardware::from(rental), origin);
-            }
-        });
-    }
-
     /// Whether what was decided in a term may still be sent to the cloud.
     fn may_call(&self, term: Option<Term>) -> bool {
         self.read_state(|state| state.may_send(term))
--- a/src/controller/cloud/rentals.rs
+++ b/src/controller/cloud/rentals.rs
@@ -1,19 +1,14 @@
 //! Rentals. A request is stored under a name of its own before the cloud is called, so that whoever leads can repeat it under
 //! the same name while its answer is unknown: the cloud executes it once.
 
-use super::{Handles, REQUEST_RATE_SHARE};
-use crate::autoscaler::{RentalRequest, ScalingPolicy};
+use super::Handles;
+use crate::autoscaler::RentalRequest;
 use crate::clients::authority_check::while_authorized;
 use crate::clients::cloud::RentOutcome;
-use crate::controller::state::ControllerState;
-use crate::coordination::leadership::{Authority, Term};
+use crate::controller::state::{ControllerState, OpenRental};
+use crate::coordination::leadership::Term;
 use crate::protocol::RentRequest;
-use crate::scheduler::{Offer, Origin};
-use crate::store::{self, guard, RentalRecord, Revision, StoreError, TxnOutcome};
-use crate::time::duration;
-
-/// For so many calls of the cloud an offer rests after a request while others are wanted.
-const REST_CALLS: f64 = 2.9;
+use crate::store::{self, guard, Revision, StoreError, TxnOutcome};
 
 /// Why no machines were rented.
 #[derive(Debug, thiserror::Error)]
@@ -35,13 +30,6 @@
     Conflict(Vec<String>),
 }
 
-/// A rental request in the store whose answer is unknown.
-struct OpenRental {
-    name: String,
-    record: RentalRecord,
-    version: Revision,
-}
-
 impl Handles {
     /// Repeats the rental requests whose answer is unknown. Returns how many are left without one.
     pub(super) async fn settle_rentals(&self) -> usize {
@@ -91,13 +79,8 @@
         let machines = self.call_cloud(&rental, term).await?;
         self.with_state(|state| state.record_offer(&rental.record, machines.len()));
         rental.record.machines = Some(machines);
-        let version = self.store_rental(&rental, term).await?;
-        // Until the watch brings it, the request would be taken for one whose answer is unknown, and called again.
-        self.with_state(|state| {
-            let record = rental.record.clone();
-            state.replica.put_rental(&rental.name, record, version);
-        });
-        self.add_machines(&rental.record, Origin::Rented);
+        rental.version = self.store_rental(&rental, term).await?;
+        self.with_state(|state| state.finish_rental(&rental));
         Ok(())
     }
 
@@ -138,90 +121,3 @@
         }
     }
 }
-
-impl ControllerState {
-    fn open_rentals(&self) -> Vec<OpenRental> {
-        let rentals = self.replica.rentals.iter();
-        let open = rentals.filter(|(_, rental)| rental.record.machines.is_none());
-        open.map(|(name, rental)| OpenRental {
-            name: name.clone(),
-            record: rental.record.clone(),
-            version: rental.version,
-        })
-        .collect()
-    }
-
-    /// The term, if machines may be rented in it.
-    fn term_to_rent(&self) -> Option<Term> {
-        self.term().filter(|_| self.authority() == Authority::Full)
-    }
-
-    /// Decides what to rent and what to return.
-    fn scaling_decision(&mut self) -> Vec<RentalRequest> {
-        // The calls before this one may have taken seconds: a leader that was cut off meanwhile once gave up machines that
-        // its successor was using.
-        if self.authority() != Authority::Full {
-            return Vec::new();
-        }
-        let now = self.now();
-        let policy = ScalingPolicy::new(&self.settings);
-        match self.scheduler.as_mut() {
-            Some(scheduler) => self.autoscaler.decide(scheduler, &policy, now),
-            None => Vec::new(),
-        }
-    }
-
-    /// Decides what to rent, and chooses the request to carry out first.
-    fn next_rental_request(&mut self) -> Option<RentalRequest> {
-        let requests = self.scaling_decision();
-        let now = self.now();
-        let calls_per_s = self.settings.platform.deployment.cloud.rps * REQUEST_RATE_SHARE;
-        let rest = duration(REST_CALLS / calls_per_s);
-        self.autoscaler.next_request(requests, rest, now)
-    }
-
-    /// A rental with a name that was never used before, and the term in which to store it.
-    fn new_rental(&mut self, request: &RentalRequest) -> Option<(OpenRental, Term)> {
-        let RentalRequest { offer, count } = *request;
-        self.rental_requests_made += 1;
-        let term = self.term()?;
-        let scheduler = self.scheduler.as_ref()?;
-        let record = RentalRecord {
-            machine_type: scheduler.machine_type(offer.machine_type).name.clone(),
-            zone: scheduler.zone_name(offer.zone).to_string(),
-            spot: offer.spot,
-            count,
-            machines: None,
-        };
-        let (node, incarnation) = (&self.identity().node, self.identity().incarnation);
-        let rental = OpenRental {
-            name: format!("{node}-{incarnation:x}-{}", self.rental_requests_made),
-            record,
-            version: Revision::ZERO,
-        };
-        Some((rental, term))
-    }
-
-    /// The cloud has answered a rental request with a number of machines.
-    fn record_offer(&mut self, rental: &RentalRecord, rented: usize) {
-        let now = self.now();
-        let request = self.request_of(rental);
-        if let Some(request) = request {
-            self.autoscaler.record_rental(&request, rented, now);
-        }
-    }
-
-    /// The request that a rental was made for. None if its machine type or zone is not known, or nobody leads.
-    fn request_of(&self, rental: &RentalRecord) -> Option<RentalRequest> {
-        let scheduler = self.scheduler.as_ref()?;
-        let offer = Offer {
-            machine_type: scheduler.machine_type_index(&rental.machine_type)?,
-            zone: scheduler.zone_index(&rental.zone)?,
-            spot: rental.spot,
-        };
-        Some(RentalRequest {
-            offer,
-            count: rental.count,
-        })
-    }
-}
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -4,14 +4,18 @@
 //! Each part of the state that has an invariant of its own is a type with private fields in one of the modules below. The
 //! other modules below hold the steps that join these parts, each beside the types of its outcome.
 
+mod adoption;
 mod cancellations;
 mod durable_writes;
 mod epoch_start;
 mod heartbeats;
 mod leader_report;
 mod leadership_status;
+mod machine_list;
 mod peer_views;
+mod releases;
 mod rental_reconciliation;
+mod rentals;
 mod replica_changes;
 mod request_limits;
 mod round_timing;
@@ -22,6 +26,7 @@
 pub(super) use durable_writes::FLUSH_INTERVAL;
 pub(super) use epoch_start::EpochClaim;
 pub(super) use rental_reconciliation::{UnregisteredMachine, WorkerContact};
+pub(super) use rentals::OpenRental;
 pub(super) use replica_changes::LeaderKeyChange;
 pub(super) use round_timing::MIN_ROUND_INTERVAL;
 pub(super) use scheduling_round::{RoundOutcome, SendLimits, StepDownReason};
@@ -59,13 +64,14 @@
     request_limits: RequestLimits,
     round_deadlines: RoundDeadlines,
     pause_detector: PauseDetector,
-    pub(super) autoscaler: Autoscaler,
+    autoscaler: Autoscaler,
     pub(super) machine_types: Vec<MachineType>,
     leader_report: LeaderReport,
     peer_health: PeerHealth,
     pub(super) cancellations: Cancellations,
-    pub(super) rental_reconciliation: RentalReconciliation,
-    pub(super) rental_requests_made: u64,
+    rental_reconciliation: RentalReconciliation,
+    /// Number of rental requests that this process has made: part of their names.
+    rental_requests_made: u64,
     pub(super) pending_reads: PendingReads,
 }
 
--- /dev/null
+++ b/src/controller/state/rentals.rs
@@ -0,0 +1,129 @@
+//! Rentals: what to rent, the requests in the store, and the machines that they bring.
+
+use super::request_limits::CLOUD_REQUEST_SHARE;
+use super::ControllerState;
+use crate::autoscaler::{RentalRequest, ScalingPolicy};
+use crate::coordination::leadership::{Authority, Term};
+use crate::scheduler::{Hardware, Offer, Origin};
+use crate::store::{RentalRecord, Revision};
+use crate::time::duration;
+
+/// For so many calls of the cloud an offer rests after a request while others are wanted.
+const REST_CALLS: f64 = 2.9;
+
+/// A rental request in the store whose answer is unknown.
+pub(in crate::controller) struct OpenRental {
+    pub(in crate::controller) name: String,
+    pub(in crate::controller) record: RentalRecord,
+    /// Version of the record in the store; 0 before it is stored.
+    pub(in crate::controller) version: Revision,
+}
+
+impl ControllerState {
+    /// The rental requests in the store whose answer is unknown.
+    pub(in crate::controller) fn open_rentals(&self) -> Vec<OpenRental> {
+        let rentals = self.replica.rentals.iter();
+        let open = rentals.filter(|(_, rental)| rental.record.machines.is_none());
+        open.map(|(name, rental)| OpenRental {
+            name: name.clone(),
+            record: rental.record.clone(),
+            version: rental.version,
+        })
+        .collect()
+    }
+
+    /// The term, if machines may be rented in it.
+    pub(in crate::controller) fn term_to_rent(&self) -> Option<Term> {
+        self.term().filter(|_| self.authority() == Authority::Full)
+    }
+
+    /// Decides what to rent and what to return.
+    pub(in crate::controller) fn scaling_decision(&mut self) -> Vec<RentalRequest> {
+        // The calls before this one may have taken seconds: a leader that was cut off meanwhile once gave up machines that
+        // its successor was using.
+        if self.authority() != Authority::Full {
+            return Vec::new();
+        }
+        let now = self.now();
+        let policy = ScalingPolicy::new(&self.settings);
+        match self.scheduler.as_mut() {
+            Some(scheduler) => self.autoscaler.decide(scheduler, &policy, now),
+            None => Vec::new(),
+        }
+    }
+
+    /// Decides what to rent, and chooses the request to carry out first.
+    pub(in crate::controller) fn next_rental_request(&mut self) -> Option<RentalRequest> {
+        let requests = self.scaling_decision();
+        let now = self.now();
+        let calls_per_s = self.settings.platform.deployment.cloud.rps * CLOUD_REQUEST_SHARE;
+        let rest = duration(REST_CALLS / calls_per_s);
+        self.autoscaler.next_request(requests, rest, now)
+    }
+
+    /// A rental with a name that was never used before, and the term in which to store it.
+    pub(in crate::controller) fn new_rental(
+        &mut self,
+        request: &RentalRequest,
+    ) -> Option<(OpenRental, Term)> {
+        let RentalRequest { offer, count } = *request;
+        self.rental_requests_made += 1;
+        let term = self.term()?;
+        let scheduler = self.scheduler.as_ref()?;
+        let record = RentalRecord {
+            machine_type: scheduler.machine_type(offer.machine_type).name.clone(),
+            zone: scheduler.zone_name(offer.zone).to_string(),
+            spot: offer.spot,
+            count,
+            machines: None,
+        };
+        let (node, incarnation) = (&self.identity().node, self.identity().incarnation);
+        let rental = OpenRental {
+            name: format!("{node}-{incarnation:x}-{}", self.rental_requests_made),
+            record,
+            version: Revision::ZERO,
+        };
+        Some((rental, term))
+    }
+
+    /// The cloud has answered a rental request with a number of machines.
+    pub(in crate::controller) fn record_offer(&mut self, rental: &RentalRecord, rented: usize) {
+        let now = self.now();
+        let request = self.request_of(rental);
+        if let Some(request) = request {
+            self.autoscaler.record_rental(&request, rented, now);
+        }
+    }
+
+    /// The machines of a rental are in the store.
+    pub(in crate::controller) fn finish_rental(&mut self, rental: &OpenRental) {
+        // Until the watch brings it, the request would be taken for one whose answer is unknown, and called again.
+        self.replica
+            .put_rental(&rental.name, rental.record.clone(), rental.version);
+        self.add_machines(&rental.record, Origin::Rented);
+    }
+
+    /// Adds the machines of a rental record to the scheduler.
+    pub(super) fn add_machines(&mut self, rental: &RentalRecord, origin: Origin) {
+        let Some(scheduler) = self.scheduler_at_now() else {
+            return;
+        };
+        for machine in rental.machines.iter().flatten() {
+            scheduler.add_machine(machine, Hardware::from(rental), origin);
+        }
+    }
+
+    /// The request that a rental was made for. None if its machine type or zone is not known, or nobody leads.
+    fn request_of(&self, rental: &RentalRecord) -> Option<RentalRequest> {
+        let scheduler = self.scheduler.as_ref()?;
+        let offer = Offer {
+            machine_type: scheduler.machine_type_index(&rental.machine_type)?,
+            zone: scheduler.zone_index(&rental.zone)?,
+            spot: rental.spot,
+        };
+        Some(RentalRequest {
+            offer,
+            count: rental.count,
+        })
+    }
+}
--- a/src/controller/state/request_limits.rs
+++ b/src/controller/state/request_limits.rs
@@ -3,13 +3,15 @@
 use crate::admission::rate::{RateMeter, TokenBucket};
 use crate::admission::write_admission::{users_share, WriteAdmission};
 use crate::config::Settings;
-use crate::controller::cloud::REQUEST_RATE_SHARE;
 use crate::time::Timestamp;
 use std::time::Duration;
 
 /// Share of the store's request rate that reads on behalf of users may take on all controllers together. The rest is for leader
 /// leases, watches, read barriers, changes, and the leader's writes.
 const USER_READ_SHARE: f64 = 0.25;
+/// Share of the cloud's request rate that a leader uses; the rest is for a node that has yet to read the machine types, and
+/// for the previous leader, whose calls may still be under way.
+pub(super) const CLOUD_REQUEST_SHARE: f64 = 0.9;
 /// The time over which the rate of the leader's changes is measured.
 const OWN_CHANGES_WINDOW: Duration = Duration::from_secs(2);
 
@@ -32,7 +34,7 @@
         let controllers = settings.platform.peers.len() + 1;
         let user_changes = users_share(deployment.state.write_rps, controllers, None);
         let user_reads = deployment.state.rps * USER_READ_SHARE / controllers as f64;
-        let cloud_calls = deployment.cloud.rps * REQUEST_RATE_SHARE;
+        let cloud_calls = deployment.cloud.rps * CLOUD_REQUEST_SHARE;
         RequestLimits {
             user_changes: WriteAdmission::new(user_changes),
             user_reads: TokenBucket::new(user_reads, user_reads),
--- a/src/controller/tests/large_fleets.rs
+++ b/src/controller/tests/large_fleets.rs
@@ -28,9 +28,9 @@
     for n in 0..4500 {
         controller.handle_heartbeat(&heartbeat(format!("x-{n:06}")));
     }
-    assert_eq!(controller.rental_reconciliation.unregistered_count(), 4500);
+    assert_eq!(controller.unregistered_machine_count(), 4500);
     for n in 0..100_000 {
         controller.handle_heartbeat(&heartbeat(format!("y-{n:06}")));
     }
-    assert!(controller.rental_reconciliation.unregistered_count() <= 20_000);
+    assert!(controller.unregistered_machine_count() <= 20_000);
 }
--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -18,9 +18,6 @@
 /// Time from the rental of a machine to its first heartbeat.
 const BOOT: Duration = Duration::from_secs(3);
 
-/// Most machines that are released in a round.
-const RELEASE_LIMIT: usize = 100;
-
 /// The cloud.
 pub(super) struct Cloud {
     /// How many machines the leader is to keep.
@@ -86,16 +83,14 @@
 
     /// Releases the machines that are silent for too long or that the scheduler gives back.
     fn release_machines(&mut self, node: usize) {
-        let now = self.now();
         let controller = self.nodes[node].running_mut();
-        let policy = ScalingPolicy::new(&controller.settings);
+        let policy = ScalingPolicy::new(controller.settings());
         let scheduler = controller.scheduler.as_mut().unwrap();
         release_silent_machines(scheduler, &policy);
-        for machine in scheduler.machines_to_release(RELEASE_LIMIT) {
-            scheduler.machine_gone(&machine);
-            let reconciliation = &mut controller.rental_reconciliation;
-            reconciliation.record_release(machine.clone(), now);
-            self.workers.remove(&machine);
+        let released = controller.releasable_machines();
+        controller.record_releases(released.clone());
+        for machine in &released {
+            self.workers.remove(machine);
         }
     }
 
