--- a/src/controller/cancellation_broadcast.rs
+++ b/src/controller/cancellation_broadcast.rs
@@ -29,7 +29,7 @@
     /// Sends a peer the cancellations that it does not know of, without waiting for the answer.
     fn notify_peer(&self, peer: &Peer) {
         let Some((message, last)) =
-            self.read_state(|state| state.cancellations.message_for(&peer.node))
+            self.read_state(|state| state.cancellation_message_for(&peer.node))
         else {
             return;
         };
@@ -39,10 +39,7 @@
             // Without an answer the message is sent again.
             if let Some(replica_revision) = answer {
                 handles.with_state(|state| {
-                    state.cancellations.acknowledged(&node, last);
-                    state
-                        .cancellations
-                        .peer_replica_reached(&node, replica_revision);
+                    state.record_acknowledgement(&node, last, replica_revision);
                 });
             }
         });
--- a/src/controller/cloud/machine_types.rs
+++ b/src/controller/cloud/machine_types.rs
@@ -54,7 +54,7 @@
     async fn store_machine_types(&self, types: &[MachineType]) {
         let guards = self.read_state(|state| {
             let Term { epoch_version, .. } = state.term()?;
-            let stored = state.replica.catalogue.as_ref();
+            let stored = state.replica().catalogue.as_ref();
             if stored.is_some_and(|stored| have_same_shape(&stored.record, types)) {
                 return None;
             }
--- a/src/controller/cloud/mod.rs
+++ b/src/controller/cloud/mod.rs
@@ -41,8 +41,8 @@
             now: state.now(),
             leads: state.term().is_some()
                 && state.authority() == Authority::Full
-                && state.scheduler.is_some(),
-            lacks_machine_types: state.machine_types.is_empty(),
+                && state.is_scheduling(),
+            lacks_machine_types: state.machine_types().is_empty(),
         }
     }
 }
--- a/src/controller/handles.rs
+++ b/src/controller/handles.rs
@@ -51,7 +51,7 @@
 
     /// Waits until this node leads. The leader's loops do not run on followers, where their timers were most of the wake-ups.
     pub(super) async fn wait_until_leading(&self) {
-        while !self.read_state(|state| state.scheduler.is_some()) {
+        while !self.read_state(ControllerState::is_scheduling) {
             self.leadership_acquired.notified().await;
         }
     }
--- a/src/controller/job_status.rs
+++ b/src/controller/job_status.rs
@@ -10,16 +10,15 @@
     ///
     /// A follower shows the task counts that the leader sent last.
     pub(super) fn job_view(&self, id: &str) -> Option<JobView> {
-        if let Some(over) = self.replica.final_state(id) {
-            return Some(final_view(id, over));
+        if let Some(final_state) = self.replica().final_state(id) {
+            return Some(final_view(id, final_state));
         }
-        let counts = self
-            .scheduler
-            .as_ref()
-            .and_then(|p| p.task_counts(id))
+        self.replica().live.get(id)?;
+        let task_counts = self
+            .scheduler()
+            .and_then(|scheduler| scheduler.task_counts(id))
             .or_else(|| self.reported_task_counts(id));
-        self.replica.live.get(id)?;
-        let TaskCounts { done, running } = counts.unwrap_or_default();
+        let TaskCounts { done, running } = task_counts.unwrap_or_default();
         let state = if running > 0 {
             JobState::Running
         } else {
@@ -35,11 +34,11 @@
 }
 
 /// The state of a job that is final.
-pub(super) fn final_view(id: &str, over: FinalRecord) -> JobView {
-    let (state, done) = if over.cancelled {
+pub(super) fn final_view(id: &str, final_state: FinalRecord) -> JobView {
+    let (state, done) = if final_state.cancelled {
         (JobState::Cancelled, 0)
     } else {
-        (JobState::Done, over.tasks)
+        (JobState::Done, final_state.tasks)
     };
     JobView {
         id: id.into(),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -21,15 +21,6 @@
 mod state;
 mod store_calls;
 #[cfg(test)]
-#[allow(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::needless_for_each,
-    clippy::needless_pass_by_value,
-    clippy::struct_field_names,
-    clippy::too_many_lines,
-    reason = "these tests have yet to be cleaned"
-)]
 mod tests;
 mod user_requests;
 mod watch_loop;
--- a/src/controller/read_barrier.rs
+++ b/src/controller/read_barrier.rs
@@ -2,12 +2,8 @@
 //! current with them.
 
 use super::handles::Handles;
-use super::state::ControllerState;
+use super::state::{ControllerState, ReadBarrier};
 use crate::coordination::leadership::LeadershipEvent;
-use crate::coordination::linearizable_reads::ReadBatch;
-use crate::protocol::Txn;
-use crate::store::{self, guard, Revision};
-use crate::time::Timestamp;
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -23,13 +19,6 @@
 #[error("the replica did not catch up in time")]
 pub(super) struct ReplicaLags;
 
-/// A read barrier to be sent.
-struct ReadBarrier {
-    requested_at: Timestamp,
-    transaction: Txn,
-    batch: ReadBatch,
-}
-
 impl Handles {
     /// Sends read barriers: one for all reads of a moment, and one for each renewal of the leader lease, on which the leader's
     /// authority depends.
@@ -62,7 +51,7 @@
 
     /// Waits until the replica is at least as new as the moment of this call.
     pub(super) async fn wait_for_linearizable_read(&self) -> Result<(), ReplicaLags> {
-        let revision = self.with_state(|state| state.pending_reads.register());
+        let revision = self.with_state(ControllerState::register_read);
         self.read_requested.notify_one();
         let catch_up = async {
             let revision = revision.await.map_err(|_| ReplicaLags)?;
@@ -77,26 +66,3 @@
             .unwrap_or(Err(ReplicaLags))
     }
 }
-
-impl ControllerState {
-    /// The barrier for the reads that wait; a leader sends one also when none waits.
-    fn next_read_barrier(&mut self) -> Option<ReadBarrier> {
-        let batch = self.pending_reads.take_batch();
-        if batch.is_empty() && self.term().is_none() {
-            return None;
-        }
-        let epoch_version = self
-            .replica
-            .epoch
-            .as_ref()
-            .map_or(Revision::ZERO, |epoch| epoch.version);
-        Some(ReadBarrier {
-            requested_at: self.now(),
-            transaction: Txn {
-                guards: vec![guard(store::epoch_key(), epoch_version)],
-                apply: Vec::new(),
-            },
-            batch,
-        })
-    }
-}
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -10,9 +10,11 @@
 mod epoch_start;
 mod heartbeats;
 mod leader_report;
+mod leadership;
 mod leadership_status;
 mod machine_list;
 mod peer_views;
+mod read_barriers;
 mod releases;
 mod rental_reconciliation;
 mod rentals;
@@ -22,9 +24,12 @@
 mod scheduling_round;
 mod start_log;
 mod store_contact;
+#[cfg(test)]
+mod test_access;
 
 pub(super) use durable_writes::FLUSH_INTERVAL;
 pub(super) use epoch_start::EpochClaim;
+pub(super) use read_barriers::ReadBarrier;
 pub(super) use rental_reconciliation::{UnregisteredMachine, WorkerContact};
 pub(super) use rentals::OpenRental;
 pub(super) use replica_changes::LeaderKeyChange;
@@ -42,37 +47,36 @@
 use crate::autoscaler::Autoscaler;
 use crate::config::Settings;
 use crate::coordination::cancellations::Cancellations;
-use crate::coordination::leadership::{Authority, Leadership, LeadershipEvent, Term};
+use crate::coordination::leadership::Leadership;
 use crate::coordination::linearizable_reads::PendingReads;
 use crate::coordination::peers::PeerHealth;
 use crate::protocol::MachineType;
 use crate::scheduler::Scheduler;
-use crate::store::{LeaderRecord, Replica, StoreError, TxnOutcome};
+use crate::store::{LeaderRecord, Replica};
 use crate::time::Timestamp;
-use std::time::Duration;
 
 /// The state of a controller.
 pub(super) struct ControllerState {
-    pub(super) settings: Settings,
+    settings: Settings,
     clock: Clock,
     /// The replica of the store.
-    pub(super) replica: Replica,
+    replica: Replica,
     leadership_status: LeadershipStatus,
     /// The scheduler, while this controller leads and has read the store.
-    pub(super) scheduler: Option<Scheduler>,
+    scheduler: Option<Scheduler>,
     store_contact: StoreContact,
     request_limits: RequestLimits,
     round_deadlines: RoundDeadlines,
     pause_detector: PauseDetector,
     autoscaler: Autoscaler,
-    pub(super) machine_types: Vec<MachineType>,
+    machine_types: Vec<MachineType>,
     leader_report: LeaderReport,
     peer_health: PeerHealth,
-    pub(super) cancellations: Cancellations,
+    cancellations: Cancellations,
     rental_reconciliation: RentalReconciliation,
     /// Number of rental requests that this process has made: part of their names.
     rental_requests_made: u64,
-    pub(super) pending_reads: PendingReads,
+    pending_reads: PendingReads,
 }
 
 impl ControllerState {
@@ -111,12 +115,6 @@
         &self.settings
     }
 
-    /// The clock, which tests set.
-    #[cfg(test)]
-    pub(super) fn clock(&self) -> &Clock {
-        &self.clock
-    }
-
     /// The time of the steady clock.
     pub(super) fn now(&self) -> Timestamp {
         self.clock.now()
@@ -132,102 +130,24 @@
         &self.replica
     }
 
-    /// What this process writes into the leader key.
-    pub(super) fn identity(&self) -> &LeaderRecord {
-        self.leadership_status.identity()
-    }
-
-    /// The state machine of the leadership.
-    pub(super) fn leadership(&self) -> &Leadership {
-        self.leadership_status.leadership()
-    }
-
-    /// What this controller may do now.
-    pub(super) fn authority(&self) -> Authority {
-        self.leadership_status.authority(self.now())
-    }
-
-    /// The term, while this controller leads.
-    pub(super) fn term(&self) -> Option<Term> {
-        self.leadership_status.term()
-    }
-
-    /// Number of the newest epoch that this controller has heard of.
-    pub(super) fn newest_epoch(&self) -> u64 {
-        self.leadership_status.newest_epoch()
-    }
-
-    /// When the scheduler of the present or latest term was built.
-    pub(super) fn leading_since(&self) -> Timestamp {
-        self.leadership_status.leading_since()
-    }
-
-    /// Whether what was decided in a term may still be sent.
-    ///
-    /// This is asked again right before each send. The process may have been paused since the decision, while a cancellation
-    /// was confirmed or another controller became the leader.
-    pub(super) fn may_send(&self, term: Option<Term>) -> bool {
-        term.is_some() && self.term() == term && self.authority() == Authority::Full
-    }
-
-    /// Whether leadership is vacant, as far as the replica shows.
-    pub(super) fn may_claim_leadership(&self) -> bool {
-        self.leadership_status.may_claim(&self.replica)
-    }
-
-    /// Whether this controller may start a campaign.
-    pub(super) fn may_campaign(&self) -> bool {
-        self.leadership_status
-            .may_campaign(&self.replica, self.now())
-    }
-
-    /// Applies an event to the leadership. What belongs to a term ends with it.
-    pub(super) fn apply_leadership_event(&mut self, event: LeadershipEvent) {
-        if self.leadership_status.apply(event) {
-            self.scheduler = None;
-            self.rental_reconciliation.clear_on_step_down();
-        }
-    }
-
-    /// Records the number of an epoch. A later one ends this controller's term.
-    pub(super) fn observe_epoch(&mut self, epoch: u64) {
-        if self.leadership_status.observe_epoch(epoch) {
-            self.apply_leadership_event(LeadershipEvent::TermEnded);
-        }
+    /// The scheduler, while this controller leads and has read the store.
+    pub(super) fn scheduler(&self) -> Option<&Scheduler> {
+        self.scheduler.as_ref()
     }
 
-    /// Handles the result of a renewal of the leader lease. Returns why this controller should step down, if it should.
-    pub(super) fn handle_lease_renewal(
-        &mut self,
-        requested_at: Timestamp,
-        renewed: Result<(), StoreError>,
-    ) -> Option<StepDownReason> {
-        match renewed {
-            Ok(()) => {
-                self.apply_leadership_event(LeadershipEvent::LeaseRenewed { requested_at });
-                let lags = self.scheduler.is_some() && self.authority() == Authority::None;
-                return lags.then_some(StepDownReason::ReplicaLags);
-            }
-            Err(StoreError::NotFound) => self.apply_leadership_event(LeadershipEvent::TermEnded),
-            Err(_) if self.authority() == Authority::None => {
-                self.apply_leadership_event(LeadershipEvent::TermEnded);
-            }
-            // The authority lasts for a while without renewals.
-            Err(_) => {}
-        }
-        None
+    /// Whether this controller leads and has read the store, so that it schedules.
+    pub(super) fn is_scheduling(&self) -> bool {
+        self.scheduler.is_some()
     }
 
-    /// Ends the leadership and starts no campaign for a time.
-    pub(super) fn step_down(&mut self, backoff: Duration) {
-        self.back_off_campaigns(backoff);
-        self.apply_leadership_event(LeadershipEvent::TermEnded);
+    /// The machine types that can be rented.
+    pub(super) fn machine_types(&self) -> &[MachineType] {
+        &self.machine_types
     }
 
-    /// Starts no campaign for a time.
-    pub(super) fn back_off_campaigns(&mut self, backoff: Duration) {
-        let now = self.now();
-        self.leadership_status.back_off_campaigns(backoff, now);
+    /// Remembers that the store had no final state of a job, if the replica still has the generation of that read.
+    pub(super) fn remember_absent(&mut self, job: &str, generation: u64) {
+        self.replica.remember_absent(job, generation);
     }
 
     /// The scheduler, with its clock set to now.
@@ -238,12 +158,6 @@
         Some(scheduler)
     }
 
-    /// Whether a read that was sent longer ago than a tolerance was answered with a revision that the replica still lacks.
-    pub(super) fn replica_lags(&self, tolerance: Duration) -> bool {
-        let sent_before = self.now().saturating_sub(tolerance);
-        self.leadership().lags_behind_read_sent_before(sent_before)
-    }
-
     /// The store has answered.
     pub(super) fn record_store_answer(&mut self) {
         self.store_contact.record_answer(self.clock.now());
@@ -254,39 +168,6 @@
         self.store_contact.is_reachable(self.now())
     }
 
-    /// Records changes of the store that this controller makes as the leader.
-    pub(super) fn record_own_changes(&mut self, changes: usize) {
-        self.request_limits
-            .record_own_changes(changes, self.clock.now());
-    }
-
-    /// Takes a call of the cloud, or tells when one will be allowed.
-    pub(super) fn take_cloud_call(&mut self) -> Result<(), Duration> {
-        self.request_limits.take_cloud_call(self.clock.now())
-    }
-
-    /// Takes a read of the store on behalf of a user, or tells when one will be allowed.
-    pub(super) fn take_user_read(&mut self) -> Result<(), Duration> {
-        self.request_limits.take_user_read(self.clock.now())
-    }
-
-    /// Takes changes of the store by a user, or tells when to repeat the request.
-    pub(super) fn take_user_changes(&mut self, changes: u32) -> Result<(), Duration> {
-        let limit = self.user_change_limit();
-        self.request_limits
-            .take_user_changes(changes, limit, self.clock.now())
-    }
-
-    /// Adapts the rate of users' changes to the store's answer to one of their transactions.
-    pub(super) fn record_user_transaction(&mut self, decided: &Result<TxnOutcome, StoreError>) {
-        match decided {
-            Err(StoreError::RateLimited) => self.request_limits.record_user_changes_refused(),
-            Ok(_) => self.request_limits.record_user_changes_decided(),
-            // Other failures say nothing about the rate.
-            Err(_) => {}
-        }
-    }
-
     /// Whether this controller should get users.
     ///
     /// It should once it has read the store and the machine types. If the store does not answer it, it still should unless
--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -7,6 +7,26 @@
 use crate::store::{FinalRecord, Revision, Versioned};
 
 impl ControllerState {
+    /// The cancellations that a peer has to be notified of, and the last notice among them.
+    pub(in crate::controller) fn cancellation_message_for(
+        &self,
+        peer: &str,
+    ) -> Option<(Cancelled, Notice)> {
+        self.cancellations.message_for(peer)
+    }
+
+    /// A peer has acknowledged everything up to a notice and told the revision of its replica.
+    pub(in crate::controller) fn record_acknowledgement(
+        &mut self,
+        peer: &str,
+        last: Notice,
+        replica_revision: Revision,
+    ) {
+        self.cancellations.acknowledged(peer, last);
+        self.cancellations
+            .peer_replica_reached(peer, replica_revision);
+    }
+
     /// Applies a cancellation that is durable, perhaps before the replica shows it: tasks of the job are stopped, and none is
     /// started or counted as finished any more.
     fn apply_cancellation(&mut self, job: &str, tasks: u32) {
--- a/src/controller/state/request_limits.rs
+++ b/src/controller/state/request_limits.rs
@@ -1,8 +1,10 @@
 //! How often this controller may use the store and the cloud, whose request rates all controllers share.
 
+use super::ControllerState;
 use crate::admission::rate::{RateMeter, TokenBucket};
 use crate::admission::write_admission::{users_share, WriteAdmission};
 use crate::config::Settings;
+use crate::store::{StoreError, TxnOutcome};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -84,3 +86,44 @@
         self.own_changes.per_s(now)
     }
 }
+
+impl ControllerState {
+    /// Records changes of the store that this controller makes as the leader.
+    pub(in crate::controller) fn record_own_changes(&mut self, changes: usize) {
+        self.request_limits
+            .record_own_changes(changes, self.clock.now());
+    }
+
+    /// Takes a call of the cloud, or tells when one will be allowed.
+    pub(in crate::controller) fn take_cloud_call(&mut self) -> Result<(), Duration> {
+        self.request_limits.take_cloud_call(self.clock.now())
+    }
+
+    /// Takes a read of the store on behalf of a user, or tells when one will be allowed.
+    pub(in crate::controller) fn take_user_read(&mut self) -> Result<(), Duration> {
+        self.request_limits.take_user_read(self.clock.now())
+    }
+
+    /// Takes changes of the store by a user, or tells when to repeat the request.
+    pub(in crate::controller) fn take_user_changes(
+        &mut self,
+        changes: u32,
+    ) -> Result<(), Duration> {
+        let limit = self.user_change_limit();
+        self.request_limits
+            .take_user_changes(changes, limit, self.clock.now())
+    }
+
+    /// Adapts the rate of users' changes to the store's answer to one of their transactions.
+    pub(in crate::controller) fn record_user_transaction(
+        &mut self,
+        decided: &Result<TxnOutcome, StoreError>,
+    ) {
+        match decided {
+            Err(StoreError::RateLimited) => self.request_limits.record_user_changes_refused(),
+            Ok(_) => self.request_limits.record_user_changes_decided(),
+            // Other failures say nothing about the rate.
+            Err(_) => {}
+        }
+    }
+}
--- a/src/controller/tests/cancellation_broadcast.rs
+++ b/src/controller/tests/cancellation_broadcast.rs
@@ -36,7 +36,7 @@
     assert!(
         simulation.nodes[leader]
             .running()
-            .replica
+            .replica()
             .final_state("wk-1")
             .is_some(),
         "the leader was not told"
@@ -59,7 +59,7 @@
     let leader = simulation.leader().unwrap();
     let Followers { second, .. } = followers(leader);
     let controller = simulation.nodes[second].running_mut();
-    let revision = controller.replica.revision.next();
+    let revision = controller.replica().revision.next();
     controller.receive_cancellations(&Cancelled {
         jobs: vec![CancelledJob {
             job: "wk-1".into(),
@@ -69,12 +69,12 @@
     });
     assert!(controller.unsettled_cancellation("wk-1").is_some());
     // That its own replica has reached the revision says nothing of the leader's.
-    controller.replica.revision = revision;
+    controller.replica_mut().revision = revision;
     assert!(controller.unsettled_cancellation("wk-1").is_some());
     let leader = node_name(leader);
-    let (Cancelled { jobs }, last) = controller.cancellations.message_for(&leader).unwrap();
+    let (Cancelled { jobs }, last) = controller.cancellation_message_for(&leader).unwrap();
     assert_eq!(jobs[0].job, "wk-1");
-    controller.cancellations.acknowledged(&leader, last);
+    controller.cancellations_mut().acknowledged(&leader, last);
     assert!(controller.unsettled_cancellation("wk-1").is_none());
 }
 
@@ -94,25 +94,19 @@
         version,
     };
     // What the leader's replica is known to hold is not sent to it.
-    let revision = controller.replica.revision;
+    let revision = controller.replica().revision;
     controller
-        .cancellations
+        .cancellations_mut()
         .peer_replica_reached(&leader, revision);
     controller.learn_final_state("wk-8", &cancelled(revision));
-    assert!(controller.cancellations.message_for(&leader).is_none());
+    assert!(controller.cancellation_message_for(&leader).is_none());
     controller.learn_final_state("wk-9", &cancelled(revision.next()));
     assert_eq!(
-        controller
-            .cancellations
-            .message_for(&leader)
-            .unwrap()
-            .0
-            .jobs[0]
-            .job,
+        controller.cancellation_message_for(&leader).unwrap().0.jobs[0].job,
         "wk-9"
     );
     assert!(
-        controller.replica.final_state("wk-8").is_some()
-            && controller.replica.final_state("wk-9").is_some()
+        controller.replica().final_state("wk-8").is_some()
+            && controller.replica().final_state("wk-9").is_some()
     );
 }
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -230,14 +230,7 @@
 fn a_new_leader_starts_nothing_twice() {
     let mut controller = new_leader(stored());
     // Both machines may run something, until they have been heard.
-    assert_eq!(
-        controller
-            .scheduler
-            .as_ref()
-            .unwrap()
-            .unreconciled_machines(),
-        2
-    );
+    assert_eq!(controller.scheduler().unwrap().unreconciled_machines(), 2);
     let orders = answer(&mut controller, &report("n-1", 1, &N1_TASKS));
     assert_eq!(started_and_stopped(&orders), (vec![], vec!["wk-3/0"]));
     // wk-1/0 is done, wk-1/1 runs here, wk-1/2 may run on n-2; the older line that shows it here is void.
@@ -257,14 +250,7 @@
         let orders = answer(&mut controller, &report("n-2", seq, &on_n2));
         assert!(orders.is_empty(), "{orders:?}");
     }
-    assert_eq!(
-        controller
-            .scheduler
-            .as_ref()
-            .unwrap()
-            .unreconciled_machines(),
-        0
-    );
+    assert_eq!(controller.scheduler().unwrap().unreconciled_machines(), 0);
 }
 
 #[test]
@@ -294,7 +280,7 @@
     // The request without an answer is still there to be repeated under its name.
     let open = &controller.replica().rentals["drover-1-70-2"];
     assert_eq!((open.version.as_u64(), &open.record.machines), (204, &None));
-    let scheduler = controller.scheduler.as_ref().unwrap();
+    let scheduler = controller.scheduler().unwrap();
     assert!(scheduler.knows("n-1") && scheduler.knows("n-2") && !scheduler.knows("n-9"));
     // The cancelled job stays among those being stopped until its task is gone; only results of finished jobs are dropped.
     let epoch = controller.write_guard().unwrap();
--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -85,7 +85,7 @@
     fn release_machines(&mut self, node: usize) {
         let controller = self.nodes[node].running_mut();
         let policy = ScalingPolicy::new(controller.settings());
-        let scheduler = controller.scheduler.as_mut().unwrap();
+        let scheduler = controller.scheduler_mut().unwrap();
         release_silent_machines(scheduler, &policy);
         let released = controller.releasable_machines();
         controller.record_releases(released.clone());
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -40,7 +40,7 @@
     fn begin_epoch(&mut self, node: usize, claimed: ClaimedEpoch) {
         let now = self.now();
         let controller = self.nodes[node].running_mut();
-        if controller.replica.revision >= claimed.version && controller.term().is_some() {
+        if controller.replica().revision >= claimed.version && controller.term().is_some() {
             controller.apply_leadership_event(LeadershipEvent::RevisionRead {
                 requested_at: claimed.sent_at,
                 revision: claimed.version,
@@ -77,7 +77,7 @@
             revision,
         });
         controller.apply_leadership_event(LeadershipEvent::LeaseRenewed { requested_at: now });
-        if controller.scheduler.is_some() && controller.authority() == Authority::None {
+        if controller.is_scheduling() && controller.authority() == Authority::None {
             self.step_down(node);
         }
     }
@@ -90,7 +90,7 @@
     fn campaign(&mut self, node: usize) {
         let now = self.now();
         let controller = self.nodes[node].running_mut();
-        let ttl = controller.settings.operator.leader_lease();
+        let ttl = controller.settings().operator.leader_lease();
         controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
         let lease = self.store.grant_lease(now, ttl);
         let claim = self.nodes[node].running_mut().claim_epoch(lease);
--- a/src/controller/tests/simulation/cluster/mod.rs
+++ b/src/controller/tests/simulation/cluster/mod.rs
@@ -62,7 +62,7 @@
 
     /// The scheduler of a process that leads.
     pub(super) fn leading_mut(&mut self) -> &mut Scheduler {
-        self.running_mut().scheduler.as_mut().unwrap()
+        self.running_mut().scheduler_mut().unwrap()
     }
 
     /// The process ends.
@@ -163,8 +163,8 @@
             *watch = Some(fresh);
         }
         let delivers = watch.is_some_and(|open| !open.stalled);
-        if delivers && self.store.revision() > controller.replica.revision {
-            let changes = self.store.events_after(controller.replica.revision);
+        if delivers && self.store.revision() > controller.replica().revision {
+            let changes = self.store.events_after(controller.replica().revision);
             // A vacancy need not be noticed here: every step campaigns if it may.
             let _ = controller.apply_watch_events(self.store.revision(), &changes);
             *watch = Some(fresh);
--- a/src/controller/tests/simulation/cluster/peers.rs
+++ b/src/controller/tests/simulation/cluster/peers.rs
@@ -34,15 +34,14 @@
         let Some(sender) = self.nodes[from].controller.as_ref() else {
             return;
         };
-        let unknown = sender.cancellations.message_for(&peer);
+        let unknown = sender.cancellation_message_for(&peer);
         let Some(receiver) = self.nodes[to].controller.as_mut() else {
             return;
         };
         if let Some((message, last)) = unknown {
             let revision = receiver.receive_cancellations(&message);
-            let cancellations = &mut self.nodes[from].running_mut().cancellations;
-            cancellations.acknowledged(&peer, last);
-            cancellations.peer_replica_reached(&peer, revision);
+            let sender = self.nodes[from].running_mut();
+            sender.record_acknowledgement(&peer, last, revision);
         }
         let since_exchange = self.now().as_millis() % whole_millis(VIEW_INTERVAL);
         if since_exchange < whole_millis(STEP) {
--- a/src/controller/tests/simulation/mod.rs
+++ b/src/controller/tests/simulation/mod.rs
@@ -156,7 +156,7 @@
     /// The controller that has the authority to start tasks.
     pub(super) fn leader(&self) -> Option<usize> {
         let leads = |controller: &ControllerState| {
-            controller.scheduler.is_some() && controller.authority() == Authority::Full
+            controller.is_scheduling() && controller.authority() == Authority::Full
         };
         self.nodes
             .iter()
--- a/src/controller/tests/simulation/settling.rs
+++ b/src/controller/tests/simulation/settling.rs
@@ -104,7 +104,7 @@
             "not settled: {unsettled:?}, {roles:?}, {machines:#?}"
         ));
         if let Some(leader) = self.leader() {
-            let scheduler = self.nodes[leader].running().scheduler.as_ref();
+            let scheduler = self.nodes[leader].running().scheduler();
             eprintln!("{}", scheduler.unwrap().describe());
         }
     }
--- a/src/controller/tests/simulation/users.rs
+++ b/src/controller/tests/simulation/users.rs
@@ -84,7 +84,7 @@
         let Some(controller) = self.nodes[node].controller.as_mut() else {
             return false;
         };
-        let Some(live) = controller.replica.live.get(id).cloned() else {
+        let Some(live) = controller.replica().live.get(id).cloned() else {
             return false;
         };
         let TxnOutcome::Applied(revision) = self.store.commit(&store::cancel_txn(id, &live)) else {
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -44,7 +44,7 @@
         if let Some(final_state) = self.remembered_final_state(id) {
             return ControlFlow::Break(self.confirm_final(id, final_state).await);
         }
-        let Some(live) = self.read_state(|state| state.replica.live.get(id).cloned()) else {
+        let Some(live) = self.read_state(|state| state.replica().live.get(id).cloned()) else {
             return match self.poll(id).await {
                 // The job is in the replica by now, or its final state is remembered.
                 JobOutcome::Known(_) => ControlFlow::Continue(()),
@@ -118,7 +118,7 @@
     /// takes milliseconds, or until its authority to start tasks has ended in any case.
     async fn wait_until_no_task_can_start(&self, notice: Notice) {
         let deadline = self.read_state(|state| {
-            let lease_ttl = state.settings.operator.leader_lease();
+            let lease_ttl = state.settings().operator.leader_lease();
             state.now() + longest_authority(lease_ttl)
         });
         let settled = || {
--- a/src/controller/user_requests/mod.rs
+++ b/src/controller/user_requests/mod.rs
@@ -22,7 +22,7 @@
 impl Handles {
     /// The final state of a job, if this controller remembers it.
     fn remembered_final_state(&self, id: &str) -> Option<FinalRecord> {
-        self.read_state(|state| state.replica.final_state(id))
+        self.read_state(|state| state.replica().final_state(id))
     }
 
     /// The final state of a job, remembered or read from the store; [`StoreError::NotFound`] if it has none.
--- a/src/controller/user_requests/poll.rs
+++ b/src/controller/user_requests/poll.rs
@@ -24,7 +24,7 @@
         if let Some(view) = self.read_state(|state| state.job_view(id)) {
             return JobOutcome::Known(view);
         }
-        if self.read_state(|state| state.replica.is_absent(id)) {
+        if self.read_state(|state| state.replica().is_absent(id)) {
             return JobOutcome::NotFound;
         }
         if let Err(retry) = self.admit_read() {
@@ -35,11 +35,11 @@
 
     /// Reads the final state of a job that is not in the replica.
     async fn poll_store(&self, id: &str) -> JobOutcome {
-        let generation = self.read_state(|state| state.replica.generation);
+        let generation = self.read_state(|state| state.replica().generation);
         match self.final_state(id).await {
             Ok(final_state) => final_outcome(id, final_state),
             Err(StoreError::NotFound) => {
-                self.with_state(|state| state.replica.remember_absent(id, generation));
+                self.with_state(|state| state.remember_absent(id, generation));
                 JobOutcome::NotFound
             }
             Err(_) => JobOutcome::RETRY_SOON,
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -79,7 +79,7 @@
     /// The state of a job that is unfinished in the store, and perhaps not in the replica yet.
     fn unfinished_view(&self, id: &str) -> JobView {
         self.read_state(|state| {
-            let in_replica = state.replica.live.contains_key(id);
+            let in_replica = state.replica().live.contains_key(id);
             in_replica.then(|| state.job_view(id)).flatten()
         })
         .unwrap_or_else(|| queued_view(id))
@@ -98,9 +98,9 @@
 impl ControllerState {
     /// What is known of a submitted job without asking the store.
     fn assess(&self, spec: &JobSpec) -> Assessment {
-        if self.replica.live.contains_key(&spec.id) {
+        if self.replica().live.contains_key(&spec.id) {
             Assessment::Unfinished
-        } else if !self.replica.initialized || self.machine_types.is_empty() {
+        } else if !self.replica().initialized || self.machine_types().is_empty() {
             Assessment::NotReady
         } else if let Err(reason) = self.check_runnable(spec) {
             Assessment::Rejected(reason)
@@ -111,7 +111,7 @@
 
     /// Whether a job can run at all under the settings and with the machine types of now.
     fn check_runnable(&self, spec: &JobSpec) -> Result<(), JobRejection> {
-        let teams = &self.settings.platform.deployment.teams;
+        let teams = &self.settings().platform.deployment.teams;
         let team = teams
             .iter()
             .find(|team| team.name == spec.team)
@@ -127,7 +127,7 @@
 
     /// Whether one task fits an empty machine of a type that the job allows.
     fn a_machine_type_fits(&self, spec: &JobSpec) -> bool {
-        self.machine_types.iter().any(|machine_type| {
+        self.machine_types().iter().any(|machine_type| {
             let type_allowed = spec
                 .types
                 .as_ref()
