--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -1,20 +1,12 @@
 //! The actor: it owns the handles that the loops share, spawns the loops and hands every message to what handles it.
 
-use super::clock::Clock;
 use super::handles::Handles;
 use super::messages::{
     Cancel, Health, Heartbeat, HeartbeatResponse, JobOutcome, PeerCancelled, PeerView, Poll, Submit,
 };
 use super::state::ControllerState;
-use crate::clients::cloud::CloudClient;
-use crate::clients::http::http_client;
 use crate::config::Settings;
-use crate::store::{Revision, StoreClient};
 use actix::prelude::*;
-use rand::Rng;
-use std::cell::RefCell;
-use std::rc::Rc;
-use tokio::sync::{watch, Notify};
 
 /// A controller. All of its state is in one thread; its loops and handlers take turns.
 pub struct Controller {
@@ -24,25 +16,9 @@
 impl Controller {
     /// A controller that has yet to be started.
     pub(crate) fn new(settings: Settings) -> Controller {
-        let limits = &settings.platform.deployment.machine_limits;
-        let http = http_client((limits.max_connections / 8).clamp(8, 100));
-        let incarnation = rand::thread_rng().gen::<u64>() >> 1;
-        let external = settings.platform.external.clone();
-        let state = ControllerState::new(settings, incarnation, Clock::start());
-        let handles = Handles {
-            state: Rc::new(RefCell::new(state)),
-            store: StoreClient::new(http.clone(), external.state),
-            cloud: CloudClient::new(http.clone(), external.cloud),
-            http,
-            replica_revision: Rc::new(watch::channel(Revision::ZERO).0),
-            campaign_requested: Rc::new(Notify::new()),
-            read_requested: Rc::new(Notify::new()),
-            cancellation_recorded: Rc::new(Notify::new()),
-            round_requested: Rc::new(Notify::new()),
-            start_log_requested: Rc::new(Notify::new()),
-            leadership_acquired: Rc::new(Notify::new()),
-        };
-        Controller { handles }
+        Controller {
+            handles: Handles::new(settings),
+        }
     }
 }
 
@@ -62,7 +38,7 @@
         actix::spawn(handles().run_flush_loop());
         actix::spawn(handles().run_cloud_loop());
         actix::spawn(handles().run_peer_view_loop());
-        actix::spawn(handles().run_cancellation_broadcast());
+        actix::spawn(handles().run_cancellation_broadcast_loop());
     }
 }
 
--- a/src/controller/cancellation_broadcast.rs
+++ b/src/controller/cancellation_broadcast_loop.rs
@@ -12,7 +12,7 @@
 
 impl Handles {
     /// Sends every peer the cancellations that it does not know of, again until it knows.
-    pub(super) async fn run_cancellation_broadcast(self) {
+    pub(super) async fn run_cancellation_broadcast_loop(self) {
         let peers = self.read_state(|state| state.settings().platform.peers.clone());
         loop {
             let recorded = self.cancellation_recorded.notified();
--- a/src/controller/flush_loop.rs
+++ b/src/controller/flush_loop.rs
@@ -26,7 +26,7 @@
     async fn flush_completions(&self, epoch: &Guard) {
         let completions = self.read_state(|state| state.job_completions(epoch));
         for completion in completions {
-            // If it failed, the job was cancelled, or an earlier try without an answer was applied: the watch tells.
+            // If it failed, the job was cancelled, or an earlier try without an answer was applied: the watch shows it.
             if let Ok(TxnOutcome::Applied(_)) = self.leader_transaction(&completion.txn).await {
                 self.with_state(|state| state.finish_job(&completion.job, completion.tasks));
             }
@@ -41,7 +41,7 @@
             Ok(TxnOutcome::Applied(_)) => {
                 self.with_state(|state| state.record_stored_results(epoch, &write.chunks));
             }
-            // The replica lags behind an earlier write, or a job has just ended: the watch tells.
+            // The replica lags behind an earlier write, or a job has just ended: the watch shows it.
             Ok(TxnOutcome::Failed(keys)) => tracing::debug!(?keys, "results not stored yet"),
             // The store refused the write or did not answer: the next round tries again.
             Err(_) => {}
--- a/src/controller/handles.rs
+++ b/src/controller/handles.rs
@@ -1,17 +1,21 @@
 //! What the loops of a controller share.
 
+use super::clock::Clock;
 use super::state::ControllerState;
 use crate::clients::cloud::CloudClient;
+use crate::clients::http::http_client;
+use crate::config::Settings;
 use crate::store::{Revision, StoreClient};
+use rand::Rng;
 use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::{watch, Notify};
 
 /// Handles that all loops of a controller share.
 #[derive(Clone)]
 pub(super) struct Handles {
-    pub(super) state: Rc<RefCell<ControllerState>>,
+    /// Borrowed by [`Handles::read_state`] and [`Handles::with_state`] only.
+    state: Rc<RefCell<ControllerState>>,
     pub(super) store: StoreClient,
     pub(super) cloud: CloudClient,
     pub(super) http: awc::Client,
@@ -21,7 +25,7 @@
     pub(super) campaign_requested: Rc<Notify>,
     /// A linearizable read is waiting.
     pub(super) read_requested: Rc<Notify>,
-    /// The peers have to be told of a cancellation.
+    /// The peers have to be notified of a cancellation.
     pub(super) cancellation_recorded: Rc<Notify>,
     /// Something may have to be placed or sent at once.
     pub(super) round_requested: Rc<Notify>,
@@ -31,12 +35,34 @@
     pub(super) leadership_acquired: Rc<Notify>,
 }
 
-/// Sleeps for a number of milliseconds.
-pub(super) fn pause(ms: u64) -> tokio::time::Sleep {
-    tokio::time::sleep(Duration::from_millis(ms))
-}
+/// Bounds of the number of connections of the HTTP client, which otherwise may use an eighth of all connections.
+const MIN_HTTP_CONNECTIONS: usize = 8;
+const MAX_HTTP_CONNECTIONS: usize = 100;
 
 impl Handles {
+    /// The handles of a controller that has yet to read the store, as a new incarnation of its node.
+    pub(super) fn new(settings: Settings) -> Handles {
+        let max_connections = settings.platform.deployment.machine_limits.max_connections;
+        let connections = (max_connections / 8).clamp(MIN_HTTP_CONNECTIONS, MAX_HTTP_CONNECTIONS);
+        let http = http_client(connections);
+        let incarnation = rand::thread_rng().gen::<u64>() >> 1;
+        let external = settings.platform.external.clone();
+        let state = ControllerState::new(settings, incarnation, Clock::start());
+        Handles {
+            state: Rc::new(RefCell::new(state)),
+            store: StoreClient::new(http.clone(), external.state),
+            cloud: CloudClient::new(http.clone(), external.cloud),
+            http,
+            replica_revision: Rc::new(watch::channel(Revision::ZERO).0),
+            campaign_requested: Rc::default(),
+            read_requested: Rc::default(),
+            cancellation_recorded: Rc::default(),
+            round_requested: Rc::default(),
+            start_log_requested: Rc::default(),
+            leadership_acquired: Rc::default(),
+        }
+    }
+
     /// Reads the controller's state.
     ///
     /// The state is borrowed for the call of a closure that cannot wait, so that no borrow is held across an `await`.
@@ -49,7 +75,8 @@
         change(&mut self.state.borrow_mut())
     }
 
-    /// Waits until this node leads. The leader's loops do not run on followers, where their timers were most of the wake-ups.
+    /// Waits until this controller schedules. The leader's loops do not run on followers: there, their timers once caused most of
+    /// the process's wake-ups.
     pub(super) async fn wait_until_leading(&self) {
         while !self.read_state(ControllerState::is_scheduling) {
             self.leadership_acquired.notified().await;
--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -15,7 +15,7 @@
         self.cancellations.message_for(peer)
     }
 
-    /// A peer has acknowledged everything up to a notice and told the revision of its replica.
+    /// A peer has acknowledged everything up to a notice and answered with the revision of its replica.
     pub(in crate::controller) fn record_acknowledgement(
         &mut self,
         peer: &str,
--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -11,7 +11,7 @@
 pub(in crate::controller) const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
 /// Share of the store's changes that each of the batches in a round may take.
 const CHANGE_RATE_SHARE: f64 = 0.25;
-/// Most jobs that are made final in a round.
+/// The largest number of jobs that are made final in a round.
 const MAX_COMPLETIONS: usize = 8;
 
 /// A job whose tasks are all done, to be made final.
@@ -49,7 +49,7 @@
         Some(guard(store::epoch_key(), term.epoch_version))
     }
 
-    /// Most changes of one batch. Results wait on their machines until they are stored, so that they need not be written at
+    /// The largest number of changes in one batch. Results wait on their machines until they are stored, so that they need not be written at
     /// once: a quarter of the store's changes is theirs, the oldest first.
     #[expect(
         clippy::cast_possible_truncation,
--- a/src/controller/state/replica_changes.rs
+++ b/src/controller/state/replica_changes.rs
@@ -54,8 +54,8 @@
         leader_key
     }
 
-    /// An unfinished job has appeared. Its cancellation may be known already: a peer may tell of it before this replica sees
-    /// the job come and go.
+    /// An unfinished job has appeared. Its cancellation may be known already: a peer may have sent it before this replica
+    /// sees the job come and go.
     fn add_job(&mut self, id: &str, unix_millis: u64) {
         let now = self.now();
         let (Some(scheduler), Some(job)) = (self.scheduler.as_mut(), self.replica.live.get(id))
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Whether a round should follow a heartbeat at once. Nothing follows from one that tells nothing new.
+    /// Whether a round should follow a heartbeat at once. A heartbeat without news needs none.
     pub(in crate::controller) fn needs_round(&self) -> bool {
         self.scheduler.as_ref().is_some_and(Scheduler::needs_pass)
     }
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -6,11 +6,11 @@
 use crate::scheduler::SlotWrite;
 use crate::store::{self, guard, StoreError, TxnOutcome, Versioned};
 
-/// Most bytes that a request to the state service may have.
+/// The largest number of bytes of a request to the store.
 const MAX_REQUEST_BYTES: usize = 60 << 10;
-/// Bytes that are enough for one condition of a transaction.
+/// A number of bytes that is enough for one condition of a transaction.
 const BYTES_PER_CONDITION: usize = 100;
-/// Most conditions of one write.
+/// The largest number of conditions of one write.
 const MAX_CONDITIONS: usize = 100;
 /// Bytes for the quotes of the value, and for the rest of the transaction.
 const VALUE_OVERHEAD_BYTES: usize = 64;
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -1,19 +1,20 @@
-//! Calls of the state service, with the retries of the leader's transactions.
+//! Calls of the store: what every answer says about its reachability, and the retries of the leader's transactions.
 
-use super::handles::{pause, Handles};
+use super::handles::Handles;
 use super::state::ControllerState;
 use crate::protocol::Txn;
 use crate::store::{StoreError, TxnOutcome};
 use rand::Rng;
 use std::ops::Range;
+use std::time::Duration;
 
-/// Retries of a leader's transaction that exceeds the state service's request rate.
+/// Retries of a leader's transaction that exceeds the store's request rate.
 const RETRY_LIMIT: u32 = 6;
 /// Milliseconds before a retry, drawn at random.
 const RETRY_DELAY_MS: Range<u64> = 40..160;
 
 impl Handles {
-    /// Records that the state service answered, if it did, and passes the result on.
+    /// Records that the store answered, if it did, and passes the result on.
     pub(super) fn record_store_answer<T>(
         &self,
         result: Result<T, StoreError>,
@@ -27,7 +28,7 @@
         result
     }
 
-    /// Runs a transaction of the leader, with retries while it exceeds the state service's request rate.
+    /// Runs a transaction of the leader, with retries while it exceeds the store's request rate.
     pub(super) async fn leader_transaction(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         let mut retries = 0;
         loop {
@@ -37,7 +38,8 @@
                 return result;
             }
             retries += 1;
-            pause(rand::thread_rng().gen_range(RETRY_DELAY_MS)).await;
+            let delay_ms = rand::thread_rng().gen_range(RETRY_DELAY_MS);
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
     }
 }
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -9,22 +9,24 @@
 //! A cancellation of a job that is final changes nothing, but its answer waits in the same way.
 
 use super::final_outcome;
-use crate::controller::handles::{pause, Handles};
+use crate::controller::handles::Handles;
 use crate::controller::messages::JobOutcome;
 use crate::coordination::cancellations::Notice;
 use crate::coordination::leadership::longest_authority;
 use crate::coordination::peers::CancelledJob;
 use crate::store::{self, FinalRecord, LiveRecord, Revision, StoreError, TxnOutcome, Versioned};
 use std::ops::ControlFlow;
+use std::time::Duration;
+use tokio::time::sleep;
 
 /// Number of changes of the store by a cancellation.
 const CANCELLATION_CHANGES: u32 = 3;
 /// How often a cancellation is tried when the job changes meanwhile.
 const ATTEMPTS: usize = 3;
 /// Time before the next attempt when neither the job's record nor its final state was as expected.
-const RETRY_MS: u64 = 100;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time between two checks of whether the leader knows of a cancellation.
-const ACKNOWLEDGEMENT_POLL_MS: u64 = 10;
+const ACKNOWLEDGEMENT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The result of one attempt: the outcome, or that the job changed meanwhile.
 type Attempt = ControlFlow<JobOutcome>;
@@ -83,7 +85,7 @@
             }
             Ok(found) => ControlFlow::Break(final_outcome(id, found.record)),
             Err(StoreError::NotFound) => {
-                pause(RETRY_MS).await;
+                sleep(RETRY_DELAY).await;
                 ControlFlow::Continue(())
             }
             Err(_) => ControlFlow::Break(JobOutcome::RETRY_SOON),
@@ -125,7 +127,7 @@
             self.read_state(|state| state.is_cancellation_settled(notice) || state.now() > deadline)
         };
         while !settled() {
-            pause(ACKNOWLEDGEMENT_POLL_MS).await;
+            sleep(ACKNOWLEDGEMENT_POLL_INTERVAL).await;
         }
     }
 }
