--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -49,8 +49,8 @@
         Some(guard(store::epoch_key(), term.epoch_version))
     }
 
-    /// The largest number of changes in one batch. Results wait on their machines until they are stored, so that they need not be written at
-    /// once: a quarter of the store's changes is theirs, the oldest first.
+    /// The largest number of changes in one batch. Results wait on their machines until they are stored, so that they need not
+    /// be written at once: a quarter of the store's changes is theirs, the oldest first.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/src/controller/state/round_timing.rs
+++ b/src/controller/state/round_timing.rs
@@ -1,5 +1,8 @@
 //! When the steps of a scheduling round are due, and whether the process was paused between two rounds.
 
+#[cfg(test)]
+mod tests;
+
 use crate::time::Timestamp;
 use std::time::Duration;
 
