--- a/src/controller/tests/cancellation_broadcast.rs
+++ b/src/controller/tests/cancellation_broadcast.rs
@@ -21,7 +21,7 @@
 /// The leader's watch is stalled, and the node that took the cancellation does not reach it. The third node passes the
 /// cancellation on, so that the leader stops the job at once.
 #[test]
-fn a_cancellation_reaches_the_leader_by_way_of_the_third_node() {
+fn a_cancellation_reaches_an_unreachable_leader_through_the_third_node() {
     let mut simulation = Simulation::new(3, 4);
     simulation.submit(spec("wk-1", 4), 600 * SECOND);
     simulation.run(5 * SECOND);
@@ -39,7 +39,7 @@
             .replica()
             .final_state("wk-1")
             .is_some(),
-        "the leader was not told"
+        "the leader does not know of the cancellation"
     );
     assert_eq!(simulation.running("wk-1"), 0);
     // The node that was asked does not know that the leader knows, and waits for the end of its authority.
@@ -49,10 +49,10 @@
     simulation.assert_no_violations();
 }
 
-/// A request to cancel that is repeated at another node is answered by that node's knowledge. A node that was told by the
-/// first, but not the leader, once answered at once.
+/// A repeated request to cancel is answered by what the node that receives it knows. A node that the first one had notified
+/// once answered at once, before the leader was notified.
 #[test]
-fn a_node_that_was_told_of_a_cancellation_waits_for_the_leader_too() {
+fn a_node_notified_of_a_cancellation_confirms_it_only_once_the_leader_knows() {
     let mut simulation = Simulation::new(4, 4);
     simulation.submit(spec("wk-1", 4), 600 * SECOND);
     simulation.run(5 * SECOND);
@@ -80,7 +80,7 @@
 
 /// A cancellation that a node reads from the store, and that no other node sent it, is passed on as well.
 #[test]
-fn a_cancellation_that_was_read_from_the_store_is_told_to_the_leader() {
+fn a_cancellation_read_from_the_store_is_sent_to_the_leader() {
     let mut simulation = Simulation::new(5, 4);
     let leader = simulation.leader().unwrap();
     let Followers { first, .. } = followers(leader);
--- a/src/controller/tests/simulation/invariants.rs
+++ b/src/controller/tests/simulation/invariants.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The store commits a transaction; the final states that users were told stay true.
+    /// The store commits a transaction; final states never change.
     pub(super) fn commit(&mut self, txn: &Txn) -> TxnOutcome {
         let written: Vec<FinalState> = txn
             .apply
