--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -18,9 +18,9 @@
 /// A scheduler with two machine types; the first is the cheaper one.
 fn scheduler() -> Scheduler {
     let params = Params {
-        lease_ms: 12_000,
-        report_ms: 1500,
-        grace_ms: 10_000,
+        lease: Duration::from_secs(12),
+        heartbeat_interval: Duration::from_millis(1500),
+        grace_period: Duration::from_secs(10),
         group_factor: 1.25,
         fetch_gb_per_s: 0.1,
         transfer_test: true,
--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -2,6 +2,7 @@
 
 use super::index::{JobIndex, MachineIndex};
 use crate::protocol::FencingToken;
+use crate::time::Timestamp;
 
 /// A task of a present job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -46,7 +47,7 @@
     pub(super) attempt: u64,
     pub(super) phase: Phase,
     /// Since when it is in this phase.
-    pub(super) since: u64,
+    pub(super) since: Timestamp,
     /// How its start was sent.
     pub(super) route: Route,
     /// Its entry in the start log is durable: before that it is not sent.
@@ -102,7 +103,7 @@
 
 impl TaskAttempt {
     /// An attempt that is assigned to a machine.
-    fn assigned(machine: MachineIndex, attempt: u64, now: u64) -> TaskAttempt {
+    fn assigned(machine: MachineIndex, attempt: u64, now: Timestamp) -> TaskAttempt {
         TaskAttempt {
             machine,
             attempt,
@@ -117,7 +118,7 @@
     }
 
     /// An attempt that another epoch has started.
-    fn adopted(machine: MachineIndex, attempt: u64, phase: Phase, now: u64) -> TaskAttempt {
+    fn adopted(machine: MachineIndex, attempt: u64, phase: Phase, now: Timestamp) -> TaskAttempt {
         TaskAttempt {
             phase,
             logged: true,
@@ -127,7 +128,7 @@
     }
 
     /// The same attempt in another phase from now on.
-    fn in_phase(self, phase: Phase, now: u64) -> TaskAttempt {
+    fn in_phase(self, phase: Phase, now: Timestamp) -> TaskAttempt {
         TaskAttempt {
             phase,
             since: now,
@@ -158,7 +159,7 @@
 
 impl Transition {
     /// What an event makes of a task.
-    pub(super) fn of(current: Option<TaskAttempt>, event: TaskEvent, now: u64) -> Transition {
+    pub(super) fn of(current: Option<TaskAttempt>, event: TaskEvent, now: Timestamp) -> Transition {
         match current {
             Some(attempt) => Transition::of_active(attempt, event, now),
             None => Transition::of_inactive(event, now),
@@ -166,7 +167,7 @@
     }
 
     /// What an event makes of a task that is on no machine.
-    fn of_inactive(event: TaskEvent, now: u64) -> Transition {
+    fn of_inactive(event: TaskEvent, now: Timestamp) -> Transition {
         match event {
             TaskEvent::Assign { machine, attempt } => {
                 Transition::To(TaskAttempt::assigned(machine, attempt, now))
@@ -181,7 +182,7 @@
     }
 
     /// What an event makes of a task that is, or may be, on a machine.
-    fn of_active(attempt: TaskAttempt, event: TaskEvent, now: u64) -> Transition {
+    fn of_active(attempt: TaskAttempt, event: TaskEvent, now: Timestamp) -> Transition {
         let assigned = attempt.phase == Phase::Assigned;
         match event {
             TaskEvent::Log if assigned => Transition::To(TaskAttempt {
@@ -209,7 +210,7 @@
     }
 
     /// Stops a task that was sent. One that gets time to save may still be stopped at once, but not the other way round.
-    fn of_stop(attempt: TaskAttempt, save: bool, now: u64) -> Transition {
+    fn of_stop(attempt: TaskAttempt, save: bool, now: Timestamp) -> Transition {
         match attempt.phase {
             Phase::Stopping { save: false } => Transition::Unchanged,
             Phase::Stopping { save: true } if save => Transition::Unchanged,
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -7,6 +7,7 @@
 use super::scheduling_pass::Pass;
 use super::Scheduler;
 use crate::placement::{Candidate, Preference};
+use crate::time::whole_millis;
 use std::time::Duration;
 
 /// A job that has waited for this long takes any machine that fits: 40 % of the 90 s for which a job may wait while there is
@@ -130,7 +131,7 @@
             return None;
         }
         let spent_s = if attempt.phase == Phase::Running {
-            self.now.saturating_sub(attempt.since) as f64 / 1000.0
+            whole_millis(self.elapsed_since(attempt.since)) as f64 / 1000.0
         } else {
             0.0
         };
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -98,7 +98,7 @@
         let Some(team) = job.team else { return 0 };
         let left = quotas.of(team);
         let per_task = job.task_resources.quota();
-        let tasks = job.placeable(self.now).min(per_task.count_fitting(*left));
+        let tasks = job.placeable(self.now()).min(per_task.count_fitting(*left));
         if job.is_gang() && tasks < job.pending() {
             return 0;
         }
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -5,9 +5,10 @@
 use crate::scheduler::index::{JobIndex, MachineIndex};
 use crate::scheduler::machines::MachineState;
 use crate::scheduler::Scheduler;
+use std::time::Duration;
 
 /// Pause of a job of which a task has ended for an unknown reason.
-const UNKNOWN_EXIT_DELAY_MS: u64 = 2000;
+const UNKNOWN_EXIT_DELAY: Duration = Duration::from_secs(2);
 /// A job that has failed on so many machines, and of which nothing has finished, says nothing of machines.
 const ACQUITTING_MACHINES: usize = 2;
 
@@ -55,12 +56,13 @@
     }
 
     fn finish_task(&mut self, machine: MachineIndex, task: TaskId, active: Option<TaskAttempt>) {
-        let now = self.now;
+        let now = self.now();
         self.job_mut(task.job).record_result(task.number);
         self.jobs.mark_unsaved(task, now);
         if let Some(active) = active {
             if active.phase == Phase::Running {
-                self.measure_task_time(machine, task.job, now.saturating_sub(active.since) as f64);
+                let took = now.saturating_duration_since(active.since);
+                self.measure_task_time(machine, task.job, took);
             }
             self.machine_mut(machine).health.record_success();
             self.apply_event(task, TaskEvent::Finished);
@@ -68,12 +70,12 @@
         self.changed = true;
     }
 
-    /// A task of a job has finished on a machine after so many milliseconds: measures the job's mean, and the machine against
+    /// A task of a job has finished on a machine after this time: measures the job's mean, and the machine against
     /// it.
-    fn measure_task_time(&mut self, machine: MachineIndex, job: JobIndex, took_ms: f64) {
+    fn measure_task_time(&mut self, machine: MachineIndex, job: JobIndex, took: Duration) {
         let job = self.job_mut(job);
         let class = job.class;
-        if let Some(ratio) = job.record_run_time(took_ms) {
+        if let Some(ratio) = job.run_times.record(took) {
             let capability = &mut self.machine_mut(machine).capability;
             capability.measure(class, ratio);
         }
@@ -88,7 +90,7 @@
                 self.machine_mut(machine).health.record_refused_start(now);
             }
             Some(ExitReason::Unknown) => {
-                self.job_mut(job).retry_at = self.now + UNKNOWN_EXIT_DELAY_MS;
+                self.job_mut(job).retry_at = self.now() + UNKNOWN_EXIT_DELAY;
             }
             _ => {}
         }
@@ -98,14 +100,13 @@
     /// quarantined. A job of which nothing has finished and that fails elsewhere too says nothing of machines, and what was
     /// held against them for its sake is taken back; once it has failed on several it is tried rarely, one task at a time.
     fn task_failed(&mut self, machine: MachineIndex, j: JobIndex) {
-        let now = self.now;
+        let now = self.now();
         let job = self.job_mut(j);
         job.record_failure(machine, now);
         if !job.is_proven(now) && job.failures.machine_count() >= ACQUITTING_MACHINES {
             self.acquit_machines(j);
             return;
         }
-        let now = self.now();
         if self.machine_mut(machine).health.record_failure(j, now) {
             self.quarantine(machine);
         }
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -10,6 +10,7 @@
 use crate::scheduler::attempt::{Phase, Route, TaskAttempt, TaskEvent, TaskId};
 use crate::scheduler::index::MachineIndex;
 use crate::scheduler::Scheduler;
+use crate::time::whole_millis;
 use std::collections::HashSet;
 
 /// Shortest fetch, in seconds, from which the fetch rate is measured.
@@ -243,7 +244,7 @@
         }
         if active.phase != phase {
             let (job, machine) = (self.job(task.job), self.machine(machine));
-            let age_ms = self.now.saturating_sub(job.submitted_at);
+            let age_ms = whole_millis(self.elapsed_since(job.submitted_at));
             let held = machine.images().contains(&image);
             tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name(), ?phase, held, age_ms, "task");
         }
@@ -254,7 +255,7 @@
     /// A machine has fetched the image of a task: measures the fetch rate of its type.
     fn measure_fetch(&mut self, machine: MachineIndex, task: TaskId, active: TaskAttempt) {
         let size_gb = self.job(task.job).record.spec.image_gb;
-        let took_s = self.now.saturating_sub(active.since) as f64 / 1000.0;
+        let took_s = whole_millis(self.elapsed_since(active.since)) as f64 / 1000.0;
         if took_s <= MIN_MEASURED_FETCH_S || size_gb <= 0.0 {
             return;
         }
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -61,7 +61,7 @@
     /// The machine shows its current token. If it had not done so, or not of late, tasks may be placed there from now on.
     fn confirm_token(&mut self, heartbeat: Heartbeat) {
         let now = self.now();
-        let overdue = self.params.heartbeat_interval() * 3;
+        let overdue = self.params.heartbeat_interval * 3;
         let contact = &mut self.machine_mut(heartbeat.machine).contact;
         let was_unavailable = !contact.acknowledges_token() || contact.is_silent_for(overdue, now);
         contact.acknowledge_token(now);
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -2,32 +2,28 @@
 
 use super::attempt::{Phase, TaskAttempt};
 use super::index::{ImageIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
+use super::job_progress::{Failures, PendingTasks, RunTimes};
 use super::quota::TeamIndex;
 use super::task_bitmap::TaskBitmap;
 use crate::placement::ResourceClass;
 use crate::protocol::{JobSpec, Kind, Priority};
 use crate::resources::Resources;
 use crate::store::{LiveRecord, Revision};
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use crate::time::Timestamp;
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
 
 /// A job that has failed on so many machines, and of which no task has finished, is taken for one with a mistake.
 const FAULTY_JOB_MACHINES: usize = 3;
 /// A task that has run for so long is no mistake.
-const PROVEN_RUN_MS: u64 = 30_000;
-/// The first pause between two tries of a job that fails everywhere; it doubles with each failure.
-const FIRST_RETRY_DELAY_MS: u64 = 1000;
-/// Longest pause between two tries of a job that fails everywhere.
-const LONGEST_RETRY_DELAY_MS: u64 = 60_000;
-/// Doublings of the pause after which it stays the same.
-const RETRY_DELAY_DOUBLINGS: u32 = 6;
-
+const PROVEN_RUN: Duration = Duration::from_secs(30);
 /// An unfinished job, or a cancelled one of which something may still run.
 pub struct Job {
     /// Its record.
     pub record: LiveRecord,
     /// The version of its record.
     pub(super) version: Revision,
-    pub(super) submitted_at: u64,
+    pub(super) submitted_at: Timestamp,
     pub(super) team: Option<TeamIndex>,
     pub(super) image: ImageIndex,
     /// The resource class in which machines are measured for it.
@@ -53,63 +49,15 @@
     pub(super) run_times: RunTimes,
     pub(super) failures: Failures,
     /// Nothing of it is placed before.
-    pub(super) retry_at: u64,
+    pub(super) retry_at: Timestamp,
     /// When a task of it last found a place, or it became known here.
-    pub(super) last_placed_at: u64,
+    pub(super) last_placed_at: Timestamp,
     /// Whether its team's guarantee covers it, as of the last look at the queue.
     pub(super) within_guarantee: bool,
     /// How often each task was stopped to make room for others.
     pub(super) preemptions: BTreeMap<u32, u32>,
 }
 
-/// Which tasks of a job to start next, without a list of them all.
-#[derive(Debug, Default)]
-pub(super) struct PendingTasks {
-    /// The tasks below have all been looked at; those of them that are pending again are in `returned`.
-    first_new: u32,
-    /// Tasks that were active and have to run again.
-    returned: BTreeSet<u32>,
-}
-
-impl PendingTasks {
-    /// A task is no longer active, and not done.
-    pub(super) fn put_back(&mut self, number: u32) {
-        self.returned.insert(number);
-    }
-}
-
-/// How long a job's finished tasks have run.
-#[derive(Debug, Default)]
-pub(super) struct RunTimes {
-    count: u32,
-    mean_ms: f64,
-}
-
-/// The failures of a job's tasks.
-#[derive(Debug, Default)]
-pub(super) struct Failures {
-    machines: HashSet<MachineIndex>,
-    /// Failures since a task last finished.
-    consecutive: u32,
-}
-
-impl Failures {
-    /// Whether a task of the job has failed on a machine.
-    pub(super) fn includes_machine(&self, machine: MachineIndex) -> bool {
-        self.machines.contains(&machine)
-    }
-
-    /// On how many machines tasks of the job have failed.
-    pub(super) fn machine_count(&self) -> usize {
-        self.machines.len()
-    }
-
-    /// A machine is gone.
-    pub(super) fn remove_machine(&mut self, machine: MachineIndex) {
-        self.machines.remove(&machine);
-    }
-}
-
 /// What a job is made of beside its record.
 pub(super) struct JobPlacement {
     pub(super) team: Option<TeamIndex>,
@@ -127,8 +75,8 @@
         version: Revision,
         placement: JobPlacement,
         results: TaskBitmap,
-        submitted_at: u64,
-        now: u64,
+        submitted_at: Timestamp,
+        now: Timestamp,
     ) -> Job {
         Job {
             record,
@@ -149,7 +97,7 @@
             running: 0,
             run_times: RunTimes::default(),
             failures: Failures::default(),
-            retry_at: 0,
+            retry_at: Timestamp::ZERO,
             last_placed_at: now,
             within_guarantee: false,
             preemptions: BTreeMap::new(),
@@ -245,21 +193,21 @@
     }
 
     /// Whether it fails wherever it is tried: submitted with a mistake, it goes on failing until its user cancels it.
-    pub(super) fn fails_everywhere(&self, now: u64) -> bool {
+    pub(super) fn fails_everywhere(&self, now: Timestamp) -> bool {
         self.failures.machine_count() >= FAULTY_JOB_MACHINES && !self.is_proven(now)
     }
 
     /// Whether a task of it has finished or has run for a while, so that what fails is the machine's fault.
-    pub(super) fn is_proven(&self, now: u64) -> bool {
+    pub(super) fn is_proven(&self, now: Timestamp) -> bool {
         let has_run = |attempt: &TaskAttempt| {
-            attempt.phase == Phase::Running && now > attempt.since + PROVEN_RUN_MS
+            attempt.phase == Phase::Running && now > attempt.since + PROVEN_RUN
         };
         self.done.count() > 0 || self.active.values().any(has_run)
     }
 
     /// Tasks that should find a place now: of a job that fails everywhere one at a time, so that it neither takes the room
     /// of others nor has machines rented.
-    pub(super) fn placeable(&self, now: u64) -> u32 {
+    pub(super) fn placeable(&self, now: Timestamp) -> u32 {
         let pending = self.pending();
         if !self.is_gang() && self.fails_everywhere(now) {
             return if self.active.is_empty() {
@@ -273,17 +221,9 @@
 
     /// Takes the next pending task, which is to become active.
     pub(super) fn take_pending(&mut self) -> Option<u32> {
-        if let Some(number) = self.pending.returned.pop_first() {
-            return Some(number);
-        }
-        while self.pending.first_new < self.tasks() {
-            let number = self.pending.first_new;
-            self.pending.first_new += 1;
-            if !self.done.contains(number) && !self.active.contains_key(&number) {
-                return Some(number);
-            }
-        }
-        None
+        let (tasks, done, active) = (self.record.spec.tasks, &self.done, &self.active);
+        let is_new = |number| !done.contains(number) && !active.contains_key(&number);
+        self.pending.take_next(tasks, is_new)
     }
 
     /// Expected task time on a machine with capability 1, in seconds. A replica has none that could be shorter elsewhere:
@@ -292,33 +232,25 @@
     pub(super) fn expected_run_s(&self) -> f64 {
         match self.spec().kind {
             Kind::Service => 0.0,
-            Kind::Array | Kind::Gang if self.run_times.count > 0 => self.run_times.mean_ms / 1000.0,
-            Kind::Array | Kind::Gang => self.spec().estimate_s.max(1.0),
+            Kind::Array | Kind::Gang => self
+                .run_times
+                .mean_s()
+                .unwrap_or_else(|| self.spec().estimate_s.max(1.0)),
         }
     }
 
     /// A task has finished.
     pub(super) fn record_result(&mut self, number: u32) {
         self.done.insert(number);
-        self.pending.returned.remove(&number);
-        self.failures.consecutive = 0;
-    }
-
-    /// A task that has finished ran for this long. Returns this over the mean of all, if they can be compared.
-    pub(super) fn record_run_time(&mut self, took_ms: f64) -> Option<f64> {
-        let RunTimes { count, mean_ms } = &mut self.run_times;
-        *count += 1;
-        *mean_ms += (took_ms - *mean_ms) / f64::from(*count);
-        (*count > 1 && *mean_ms > 0.0).then(|| took_ms / *mean_ms)
+        self.pending.remove(number);
+        self.failures.record_success();
     }
 
     /// A task has failed on a machine. If the job fails everywhere, it is tried again only after a pause.
-    pub(super) fn record_failure(&mut self, machine: MachineIndex, now: u64) {
-        self.failures.consecutive += 1;
-        self.failures.machines.insert(machine);
+    pub(super) fn record_failure(&mut self, machine: MachineIndex, now: Timestamp) {
+        self.failures.record(machine);
         if self.fails_everywhere(now) {
-            let doublings = self.failures.consecutive.min(RETRY_DELAY_DOUBLINGS);
-            self.retry_at = now + (FIRST_RETRY_DELAY_MS << doublings).min(LONGEST_RETRY_DELAY_MS);
+            self.retry_at = now + self.failures.retry_delay();
         }
     }
 }
--- a/src/scheduler/job_table.rs
+++ b/src/scheduler/job_table.rs
@@ -4,6 +4,7 @@
 use super::index::{JobIndex, Table};
 use super::job::Job;
 use crate::store::{Revision, TASKS_PER_CHUNK};
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, HashMap};
 use std::ops::{Index, IndexMut};
 
@@ -37,7 +38,7 @@
     /// All jobs, the oldest submission first.
     by_submission: Vec<JobIndex>,
     /// Chunks with results that are not stored yet, and since when.
-    unsaved: BTreeMap<ChunkId, u64>,
+    unsaved: BTreeMap<ChunkId, Timestamp>,
 }
 
 impl JobTable {
@@ -113,7 +114,7 @@
     }
 
     /// A task has finished, and its result has to be stored.
-    pub(super) fn mark_unsaved(&mut self, task: TaskId, now: u64) {
+    pub(super) fn mark_unsaved(&mut self, task: TaskId, now: Timestamp) {
         let chunk = ChunkId {
             job: task.job,
             chunk: task.number / TASKS_PER_CHUNK,
@@ -124,7 +125,7 @@
     /// Results that are not stored yet, at most `max_chunks`, the oldest first. Those of complete jobs are left out: the jobs
     /// are made final as a whole.
     pub(super) fn unsaved(&self, max_chunks: usize) -> Vec<DoneChunk> {
-        let mut oldest: Vec<(u64, ChunkId)> = self
+        let mut oldest: Vec<(Timestamp, ChunkId)> = self
             .unsaved
             .iter()
             .map(|(chunk, since)| (*since, *chunk))
@@ -150,7 +151,7 @@
     }
 
     /// Results are durable.
-    pub(super) fn record_saved(&mut self, stored: &DoneChunk, now: u64) {
+    pub(super) fn record_saved(&mut self, stored: &DoneChunk, now: Timestamp) {
         let Some(index) = self.index_of(&stored.job) else {
             return;
         };
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -10,6 +10,7 @@
 use crate::protocol::JobSpec;
 use crate::resources::Resources;
 use crate::store::{LiveRecord, Revision};
+use std::time::Duration;
 
 /// A job of which every task is done.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -52,10 +53,10 @@
         for (chunk, bits) in results {
             saved.insert_chunk(*chunk, bits);
         }
-        let age = unix_millis.saturating_sub(record.at_ms);
-        let submitted_at = self.now.saturating_sub(age);
+        let age = Duration::from_millis(unix_millis.saturating_sub(record.at_ms));
+        let submitted_at = self.now().saturating_sub(age);
         let placement = self.job_placement(&record.spec);
-        let job = Job::new(record, version, placement, saved, submitted_at, self.now);
+        let job = Job::new(record, version, placement, saved, submitted_at, self.now());
         let index = self.jobs.insert(job);
         if cancelled {
             self.cancel(index);
@@ -147,7 +148,8 @@
 
     /// Results are durable.
     pub fn saved(&mut self, stored: &DoneChunk) {
-        self.jobs.record_saved(stored, self.now);
+        let now = self.now();
+        self.jobs.record_saved(stored, now);
     }
 
     /// Unfinished jobs.
--- a/src/scheduler/machines/direct_commands.rs
+++ b/src/scheduler/machines/direct_commands.rs
@@ -139,7 +139,7 @@
             .map(|(index, machine)| (urgency(machine), index))
             .collect();
         due.sort_unstable();
-        let next_at = self.now() + MIN_PROBE_INTERVAL.max(self.params.heartbeat_interval() / 2);
+        let next_at = self.now() + MIN_PROBE_INTERVAL.max(self.params.heartbeat_interval / 2);
         let mut probes = Vec::new();
         for (_, index) in due.into_iter().take(limit) {
             probes.push(self.message_to(index));
--- a/src/scheduler/machines/expiry.rs
+++ b/src/scheduler/machines/expiry.rs
@@ -34,7 +34,7 @@
 
     /// Whether a machine's lease has surely expired.
     fn lease_has_expired(&self, machine: &Machine) -> bool {
-        machine.lease.has_expired(self.params.lease(), self.now())
+        machine.lease.has_expired(self.params.lease, self.now())
     }
 
     /// Nothing is left on a machine whose lease has surely expired.
@@ -69,6 +69,6 @@
 
     /// The time that a task needs to save its progress, with the way of the stop to its worker.
     fn time_to_save(&self, spec: &JobSpec) -> Duration {
-        duration(spec.save_s) + self.params.heartbeat_interval() * 2 + STOP_MARGIN
+        duration(spec.save_s) + self.params.heartbeat_interval * 2 + STOP_MARGIN
     }
 }
--- a/src/scheduler/machines/responsiveness.rs
+++ b/src/scheduler/machines/responsiveness.rs
@@ -18,8 +18,8 @@
     /// Whether a machine takes tasks now.
     pub(in crate::scheduler) fn accepts_tasks(&self, machine: &Machine) -> bool {
         machine.accepts_tasks(
-            self.params.lease(),
-            self.params.heartbeat_interval(),
+            self.params.lease,
+            self.params.heartbeat_interval,
             self.now(),
         )
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -15,6 +15,7 @@
 mod image_holders;
 mod index;
 mod job;
+mod job_progress;
 mod job_table;
 mod jobs;
 mod machine_types;
@@ -84,7 +85,7 @@
 pub struct Scheduler {
     params: Params,
     epoch: u64,
-    now: u64,
+    now: Timestamp,
     machine_types: MachineTypes,
     zones: Names<ZoneIndex>,
     images: Names<ImageIndex>,
@@ -98,7 +99,7 @@
     pending_commands: BTreeSet<MachineIndex>,
     image_holders: ImageHolders,
     /// Nothing is placed before.
-    place_from: u64,
+    place_from: Timestamp,
     last_tick_at: Timestamp,
     zone_health: ZoneHealth,
     fetch_rate: HashMap<MachineTypeIndex, f64>,
@@ -117,7 +118,7 @@
         Scheduler {
             params,
             epoch,
-            now,
+            now: Timestamp::from_millis(now),
             machine_types: MachineTypes::default(),
             zones: Names::default(),
             images: Names::default(),
@@ -128,7 +129,7 @@
             start_log: StartLog::default(),
             pending_commands: BTreeSet::new(),
             image_holders: ImageHolders::default(),
-            place_from: 0,
+            place_from: Timestamp::ZERO,
             last_tick_at: Timestamp::ZERO,
             zone_health: ZoneHealth::default(),
             fetch_rate: HashMap::new(),
@@ -139,18 +140,18 @@
     }
 
     /// The time since a moment; none if it is to come.
-    fn elapsed_since(&self, moment: u64) -> Duration {
-        Duration::from_millis(self.now.saturating_sub(moment))
+    fn elapsed_since(&self, moment: Timestamp) -> Duration {
+        self.now().saturating_duration_since(moment)
     }
 
     /// The moment to which the clock was moved last.
     fn now(&self) -> Timestamp {
-        Timestamp::from_millis(self.now)
+        self.now
     }
 
     /// Moves the clock.
     pub fn at(&mut self, now: u64) {
-        self.now = self.now.max(now);
+        self.now = self.now.max(Timestamp::from_millis(now));
     }
 
     /// Adds or updates the machine types that the cloud's catalogue lists, and their zones.
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -2,7 +2,6 @@
 
 use crate::config;
 use crate::resources::QuotaResources;
-use crate::time::whole_millis;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -36,11 +35,11 @@
 #[derive(Debug, Clone)]
 pub struct Params {
     /// Lease of the workers.
-    pub lease_ms: u64,
+    pub lease: Duration,
     /// Time between heartbeats.
-    pub report_ms: u64,
+    pub heartbeat_interval: Duration,
     /// How long an earlier leader may have renewed leases after its own lease.
-    pub grace_ms: u64,
+    pub grace_period: Duration,
     /// Capability of the fastest machine of a group over that of the slowest, at most.
     pub group_factor: f64,
     /// The fetch rate of images until it is measured.
@@ -59,9 +58,9 @@
     pub fn new(settings: &config::Settings) -> Self {
         let deployment = &settings.platform.deployment;
         Params {
-            lease_ms: whole_millis(deployment.workers.lease()),
-            report_ms: whole_millis(deployment.workers.heartbeat_interval()),
-            grace_ms: whole_millis(settings.grace_period()),
+            lease: deployment.workers.lease(),
+            heartbeat_interval: deployment.workers.heartbeat_interval(),
+            grace_period: settings.grace_period(),
             group_factor: settings.operator.group_factor,
             fetch_gb_per_s: settings.operator.fetch_gb_per_s,
             transfer_test: settings.operator.transfer_test,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -8,10 +8,12 @@
 use super::Scheduler;
 use crate::protocol::Priority;
 use crate::resources::{QuotaResources, Resources};
+use crate::time::Timestamp;
 use std::cmp::Reverse;
+use std::time::Duration;
 
 /// A start counts for its users if nothing stops the task within this time.
-const SETTLED_RUN_MS: u64 = 30_000;
+const SETTLED_RUN: Duration = Duration::from_secs(30);
 
 /// Searches for tasks to preempt that found too few. The next job like it would find none.
 #[derive(Default)]
@@ -45,7 +47,7 @@
     /// Those stopped least often first, lest the same work begin anew for ever.
     preemptions: u32,
     /// The one that loses the least first.
-    since: Reverse<u64>,
+    since: Reverse<Timestamp>,
     task: TaskId,
 }
 
@@ -58,7 +60,7 @@
     unsettled: bool,
     /// What comes free is of no use for the other job.
     useless: bool,
-    lost_ms: u64,
+    lost: Duration,
     task: TaskId,
 }
 
@@ -76,13 +78,13 @@
         let mut being_evicted = self.quotas.being_evicted_by_team();
         for index in queue {
             let job = self.job(index);
-            let allowed = job.placeable(self.now).min(self.quota_allowance(job));
+            let allowed = job.placeable(self.now()).min(self.quota_allowance(job));
             let mut planned = PlannedByZone::default();
             let left = pool.allocate(self, job, allowed, &mut planned);
             if left > 0 {
                 self.preempt(index, left, &mut pool, &mut planned, &mut failed);
             }
-            let beyond_quota = self.job(index).placeable(self.now) - allowed;
+            let beyond_quota = self.job(index).placeable(self.now()) - allowed;
             if beyond_quota > 0 {
                 self.preempt_for_quota(index, beyond_quota, &mut being_evicted);
             }
@@ -130,13 +132,17 @@
                 }
                 let usable = job.allows_machine(self.machine(attempt.machine))
                     && holders.is_some_and(|holders| holders.contains(&attempt.machine));
-                let run_ms = self.now.saturating_sub(attempt.since);
+                let has_run = self.elapsed_since(attempt.since);
                 victims.push(QuotaVictim {
                     priority: Reverse(other.spec().priority),
                     preemptions: other.preemptions_of(number),
-                    unsettled: self.now < attempt.since + SETTLED_RUN_MS,
+                    unsettled: self.now() < attempt.since + SETTLED_RUN,
                     useless: !usable,
-                    lost_ms: if other.saves_checkpoints() { 0 } else { run_ms },
+                    lost: if other.saves_checkpoints() {
+                        Duration::ZERO
+                    } else {
+                        has_run
+                    },
                     task: TaskId {
                         job: other_index,
                         number,
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -5,7 +5,7 @@
 use super::Scheduler;
 use crate::protocol::Priority;
 use crate::resources::Resources;
-use crate::time::{duration, millis};
+use crate::time::{duration, millis, Timestamp};
 use std::time::Duration;
 
 /// A job that has waited for this long for its first task comes first: 40 % of the 240 s within which the largest jobs,
@@ -29,18 +29,18 @@
 enum Urgency {
     /// It has waited long for its first task or is very late: otherwise the largest would never begin beside a stream of small
     /// ones. The oldest first.
-    Overdue { submitted_at: u64 },
+    Overdue { submitted_at: Timestamp },
     /// It can still be in time, or is a service. The shortest first, since a team's limit or a full fleet makes some late and
-    /// service-level objectives count jobs.
-    InTime { work: u64 },
+    /// service-level objectives count jobs. The order is the expected work in milliseconds, for a service its submission.
+    InTime { order: u64 },
     /// It is late. The oldest first.
-    Late { submitted_at: u64 },
+    Late { submitted_at: Timestamp },
 }
 
 impl Scheduler {
     /// Jobs with tasks to place, in the order in which they are served. Notes which jobs are within their team's guarantee.
     pub(super) fn queue(&mut self) -> Vec<JobIndex> {
-        let now = self.now;
+        let now = self.now();
         let mut requested = self.quotas.zero_by_team();
         let mut queue = Vec::new();
         for position in 0..self.jobs.len() {
@@ -78,7 +78,9 @@
     fn urgency(&self, job: &Job) -> Urgency {
         let submitted_at = job.submitted_at;
         if job.is_service() {
-            return Urgency::InTime { work: submitted_at };
+            return Urgency::InTime {
+                order: submitted_at.as_millis(),
+            };
         }
         let age = self.elapsed_since(submitted_at);
         let has_begun = job.done.count() > 0 || !job.active.is_empty();
@@ -91,7 +93,7 @@
             }
             Some(deadline) if age > deadline => Urgency::Late { submitted_at },
             _ => Urgency::InTime {
-                work: millis(f64::from(job.unfinished()) * job.expected_run_s()),
+                order: millis(f64::from(job.unfinished()) * job.expected_run_s()),
             },
         }
     }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -150,7 +150,7 @@
 
     /// How many tasks of a job to place; none if there are none, or a gang that can't start now.
     fn placement_goal(&self, job: &Job) -> Option<Goal> {
-        let wanted = job.placeable(self.now).min(self.quota_allowance(job));
+        let wanted = job.placeable(self.now()).min(self.quota_allowance(job));
         let tasks = if job.is_gang() {
             wanted
         } else {
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -6,8 +6,15 @@
 use super::text::{self, StoredEntry, NO_ADDRESS};
 use super::{LogEntry, Slot};
 use crate::store::Revision;
-use crate::time::Timestamp;
 use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Clocks are assumed to differ by at most one part in this many while leases of an epoch without a log run.
+const LEASE_WAIT_CLOCK_TOLERANCE: u32 = 100;
+/// Beside that tolerance.
+const LEASE_WAIT_MARGIN: Duration = Duration::from_secs(1);
+/// Clocks are assumed to differ by at most one part in this many during the grace period.
+const GRACE_CLOCK_TOLERANCE: u32 = 500;
 
 /// A slot as it is stored.
 #[derive(Debug, Clone, Copy)]
@@ -46,11 +53,9 @@
     /// Places nothing until every lease of the epoch before has surely expired or been renewed by this one. For an epoch
     /// before that kept no log.
     pub fn wait_for_lease_expiry(&mut self) {
-        self.place_from = self.now
-            + self.params.grace_ms
-            + self.params.lease_ms
-            + (self.params.grace_ms + self.params.lease_ms) / 100
-            + 1000;
+        let longest = self.params.grace_period + self.params.lease;
+        self.place_from =
+            self.now() + longest + longest / LEASE_WAIT_CLOCK_TOLERANCE + LEASE_WAIT_MARGIN;
     }
 
     /// Replays the log of earlier epochs, after the machines and jobs are known: each task's latest entry says where it may
@@ -130,12 +135,11 @@
             self.apply_event(task, TaskEvent::Stop { save: false });
         }
         // An earlier leader may have renewed its lease until its authority to do so ended.
-        let until = self.now + self.params.grace_ms + self.params.grace_ms / 500;
+        let grace_period = self.params.grace_period;
+        let until = self.now() + grace_period + grace_period / GRACE_CLOCK_TOLERANCE;
         let machine = self.machine_mut(machine);
         machine.contact.expect();
-        machine
-            .lease
-            .assume_renewed_until(Timestamp::from_millis(until));
+        machine.lease.assume_renewed_until(until);
     }
 
     /// The entry that a stored one stands for, if its machine, job and task are known.
--- a/src/scheduler/task_events.rs
+++ b/src/scheduler/task_events.rs
@@ -3,7 +3,6 @@
 use super::attempt::{Phase, TaskAttempt, TaskEvent, TaskId, Transition};
 use super::index::MachineIndex;
 use super::Scheduler;
-use crate::time::Timestamp;
 
 impl Scheduler {
     /// The attempt of a task that is or may be on a machine.
@@ -14,7 +13,7 @@
     /// The one function for every change of a task.
     pub(super) fn apply_event(&mut self, task: TaskId, event: TaskEvent) {
         let old = self.attempt(task).copied();
-        let new = match Transition::of(old, event, self.now) {
+        let new = match Transition::of(old, event, self.now()) {
             Transition::Unchanged => return,
             Transition::To(attempt) => Some(attempt),
             Transition::Gone => None,
@@ -34,7 +33,7 @@
         old: Option<TaskAttempt>,
         new: Option<TaskAttempt>,
     ) {
-        let now = self.now;
+        let now = self.now();
         let job = &mut self.jobs[task.job];
         match (old, new) {
             (None, Some(new)) => {
@@ -142,7 +141,7 @@
         if let Some(team) = job.team {
             self.quotas.release(team, amount.quota());
         }
-        let now = Timestamp::from_millis(self.now);
+        let now = self.now;
         let machine = &mut self.machines[machine];
         *job.active_by_zone.entry(machine.zone()).or_default() -= 1;
         machine.load.remove(task, service_cpu_milli, now);
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -164,7 +164,7 @@
     assert!(
         w.scheduler
             .jobs()
-            .all(|j| j.fails_everywhere(w.scheduler.now))
+            .all(|j| j.fails_everywhere(w.scheduler.now()))
             && most <= 2,
         "{most}"
     );
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -78,9 +78,9 @@
             },
         };
         let params = Params {
-            lease_ms: LEASE,
-            report_ms: 1500,
-            grace_ms: GRACE,
+            lease: ms(LEASE),
+            heartbeat_interval: ms(1500),
+            grace_period: ms(GRACE),
             group_factor: 1.25,
             fetch_gb_per_s: 0.1,
             transfer_test: true,
@@ -249,8 +249,8 @@
 
     /// Lets time pass tick by tick, as a node that has its processor does.
     fn pass_to(&mut self, now: u64) {
-        while self.scheduler.now + 500 < now {
-            self.scheduler.tick(self.scheduler.now + 500);
+        while self.scheduler.now().as_millis() + 500 < now {
+            self.scheduler.tick(self.scheduler.now().as_millis() + 500);
         }
         self.scheduler.tick(now);
     }
@@ -336,7 +336,9 @@
         let jobs: String = self.jobs().map(job).collect();
         format!(
             "now {} quotas {:?}\n{machines}{jobs}{:?}",
-            self.now, self.quotas, self.start_log
+            self.now.as_millis(),
+            self.quotas,
+            self.start_log
         )
     }
 }
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -129,7 +129,7 @@
     let new_leader = |answered: bool| {
         let mut w = World::new();
         // Reports come so seldom that waiting for them would take most of a lease.
-        w.scheduler.params.report_ms = 5000;
+        w.scheduler.params.heartbeat_interval = ms(5000);
         ["n-1", "n-2", "n-3"].iter().for_each(|n| w.known(n));
         w.job(spec("wk-1", 3), 50);
         w.inherit(&[
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -353,7 +353,7 @@
     // From now on it reaches no controller; direct orders and their answers get through. It begins its second session
     // without an answer, which a probe tells shortly before the first one's lease would be over here.
     w.pass_to(1000 + LEASE / 2 - 1000);
-    let at = w.scheduler.now;
+    let at = w.scheduler.now().as_millis();
     let mut r = w.report("n-1", w.token(), &[]);
     r.session = 2;
     w.scheduler
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -10,13 +10,14 @@
 };
 use hollowswitch::store::{guard, log_txn, LiveRecord, Revision};
 use std::collections::HashMap;
+use std::time::Duration;
 
 /// A scheduler of epoch 5 with a machine in each of two zones, and jobs that fit there.
 fn scheduler() -> Scheduler {
     let params = Params {
-        lease_ms: 12_000,
-        report_ms: 1500,
-        grace_ms: 10_000,
+        lease: Duration::from_secs(12),
+        heartbeat_interval: Duration::from_millis(1500),
+        grace_period: Duration::from_secs(10),
         group_factor: 1.25,
         fetch_gb_per_s: 0.1,
         transfer_test: true,
