--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,17 +13,6 @@
 pub mod placement;
 pub mod protocol;
 pub mod resources;
-#[allow(
-    clippy::assigning_clones,
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    clippy::needless_for_each,
-    clippy::needless_pass_by_value,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines,
-    clippy::unused_self,
-    reason = "this module has yet to be cleaned"
-)]
 pub mod scheduler;
 pub mod service;
 pub mod store;
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -14,23 +14,16 @@
     }
 }
 
-fn lines(starts: &[(String, u64)]) -> Vec<(&str, u64, TaskState, Option<ExitReason>)> {
-    starts
-        .iter()
-        .map(|(task, attempt)| (task.as_str(), *attempt, TaskState::Running, None))
-        .collect()
-}
-
 #[test]
 fn an_array_of_a_hundred_thousand_tasks_fills_the_fleet_at_once() {
-    let mut w = World::new();
-    (0..MACHINES).for_each(|n| w.machine(&format!("n-{n}"), "a"));
-    w.job(spec("wk-1", 100_000), 1);
+    let mut cluster = Cluster::new();
+    (0..MACHINES).for_each(|n| cluster.add_machine(&format!("n-{n}"), "a"));
+    cluster.submit(spec("wk-1", 100_000), 1);
     // Each pass asks for the next one. With only one every half second the array once took a quarter of a minute.
-    while w.scheduler.has_changed() {
-        w.scheduler.place();
+    while cluster.scheduler.has_changed() {
+        cluster.scheduler.place();
     }
-    let placed = w
+    let placed = cluster
         .scheduler
         .jobs()
         .map(|job| job.active.len())
@@ -40,15 +33,15 @@
 
 #[test]
 fn the_registry_does_not_grow_with_every_machine_ever_rented() {
-    let mut w = World::new();
+    let mut cluster = Cluster::new();
     for round in 0..20 {
-        (0..50).for_each(|n| w.machine(&format!("n-{round}-{n}"), "a"));
-        (0..50).for_each(|n| w.scheduler.machine_gone(&format!("n-{round}-{n}")));
+        (0..50).for_each(|n| cluster.add_machine(&format!("n-{round}-{n}"), "a"));
+        (0..50).for_each(|n| cluster.scheduler.machine_gone(&format!("n-{round}-{n}")));
     }
     assert_eq!(
         (
-            w.scheduler.machines().count(),
-            w.scheduler.machines.index_count()
+            cluster.scheduler.machines().count(),
+            cluster.scheduler.machines.index_count()
         ),
         (0, 50)
     );
@@ -56,77 +49,80 @@
 
 #[test]
 fn a_reused_machine_index_inherits_nothing() {
-    let mut w = World::new();
-    w.machine("n-1", "a");
-    w.job(spec("wk-1", 1), 1);
-    let start = starts(&w.tell("n-1", &[]));
-    w.tell("n-1", &lines(&start));
-    w.scheduler.machine_gone("n-1");
-    w.machine("n-2", "b");
+    let mut cluster = Cluster::new();
+    cluster.add_machine("n-1", "a");
+    cluster.submit(spec("wk-1", 1), 1);
+    let start = starts(&cluster.heartbeat("n-1", &[]));
+    cluster.heartbeat("n-1", &as_running(&start));
+    cluster.scheduler.machine_gone("n-1");
+    cluster.add_machine("n-2", "b");
     let first = MachineIndex::from_position(0);
-    assert_eq!(w.scheduler.machine_index("n-2"), Some(first));
-    let machine = w.scheduler.machine(first);
+    assert_eq!(cluster.scheduler.machine_index("n-2"), Some(first));
+    let machine = cluster.scheduler.machine(first);
     assert!(
         machine.images().is_empty()
             && machine.name() == "n-2"
             && machine.lease.latest_request().session == 1
     );
     // The task is started anew, with an attempt of its own.
-    let again = starts(&w.tell("n-2", &[]));
+    let again = starts(&cluster.heartbeat("n-2", &[]));
     assert!(again[0].0 == start[0].0 && again[0].1 > start[0].1);
 }
 
 #[test]
 fn many_commands_for_a_machine_are_split_over_messages_without_loss() {
-    let mut w = World::new();
-    w.machine("n-1", "a");
-    w.job(small_tasks("wk-1", 700), 1);
+    let mut cluster = Cluster::new();
+    cluster.add_machine("n-1", "a");
+    cluster.submit(small_tasks("wk-1", 700), 1);
     let mut running = Vec::new();
     while running.len() < 700 {
-        let more = starts(&w.tell("n-1", &lines(&running)));
+        let more = starts(&cluster.heartbeat("n-1", &as_running(&running)));
         assert!(!more.is_empty() && more.len() <= 300);
         running.extend(more);
     }
-    w.tell("n-1", &lines(&running));
-    w.scheduler.drop_job("wk-1");
+    cluster.heartbeat("n-1", &as_running(&running));
+    cluster.scheduler.drop_job("wk-1");
     let mut stopped = Vec::new();
-    while let Some(sent) = w.scheduler.direct_commands(9).pop() {
+    while let Some(sent) = cluster.scheduler.direct_commands(9).pop() {
         assert!(sent.orders.len() <= 300);
         stopped.push(stops(&sent.orders));
-        let answer = w.report("n-1", w.token(), &lines(&running));
-        w.scheduler.handle_direct_response(&sent, Some(&answer));
+        let answer = cluster.report("n-1", first_token(EPOCH), &as_running(&running));
+        cluster
+            .scheduler
+            .handle_direct_response(&sent, Some(&answer));
     }
     assert_eq!(stopped, [300, 300, 100]);
 }
 
 #[test]
 fn an_epoch_ends_before_its_attempts_reach_those_of_the_next() {
-    let mut w = World::new();
-    w.machine("n-1", "a");
-    w.scheduler.attempts = ATTEMPTS_OF_AN_EPOCH - 1;
-    w.job(spec("wk-1", 1), 1);
-    let last = starts(&w.tell("n-1", &[]));
-    assert!(last[0].1 < first_token(6).as_u64() && w.scheduler.is_exhausted());
-    w.job(spec("wk-2", 1), 1);
-    assert!(starts(&w.tell("n-1", &lines(&last))).is_empty());
+    let mut cluster = Cluster::new();
+    cluster.add_machine("n-1", "a");
+    cluster.scheduler.attempts = ATTEMPTS_OF_AN_EPOCH - 1;
+    cluster.submit(spec("wk-1", 1), 1);
+    let last = starts(&cluster.heartbeat("n-1", &[]));
+    assert!(last[0].1 < first_token(6).as_u64() && cluster.scheduler.is_exhausted());
+    cluster.submit(spec("wk-2", 1), 1);
+    assert!(starts(&cluster.heartbeat("n-1", &as_running(&last))).is_empty());
 }
 
 #[test]
 fn a_heartbeat_without_news_requests_no_scheduling_pass() {
-    let mut w = World::new();
-    w.machine("n-1", "a");
-    w.job(spec("wk-1", 4), 1);
-    let start = starts(&w.tell("n-1", &[]));
-    w.tell("n-1", &lines(&start));
-    (2..100).for_each(|n| w.machine(&format!("n-{n}"), "a"));
-    while w.scheduler.has_changed() {
-        w.scheduler.place();
+    let mut cluster = Cluster::new();
+    cluster.add_machine("n-1", "a");
+    cluster.submit(spec("wk-1", 4), 1);
+    let start = starts(&cluster.heartbeat("n-1", &[]));
+    cluster.heartbeat("n-1", &as_running(&start));
+    (2..100).for_each(|n| cluster.add_machine(&format!("n-{n}"), "a"));
+    while cluster.scheduler.has_changed() {
+        cluster.scheduler.place();
     }
-    assert!(!w.scheduler.needs_pass());
-    let unchanged = w.report("n-1", w.token(), &lines(&start));
-    w.scheduler
+    assert!(!cluster.scheduler.needs_pass());
+    let unchanged = cluster.report("n-1", first_token(EPOCH), &as_running(&start));
+    cluster
+        .scheduler
         .handle_heartbeat(&unchanged, HeartbeatSource::Request { may_start: true });
-    assert!(!w.scheduler.needs_pass());
+    assert!(!cluster.scheduler.needs_pass());
     // A task that has ended leaves room.
     let ended = [(
         start[0].0.as_str(),
@@ -134,8 +130,9 @@
         TaskState::Exited,
         Some(ExitReason::Done),
     )];
-    let report = w.report("n-1", w.token(), &ended);
-    w.scheduler
+    let report = cluster.report("n-1", first_token(EPOCH), &ended);
+    cluster
+        .scheduler
         .handle_heartbeat(&report, HeartbeatSource::Request { may_start: true });
-    assert!(w.scheduler.needs_pass());
+    assert!(cluster.scheduler.needs_pass());
 }
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -5,66 +5,67 @@
 
 #[test]
 fn the_last_line_of_a_task_counts_and_what_was_released_counts_no_more() {
-    let mut w = World::new();
-    w.known("n-1");
-    w.known("n-2");
-    w.job(spec("wk-1", 2), 50);
+    let mut cluster = Cluster::new();
+    cluster.inherit_machine("n-1");
+    cluster.inherit_machine("n-2");
+    cluster.submit(spec("wk-1", 2), 50);
     // Task 0 was first on n-1 and then, once that was proven gone, on n-2. Task 1 was last on n-9, which no rental names
     // any more; its older line names a machine on which it is known to be no longer.
-    w.inherit(&[
+    cluster.replay(&[
         ("n-1", "wk-1/0", 7),
         ("n-2", "wk-1/0", 9),
         ("n-1", "wk-1/1", 7),
         ("n-9", "wk-1/1", 8),
     ]);
-    w.tell("n-1", &[]);
-    let got = starts(&w.tell("n-1", &[]));
+    cluster.heartbeat("n-1", &[]);
+    let got = starts(&cluster.heartbeat("n-1", &[]));
     assert_eq!(
         got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(),
         vec!["wk-1/1"]
     );
     // Without a new leader's knowledge of n-2 the task would be started here a second time.
     let line = [("wk-1/1", got[0].1, TaskState::Running, None)];
-    assert!(starts(&w.tell("n-1", &line)).is_empty());
-    w.scheduler.machine_gone("n-2");
-    assert_eq!(starts(&w.tell("n-1", &line)).len(), 1);
+    assert!(starts(&cluster.heartbeat("n-1", &line)).is_empty());
+    cluster.scheduler.machine_gone("n-2");
+    assert_eq!(starts(&cluster.heartbeat("n-1", &line)).len(), 1);
 }
 
 #[test]
 fn nothing_is_sent_before_its_line_in_the_log_is_durable() {
-    let mut w = World::new();
-    w.machine("n-1", "a");
-    w.job(spec("wk-1", 2), 101);
-    w.scheduler.place();
-    let first = w
+    let mut cluster = Cluster::new();
+    cluster.add_machine("n-1", "a");
+    cluster.submit(spec("wk-1", 2), 101);
+    cluster.scheduler.place();
+    let first = cluster
         .scheduler
         .next_log_write(8000, 60)
         .expect("two starts wait");
     assert!(
-        w.scheduler.next_log_write(8000, 60).is_none(),
+        cluster.scheduler.next_log_write(8000, 60).is_none(),
         "their lines are being written"
     );
-    let r = w.report("n-1", w.token(), &[]);
     assert_eq!(
-        w.scheduler
-            .handle_heartbeat(&r, HeartbeatSource::Request { may_start: true }),
+        cluster.reply_without_pass("n-1"),
         HeartbeatDecision::Reply(ReportReply {
-            token: w.token(),
+            token: first_token(EPOCH),
             orders: vec![]
         })
     );
-    assert!(w.scheduler.direct_commands(9).is_empty());
+    assert!(cluster.scheduler.direct_commands(9).is_empty());
     // The write failed since the slot had changed: an earlier write without an answer had gone through after all.
-    w.scheduler
+    cluster
+        .scheduler
         .log_write_failed(first, Some((Revision::new(150), "n-1 - /wk-1 0.1")));
-    let again = w
+    let again = cluster
         .scheduler
         .next_log_write(8000, 60)
         .expect("they wait again");
     assert_eq!((again.slot, again.version), (0, Revision::new(150)));
     let text = again.text.clone();
-    w.scheduler.log_write_applied(again, Revision::new(151));
-    let sent = w.scheduler.direct_commands(9);
+    cluster
+        .scheduler
+        .log_write_applied(again, Revision::new(151));
+    let sent = cluster.scheduler.direct_commands(9);
     let got = starts(&sent[0].orders);
     assert_eq!(got.len(), 2);
     for (task, attempt) in &got {
@@ -72,15 +73,10 @@
         assert!(text.contains(&format!("{t}.{attempt:x}")), "{text}");
     }
     // What has ended is not carried over when its slot is taken again.
-    let answer = w.report(
-        "n-1",
-        w.token(),
-        &[(&got[1].0, got[1].1, TaskState::Running, None)],
-    );
-    w.scheduler.handle_direct_response(&sent[0], Some(&answer));
-    let third = w.scheduler.next_log_write(8000, 60).or_else(|| {
-        w.scheduler.place();
-        w.scheduler.next_log_write(8000, 60)
+    cluster.respond(&sent[0], &as_running(&got[1..]));
+    let third = cluster.scheduler.next_log_write(8000, 60).or_else(|| {
+        cluster.scheduler.place();
+        cluster.scheduler.next_log_write(8000, 60)
     });
     let third = third.expect("the lost task is started again");
     assert_eq!((third.slot, third.version), (0, Revision::new(151)));
@@ -92,37 +88,40 @@
 
 #[test]
 fn of_a_job_that_is_over_in_the_store_nothing_is_logged_and_so_nothing_sent() {
-    let mut w = World::new();
-    w.machine("n-1", "a");
-    w.job(spec("wk-1", 1), 101);
-    w.job(spec("wk-2", 1), 102);
-    w.scheduler.place();
-    let append = w.scheduler.next_log_write(8000, 60).unwrap();
+    let mut cluster = Cluster::new();
+    cluster.add_machine("n-1", "a");
+    cluster.submit(spec("wk-1", 1), 101);
+    cluster.submit(spec("wk-2", 1), 102);
+    cluster.scheduler.place();
+    let append = cluster.scheduler.next_log_write(8000, 60).unwrap();
     assert_eq!(append.jobs, vec![logged("wk-1", 101), logged("wk-2", 102)]);
     // Another node has confirmed the cancellation of one, which this one's mirror does not show yet: the write is refused,
     // and says why.
-    w.scheduler.drop_job("wk-1");
-    w.scheduler.log_write_failed(append, None);
-    let again = w.scheduler.next_log_write(8000, 60).unwrap();
+    cluster.scheduler.drop_job("wk-1");
+    cluster.scheduler.log_write_failed(append, None);
+    let again = cluster.scheduler.next_log_write(8000, 60).unwrap();
     assert_eq!(again.jobs, vec![logged("wk-2", 102)]);
     assert!(!again.text.contains("wk-1"));
-    w.scheduler.log_write_applied(again, Revision::new(200));
-    let sent = w.scheduler.direct_commands(9);
+    cluster
+        .scheduler
+        .log_write_applied(again, Revision::new(200));
+    let sent = cluster.scheduler.direct_commands(9);
     assert_eq!(starts(&sent[0].orders).len(), 1);
     assert_eq!(starts(&sent[0].orders)[0].0, "wk-2/0");
 }
 
 #[test]
 fn a_write_of_the_log_names_no_more_jobs_than_the_store_takes_conditions() {
-    let mut w = World::new();
-    (0..5).for_each(|n| w.machine(&format!("n-{n}"), "a"));
-    (0..5).for_each(|n| w.job(spec(&format!("wk-{n}"), 2), 100 + n));
-    w.scheduler.place();
+    let mut cluster = Cluster::new();
+    (0..5).for_each(|n| cluster.add_machine(&format!("n-{n}"), "a"));
+    (0..5).for_each(|n| cluster.submit(spec(&format!("wk-{n}"), 2), 100 + n));
+    cluster.scheduler.place();
     let mut written = Vec::new();
-    while let Some(a) = w.scheduler.next_log_write(8000, 2) {
+    while let Some(a) = cluster.scheduler.next_log_write(8000, 2) {
         assert!(a.jobs.len() <= 2);
         written.extend(a.jobs.iter().map(|job| job.id.clone()));
-        w.scheduler
+        cluster
+            .scheduler
             .log_write_applied(a, Revision::new(200 + written.len() as u64));
     }
     written.sort();
