--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,11 +1,19 @@
-//! The scheduler: machines, what runs on them, and where tasks go. Pure logic: events in, actions out, no I/O and no clock.
+//! The scheduler: machines, what runs on them, and where tasks go. Pure logic: events in, decisions out, no I/O and no clock.
 //!
 //! The invariant that everything here serves: a task may be on a machine until it is proven gone, and until then it is
 //! started nowhere else and counts for its team's quota and its zone. A new leader knows where tasks may be from the start
-//! log (`start_log`): nothing is sent before its line there is durable.
+//! log: nothing is sent before its entry there is durable.
 //!
-//! `machines`: what is known of each machine; `heartbeat`: what workers say; `scheduling_pass`: where tasks go; `demand`: what
-//! finds no capacity; `preemption`: whose work is stopped for others.
+//! [`Scheduler`] joins parts that own their state. Where to look:
+//!
+//! - jobs: `job` (one), `job_progress`, `task_bitmap`, `job_table` (all), `jobs` (how they come and go), `quota` (the ledger);
+//! - tasks: `attempt` (the state machine), `task_events` (the one function for every change of a task, and what follows);
+//! - placing: `scheduling_pass`, `queue` (which job is next), `candidates` (which machines), `unplaceable`; `crate::placement`
+//!   chooses among the candidates;
+//! - too little capacity: `preemption` (what is stopped for others), `demand` (what machines are needed for), both on a
+//!   `capacity_pool`; `utilization` (what is used, and what is surplus);
+//! - machines: `machines`, `heartbeat` (what workers report), `image_holders`;
+//! - `start_log`: the write-ahead log of starts, its text and its replay.
 
 mod attempt;
 mod candidates;
@@ -70,7 +78,7 @@
     FencingToken::new(epoch << TOKEN_BITS)
 }
 
-/// How a report was taken.
+/// How a heartbeat is answered.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatDecision {
     /// The answer.
