--- a/src/controller/watch_loop.rs
+++ b/src/controller/watch_loop.rs
@@ -2,6 +2,7 @@
 
 use super::handles::Handles;
 use super::state::{ControllerState, LeaderKeyChange};
+use crate::protocol::Watched;
 use crate::store::StoreError;
 use crate::time::duration_from_millis;
 use futures_util::future::{select, Either};
@@ -66,16 +67,8 @@
             match self.record_store_answer(watched) {
                 Ok(changes) => {
                     *stall_timeout = MIN_STALL_TIMEOUT;
-                    let unchanged = changes.events.is_empty();
-                    let leader_key = self.with_state(|state| {
-                        state.apply_watch_events(changes.revision, &changes.events)
-                    });
-                    if leader_key == LeaderKeyChange::Deleted {
-                        self.campaign_requested.notify_one();
-                    }
-                    self.replica_revision.send_replace(changes.revision);
-                    self.round_requested.notify_one();
-                    if !unchanged {
+                    self.apply_watched(&changes);
+                    if !changes.events.is_empty() {
                         sleep(watch_interval).await;
                     }
                 }
@@ -88,6 +81,17 @@
         }
     }
 
+    /// Applies the answer of a watch request, and wakes up the loops to which it may matter.
+    fn apply_watched(&self, changes: &Watched) {
+        let leader_key =
+            self.with_state(|state| state.apply_watch_events(changes.revision, &changes.events));
+        if leader_key == LeaderKeyChange::Deleted {
+            self.campaign_requested.notify_one();
+        }
+        self.replica_revision.send_replace(changes.revision);
+        self.round_requested.notify_one();
+    }
+
     /// Returns when a read that was sent a while ago was answered with a revision that the replica still lacks. A watch that
     /// was open while the store refused this controller, or was down, may stay silent after it.
     async fn watch_stalled(&self, stall_timeout: Duration) {
