--- a/src/scheduler/heartbeat/mod.rs
+++ b/src/scheduler/heartbeat/mod.rs
@@ -16,7 +16,7 @@
 pub(super) use sequence::HeartbeatSequence;
 
 use super::index::MachineIndex;
-use super::{HeartbeatDecision, Scheduler, TOKEN_BITS};
+use super::{Scheduler, TOKEN_BITS};
 use crate::protocol::{Report, ReportReply};
 
 /// How a heartbeat has come.
@@ -37,6 +37,17 @@
     }
 }
 
+/// What follows from a heartbeat.
+#[derive(Debug, Clone, PartialEq)]
+pub enum HeartbeatDecision {
+    /// The heartbeat gets this answer.
+    Reply(ReportReply),
+    /// The worker has seen the token of a later epoch: this leader's term is over.
+    Superseded,
+    /// No rental names the machine.
+    UnregisteredMachine,
+}
+
 /// A heartbeat of a registered machine.
 #[derive(Clone, Copy)]
 struct Heartbeat<'a> {
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -67,7 +67,7 @@
             self.machine_mut(machine).health.record_success();
             self.apply_event(task, TaskEvent::Finished);
         }
-        self.changed = true;
+        self.pass_requested = true;
     }
 
     /// A task of a job has finished on a machine after this time: measures the job's mean, and the machine against
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -13,11 +13,6 @@
 use crate::time::whole_millis;
 use std::collections::HashSet;
 
-/// Shortest fetch, in seconds, from which the fetch rate is measured.
-const MIN_MEASURED_FETCH_S: f64 = 0.5;
-/// Weight of a new measurement in the fetch rate.
-const FETCH_RATE_WEIGHT: f64 = 0.1;
-
 /// A command that stops a task that a worker lists.
 fn stop(line: &TaskReport, grace_s: f64) -> Command {
     Command::Stop {
@@ -255,15 +250,8 @@
     /// A machine has fetched the image of a task: measures the fetch rate of its type.
     fn measure_fetch(&mut self, machine: MachineIndex, task: TaskId, active: TaskAttempt) {
         let size_gb = self.job(task.job).record.spec.image_gb;
-        let took_s = whole_millis(self.elapsed_since(active.since)) as f64 / 1000.0;
-        if took_s <= MIN_MEASURED_FETCH_S || size_gb <= 0.0 {
-            return;
-        }
+        let took = self.elapsed_since(active.since);
         let machine_type = self.machine(machine).machine_type();
-        let rate = self
-            .fetch_rate
-            .entry(machine_type)
-            .or_insert(self.params.fetch_gb_per_s);
-        *rate += FETCH_RATE_WEIGHT * (size_gb / took_s - *rate);
+        self.fetch_rates.record(machine_type, size_gb, took);
     }
 }
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -65,6 +65,6 @@
         let contact = &mut self.machine_mut(heartbeat.machine).contact;
         let was_unavailable = !contact.acknowledges_token() || contact.is_silent_for(overdue, now);
         contact.acknowledge_token(now);
-        self.changed |= was_unavailable;
+        self.pass_requested |= was_unavailable;
     }
 }
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -61,7 +61,7 @@
         if cancelled {
             self.cancel(index);
         }
-        self.changed = true;
+        self.pass_requested = true;
     }
 
     /// Resolves the names in a job's specification.
@@ -108,7 +108,7 @@
             let task = TaskId { job: index, number };
             self.apply_event(task, TaskEvent::Stop { save: false });
         }
-        self.changed = true;
+        self.pass_requested = true;
     }
 
     /// Removes cancelled jobs of which nothing can run any more. Those still listed in the store may be dropped there.
--- a/src/scheduler/machines/lifecycle.rs
+++ b/src/scheduler/machines/lifecycle.rs
@@ -26,7 +26,7 @@
         let capacity = self.machine_types.capacity(machine_type);
         let machine = Machine::new(name, offer, origin, capacity, self.now());
         self.machines.insert(machine);
-        self.changed = true;
+        self.pass_requested = true;
     }
 
     /// The one function that changes a machine's state.
@@ -38,7 +38,7 @@
         if next != MachineState::Up {
             self.cancel_unsent_starts(index);
         }
-        self.changed = true;
+        self.pass_requested = true;
     }
 
     /// Takes tasks that were assigned to a machine, but not sent, off it.
@@ -66,7 +66,7 @@
         for job in self.jobs.values_mut() {
             job.failures.remove_machine(index);
         }
-        self.changed = true;
+        self.pass_requested = true;
     }
 
     /// Nothing that was on a machine is there any more.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -12,13 +12,14 @@
 //!   chooses among the candidates;
 //! - too little capacity: `preemption` (what is stopped for others), `demand` (what machines are needed for), both on a
 //!   `capacity_pool`; `utilization` (what is used, and what is surplus);
-//! - machines: `machines`, `heartbeat` (what workers report), `image_holders`;
+//! - machines: `machines`, `heartbeat` (what workers report), `image_holders`, `fetch_rates`;
 //! - `start_log`: the write-ahead log of starts, its text and its replay.
 
 mod attempt;
 mod candidates;
 mod capacity_pool;
 mod demand;
+mod fetch_rates;
 mod heartbeat;
 mod image_holders;
 mod index;
@@ -42,7 +43,7 @@
 
 pub use attempt::{Phase, TaskAttempt, TaskId};
 pub use demand::UnmetDemand;
-pub use heartbeat::HeartbeatSource;
+pub use heartbeat::{HeartbeatDecision, HeartbeatSource};
 pub use index::{DenseIndex, ImageIndex, JobIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
 pub use job::Job;
 pub use job_table::DoneChunk;
@@ -52,9 +53,10 @@
 pub use start_log::{SlotWrite, StoredSlot};
 pub use utilization::Utilization;
 
-use crate::protocol::{FencingToken, MachineType, ReportReply};
+use crate::protocol::{FencingToken, MachineType};
 use crate::resources::Resources;
 use crate::time::Timestamp;
+use fetch_rates::FetchRates;
 use image_holders::ImageHolders;
 use job_table::JobTable;
 use machine_types::MachineTypes;
@@ -62,7 +64,7 @@
 use names::Names;
 use quota::QuotaLedger;
 use start_log::StartLog;
-use std::collections::{BTreeSet, HashMap};
+use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Bits of a token, and of an attempt, below the epoch.
@@ -78,17 +80,6 @@
     FencingToken::new(epoch << TOKEN_BITS)
 }
 
-/// How a heartbeat is answered.
-#[derive(Debug, Clone, PartialEq)]
-pub enum HeartbeatDecision {
-    /// The answer.
-    Reply(ReportReply),
-    /// The worker has seen a later epoch.
-    Superseded,
-    /// No rental names the machine.
-    UnregisteredMachine,
-}
-
 /// The state of a scheduler in one epoch.
 pub struct Scheduler {
     params: Params,
@@ -107,15 +98,15 @@
     pending_commands: BTreeSet<MachineIndex>,
     image_holders: ImageHolders,
     /// Nothing is placed before.
-    place_from: Timestamp,
+    placement_allowed_from: Timestamp,
     last_tick_at: Timestamp,
     zone_health: ZoneHealth,
-    fetch_rate: HashMap<MachineTypeIndex, f64>,
+    fetch_rates: FetchRates,
     boot_times: BootTimes,
     /// Production jobs that the last pass has left with tasks to place, in their order.
     unplaced_production: Vec<JobIndex>,
-    /// Something may be placed that could not be before.
-    changed: bool,
+    /// Whether something may be placed that could not be before, so that a pass is worth while.
+    pass_requested: bool,
 }
 
 impl Scheduler {
@@ -123,6 +114,7 @@
     #[must_use]
     pub fn new(params: Params, epoch: u64, now: u64) -> Self {
         let quotas = QuotaLedger::new(&params.teams);
+        let fetch_rates = FetchRates::new(params.fetch_gb_per_s);
         Scheduler {
             params,
             epoch,
@@ -137,13 +129,13 @@
             start_log: StartLog::default(),
             pending_commands: BTreeSet::new(),
             image_holders: ImageHolders::default(),
-            place_from: Timestamp::ZERO,
+            placement_allowed_from: Timestamp::ZERO,
             last_tick_at: Timestamp::ZERO,
             zone_health: ZoneHealth::default(),
-            fetch_rate: HashMap::new(),
+            fetch_rates,
             boot_times: BootTimes::default(),
             unplaced_production: Vec::new(),
-            changed: true,
+            pass_requested: true,
         }
     }
 
@@ -170,7 +162,7 @@
                 self.zones.add(zone);
             }
         }
-        self.changed = true;
+        self.pass_requested = true;
     }
 
     /// The machine types with their indices.
@@ -234,13 +226,13 @@
     /// Whether something may be placed that could not be before.
     #[must_use]
     pub fn has_changed(&self) -> bool {
-        self.changed
+        self.pass_requested
     }
 
     /// Whether something may be placed or is to be sent or logged.
     #[must_use]
     pub fn needs_pass(&self) -> bool {
-        self.changed || !self.pending_commands.is_empty() || self.start_log.has_unwritten()
+        self.pass_requested || !self.pending_commands.is_empty() || self.start_log.has_unwritten()
     }
 
     /// Whether this epoch has to end, since its numbers for attempts are used up.
@@ -249,12 +241,12 @@
         self.attempts >= ATTEMPTS_OF_AN_EPOCH
     }
 
-    fn machine(&self, i: MachineIndex) -> &Machine {
-        &self.machines[i]
+    fn machine(&self, index: MachineIndex) -> &Machine {
+        &self.machines[index]
     }
 
-    fn machine_mut(&mut self, i: MachineIndex) -> &mut Machine {
-        &mut self.machines[i]
+    fn machine_mut(&mut self, index: MachineIndex) -> &mut Machine {
+        &mut self.machines[index]
     }
 
     fn job(&self, index: JobIndex) -> &Job {
@@ -265,8 +257,9 @@
         &mut self.jobs[index]
     }
 
-    fn token(&self, m: &Machine) -> FencingToken {
-        first_token(self.epoch) + m.commands.token_counter()
+    /// The fencing token of a machine.
+    fn token(&self, machine: &Machine) -> FencingToken {
+        first_token(self.epoch) + machine.commands.token_counter()
     }
 }
 
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -12,8 +12,6 @@
 
 /// Most tasks of one job placed in one pass; the rest follows in the next one, milliseconds later.
 const PLACED_PER_PASS: u32 = 2000;
-/// The least fetch rate that is assumed, in GB per second.
-const LEAST_FETCH_GB_PER_S: f64 = 0.001;
 
 /// What a pass looks up once.
 pub(super) struct Pass {
@@ -44,12 +42,15 @@
 
     /// Asks for a new scheduling pass, since time has passed.
     pub fn reconsider(&mut self) {
-        self.changed = true;
+        self.pass_requested = true;
     }
 
     /// Places what can be placed now. True if there was something to look at.
     pub fn place(&mut self) -> bool {
-        if self.now < self.place_from || self.is_exhausted() || !std::mem::take(&mut self.changed) {
+        if self.now < self.placement_allowed_from
+            || self.is_exhausted()
+            || !std::mem::take(&mut self.pass_requested)
+        {
             return false;
         }
         let queue = self.queue();
@@ -141,7 +142,7 @@
             return;
         }
         // Where so many have found a place, others may as well.
-        self.changed |= goal.has_more && !plan.start_now.is_empty();
+        self.pass_requested |= goal.has_more && !plan.start_now.is_empty();
         for share in plan.wait_for {
             *pass.awaited_slots.entry(share.machine).or_default() += share.tasks;
         }
@@ -187,12 +188,7 @@
         candidates: &[Candidate<MachineIndex>],
     ) -> Request {
         let machine_type = self.machine(candidates[0].machine).machine_type();
-        let fetch_gb_per_s = self
-            .fetch_rate
-            .get(&machine_type)
-            .copied()
-            .unwrap_or(self.params.fetch_gb_per_s)
-            .max(LEAST_FETCH_GB_PER_S);
+        let fetch_gb_per_s = self.fetch_rates.gb_per_s(machine_type);
         // With a zone rule a machine may get less than planned; the plan then covers all machines.
         let slots = if job.spec().scatter {
             u32::MAX
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -54,7 +54,7 @@
     /// before that kept no log.
     pub fn wait_for_lease_expiry(&mut self) {
         let longest = self.params.grace_period + self.params.lease;
-        self.place_from =
+        self.placement_allowed_from =
             self.now() + longest + longest / LEASE_WAIT_CLOCK_TOLERANCE + LEASE_WAIT_MARGIN;
     }
 
--- a/src/scheduler/task_events.rs
+++ b/src/scheduler/task_events.rs
@@ -107,7 +107,7 @@
                 self.pending_commands.insert(machine);
             }
             // Only resources that have come free can let something else be placed.
-            None => self.changed = true,
+            None => self.pass_requested = true,
             _ => {}
         }
     }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -16,11 +16,12 @@
 
 use super::*;
 use crate::protocol::{
-    Command, ExitReason, JobSpec, Kind, Priority, Report, TaskReport, TaskState,
+    Command, ExitReason, JobSpec, Kind, Priority, Report, ReportReply, TaskReport, TaskState,
 };
 use crate::resources::QuotaResources;
 use crate::store::{LiveRecord, LoggedJob, Revision};
 use cluster::Cluster;
+use std::collections::HashMap;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
