--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -4,6 +4,7 @@
 use crate::protocol::MachineType;
 use crate::resources::Resources;
 use crate::scheduler::{DenseIndex, Hardware, MachineTypeIndex, Origin, Params, ZoneIndex};
+use crate::store::Epoch;
 use std::collections::HashMap;
 
 const BOOT_S: f64 = 20.0;
@@ -39,7 +40,7 @@
         boot_s: BOOT_S,
         zones: vec!["a".into()],
     };
-    let mut scheduler = Scheduler::new(params, 1, 1000);
+    let mut scheduler = Scheduler::new(params, Epoch::new(1), 1000);
     scheduler.set_types(&[kind("cheap", 1.0), kind("dear", 2.0)]);
     scheduler
 }
--- a/src/controller/state/epoch_start.rs
+++ b/src/controller/state/epoch_start.rs
@@ -3,7 +3,7 @@
 use super::ControllerState;
 use crate::protocol::Txn;
 use crate::scheduler::{Hardware, Origin, Params, Scheduler, StoredSlot};
-use crate::store::{self, EpochRecord, Replica};
+use crate::store::{self, Epoch, EpochRecord, Replica};
 
 /// An epoch that this controller wants to lead.
 pub(in crate::controller) struct EpochClaim {
@@ -23,7 +23,7 @@
     }
 
     /// Builds the scheduler of a new epoch from the replica.
-    pub(in crate::controller) fn start_epoch(&mut self, epoch: u64) {
+    pub(in crate::controller) fn start_epoch(&mut self, epoch: Epoch) {
         let now = self.now();
         let mut scheduler = Scheduler::new(Params::new(&self.settings), epoch, now.as_millis());
         scheduler.set_types(&self.machine_types);
@@ -40,7 +40,7 @@
         }
         self.leadership_status.start_leading(now);
         tracing::info!(
-            epoch,
+            %epoch,
             jobs = self.replica.live.len(),
             rentals = self.replica.rentals.len(),
             unsettled = scheduler.unreconciled_machines(),
--- a/src/controller/state/leadership.rs
+++ b/src/controller/state/leadership.rs
@@ -2,7 +2,7 @@
 
 use super::{ControllerState, StepDownReason};
 use crate::coordination::leadership::{Authority, Leadership, LeadershipEvent, Term};
-use crate::store::{LeaderRecord, StoreError};
+use crate::store::{Epoch, LeaderRecord, StoreError};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     }
 
     /// Number of the newest epoch that this controller has heard of.
-    pub(in crate::controller) fn newest_epoch(&self) -> u64 {
+    pub(in crate::controller) fn newest_epoch(&self) -> Epoch {
         self.leadership_status.newest_epoch()
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Records the number of an epoch. A later one ends this controller's term.
-    pub(in crate::controller) fn observe_epoch(&mut self, epoch: u64) {
+    pub(in crate::controller) fn observe_epoch(&mut self, epoch: Epoch) {
         if self.leadership_status.observe_epoch(epoch) {
             self.apply_leadership_event(LeadershipEvent::TermEnded);
         }
--- a/src/controller/state/leadership_status.rs
+++ b/src/controller/state/leadership_status.rs
@@ -1,7 +1,7 @@
 //! The leadership of this controller, and what decides whether it campaigns.
 
 use crate::coordination::leadership::{Authority, Leadership, LeadershipEvent, Term};
-use crate::store::{LeaderRecord, Replica};
+use crate::store::{Epoch, LeaderRecord, Replica};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     identity: LeaderRecord,
     leadership: Leadership,
     /// Number of the newest epoch that this controller has heard of.
-    newest_epoch: u64,
+    newest_epoch: Epoch,
     campaign_backoff_until: Timestamp,
     /// When the scheduler of the present or latest term was built.
     leading_since: Timestamp,
@@ -24,7 +24,7 @@
         LeadershipStatus {
             identity,
             leadership,
-            newest_epoch: 0,
+            newest_epoch: Epoch::ZERO,
             campaign_backoff_until: Timestamp::ZERO,
             leading_since: Timestamp::ZERO,
             previous_epoch_without_start_log: false,
@@ -57,12 +57,12 @@
     }
 
     /// Number of the newest epoch that this controller has heard of.
-    pub(super) fn newest_epoch(&self) -> u64 {
+    pub(super) fn newest_epoch(&self) -> Epoch {
         self.newest_epoch
     }
 
     /// Records the number of an epoch. True if this controller leads an earlier one, so that its term is over.
-    pub(super) fn observe_epoch(&mut self, epoch: u64) -> bool {
+    pub(super) fn observe_epoch(&mut self, epoch: Epoch) -> bool {
         self.newest_epoch = self.newest_epoch.max(epoch);
         self.term()
             .is_some_and(|term| self.newest_epoch > term.epoch)
--- a/src/controller/state/replica_changes.rs
+++ b/src/controller/state/replica_changes.rs
@@ -5,7 +5,7 @@
 use crate::coordination::leadership::LeadershipEvent;
 use crate::protocol as wire;
 use crate::protocol::MachineType;
-use crate::store::{Replica, ReplicaChange, Revision};
+use crate::store::{Epoch, Replica, ReplicaChange, Revision};
 
 /// What a change of the replica means for the leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,7 +47,7 @@
             }
         }
         let epoch = self.replica.epoch.as_ref();
-        let number = epoch.map_or(0, |epoch| epoch.record.number);
+        let number = epoch.map_or(Epoch::ZERO, |epoch| epoch.record.number);
         self.observe_epoch(number);
         let revision = self.replica.revision;
         self.apply_leadership_event(LeadershipEvent::ReplicaAdvanced { revision });
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -11,7 +11,7 @@
 use crate::protocol::{
     Change, Command, Event, ExitReason, FencingToken, JobState, Report, TaskReport, TaskState,
 };
-use crate::store::{Replica, Revision, TxnOutcome};
+use crate::store::{Epoch, Replica, Revision, TxnOutcome};
 use ciborium::{cbor, Value};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -114,7 +114,7 @@
     let now = controller.now();
     controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
     let EpochClaim { txn, record } = controller.claim_epoch(88).expect("nobody leads");
-    assert_eq!(record.number, 7);
+    assert_eq!(record.number, Epoch::new(7));
     let guarded: Vec<(&str, u64)> = txn
         .guards
         .iter()
@@ -125,7 +125,7 @@
         [("hollowswitch/leader", 0), ("hollowswitch/epoch", 202)]
     );
     let term = Term {
-        epoch: 7,
+        epoch: Epoch::new(7),
         epoch_version: CLAIMED_AT,
         lease: 88,
     };
@@ -144,7 +144,7 @@
         requested_at: now,
         revision: CLAIMED_AT,
     });
-    controller.start_epoch(7);
+    controller.start_epoch(Epoch::new(7));
     controller
 }
 
--- a/src/controller/tests/fault_combinations/failovers.rs
+++ b/src/controller/tests/fault_combinations/failovers.rs
@@ -159,7 +159,7 @@
         }
     }
     assert!(
-        simulation.epoch() >= before + 8,
+        simulation.epoch().as_u64() >= before.as_u64() + 8,
         "{} {before}",
         simulation.epoch()
     );
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -2,7 +2,7 @@
 
 use super::super::Simulation;
 use crate::coordination::leadership::{Authority, LeadershipEvent, Term};
-use crate::store::{Revision, TxnOutcome};
+use crate::store::{Epoch, Revision, TxnOutcome};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 /// An epoch that was won; its leader begins once its replica shows the claim.
 #[derive(Clone, Copy)]
 pub(super) struct ClaimedEpoch {
-    epoch: u64,
+    epoch: Epoch,
     version: Revision,
     sent_at: Timestamp,
     deadline: Timestamp,
--- a/src/controller/tests/simulation/store.rs
+++ b/src/controller/tests/simulation/store.rs
@@ -6,7 +6,9 @@
 use super::network::Message;
 use super::Simulation;
 use crate::protocol::{Change, Event, Guard, Txn};
-use crate::store::{self, EpochRecord, Replica, Revision, StoreError, TxnOutcome, Versioned};
+use crate::store::{
+    self, Epoch, EpochRecord, Replica, Revision, StoreError, TxnOutcome, Versioned,
+};
 use crate::time::Timestamp;
 use ciborium::Value;
 use rand::Rng;
@@ -250,10 +252,10 @@
     }
 
     /// The number of the current epoch.
-    pub(crate) fn epoch(&self) -> u64 {
+    pub(crate) fn epoch(&self) -> Epoch {
         self.store
             .get::<EpochRecord>(&store::epoch_key())
-            .map_or(0, |epoch| epoch.record.number)
+            .map_or(Epoch::ZERO, |epoch| epoch.record.number)
     }
 
     /// The guard of the current epoch.
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -18,7 +18,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::store::Revision;
+use crate::store::{Epoch, Revision};
 use crate::time::{whole_millis, Timestamp};
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Term {
     /// Number of the epoch.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// Version of the epoch key in the store. Every write of the leader is conditional on it.
     pub epoch_version: Revision,
     /// Identifier of the leader lease in the store.
@@ -288,9 +288,9 @@
 fn log_role_change(from: &Role, to: &Role) {
     match (from, to) {
         (_, Role::Campaigning) => tracing::info!("campaign started"),
-        (_, Role::Leading(term)) => tracing::info!(epoch = term.epoch, "leadership acquired"),
+        (_, Role::Leading(term)) => tracing::info!(epoch = %term.epoch, "leadership acquired"),
         (Role::Leading(term), Role::Follower) => {
-            tracing::info!(epoch = term.epoch, "leadership ended");
+            tracing::info!(epoch = %term.epoch, "leadership ended");
         }
         (_, Role::Follower) => tracing::info!("campaign lost"),
     }
--- a/src/coordination/leadership/tests.rs
+++ b/src/coordination/leadership/tests.rs
@@ -9,7 +9,7 @@
     assert!(leadership.apply(LeadershipEvent::CampaignStarted));
     assert!(leadership.apply(LeadershipEvent::CampaignWon {
         term: Term {
-            epoch: 3,
+            epoch: Epoch::new(3),
             epoch_version: Revision::new(9),
             lease: 1
         },
@@ -146,7 +146,7 @@
     let mut leadership = Leadership::new(Duration::from_secs(2), Duration::ZERO);
     assert!(!leadership.apply(LeadershipEvent::CampaignWon {
         term: Term {
-            epoch: 1,
+            epoch: Epoch::new(1),
             epoch_version: Revision::new(1),
             lease: 1
         },
--- a/src/coordination/peers/messages.rs
+++ b/src/coordination/peers/messages.rs
@@ -3,7 +3,7 @@
 //! Controllers of two versions run side by side during an upgrade. Bincode writes no names, so the order and the types of the
 //! fields must not change.
 
-use crate::store::Revision;
+use crate::store::{Epoch, Revision};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
 /// The largest message accepted from a peer, in bytes.
@@ -15,7 +15,7 @@
     /// Name of the controller.
     pub node: String,
     /// Number of the newest epoch that it has seen.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The revision that its replica of the store has reached.
     pub revision: Revision,
     /// Whether the store answers it.
--- a/src/coordination/peers/tests.rs
+++ b/src/coordination/peers/tests.rs
@@ -2,7 +2,7 @@
 
 use super::health::ISOLATED_AFTER;
 use super::*;
-use crate::store::Revision;
+use crate::store::{Epoch, Revision};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
     let leader_changes_per_s = Some(7.5);
     let v = View {
         node: "a".into(),
-        epoch: 4,
+        epoch: Epoch::new(4),
         revision: Revision::new(8),
         store_reachable: true,
         leader_changes_per_s,
--- a/src/scheduler/heartbeat/commands.rs
+++ b/src/scheduler/heartbeat/commands.rs
@@ -79,7 +79,7 @@
             let machine = self.machine(index);
             let (token, epoch) = (self.token(machine), self.epoch);
             let direct = route == Route::Direct;
-            tracing::info!(job = %self.job(task.job).record.spec.id, task = task.number, machine = %machine.name(), epoch, direct, "start");
+            tracing::info!(job = %self.job(task.job).record.spec.id, task = task.number, machine = %machine.name(), %epoch, direct, "start");
             commands.push(Command::Start {
                 task: self.task_name(task),
                 attempt: active.attempt,
--- a/src/scheduler/heartbeat/mod.rs
+++ b/src/scheduler/heartbeat/mod.rs
@@ -72,7 +72,7 @@
         report: &Report,
         source: HeartbeatSource,
     ) -> HeartbeatDecision {
-        if report.token.as_u64() >> TOKEN_BITS > self.epoch {
+        if report.token.as_u64() >> TOKEN_BITS > self.epoch.as_u64() {
             return HeartbeatDecision::Superseded;
         }
         let Some(machine) = self.machines.index_of(&report.machine) else {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -55,6 +55,7 @@
 
 use crate::protocol::{FencingToken, MachineType};
 use crate::resources::Resources;
+use crate::store::Epoch;
 use crate::time::Timestamp;
 use fetch_rates::FetchRates;
 use image_holders::ImageHolders;
@@ -76,14 +77,14 @@
 
 /// The lowest token of an epoch.
 #[must_use]
-pub fn first_token(epoch: u64) -> FencingToken {
-    FencingToken::new(epoch << TOKEN_BITS)
+pub fn first_token(epoch: Epoch) -> FencingToken {
+    FencingToken::new(epoch.as_u64() << TOKEN_BITS)
 }
 
 /// The state of a scheduler in one epoch.
 pub struct Scheduler {
     params: Params,
-    epoch: u64,
+    epoch: Epoch,
     now: Timestamp,
     machine_types: MachineTypes,
     zones: Names<ZoneIndex>,
@@ -112,7 +113,7 @@
 impl Scheduler {
     /// An empty scheduler of an epoch that began now.
     #[must_use]
-    pub fn new(params: Params, epoch: u64, now: u64) -> Self {
+    pub fn new(params: Params, epoch: Epoch, now: u64) -> Self {
         let quotas = QuotaLedger::new(&params.teams);
         let fetch_rates = FetchRates::new(params.fetch_gb_per_s);
         Scheduler {
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -225,7 +225,7 @@
                     return;
                 };
                 self.attempts += u64::from(!is_gang);
-                let attempt = (self.epoch << TOKEN_BITS) + self.attempts;
+                let attempt = (self.epoch.as_u64() << TOKEN_BITS) + self.attempts;
                 let task = TaskId { job: index, number };
                 self.apply_event(task, TaskEvent::Assign { machine, attempt });
                 left -= 1;
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -1,6 +1,7 @@
 //! Fleets of thousands of machines: nothing is cut off, and what nothing follows from costs no round.
 
 use super::*;
+use crate::store::Epoch;
 
 /// A fleet as large as any that is served.
 const MACHINES: usize = 4000;
@@ -101,7 +102,7 @@
     cluster.scheduler.attempts = ATTEMPTS_OF_AN_EPOCH - 1;
     cluster.submit(spec("wk-1", 1), 1);
     let last = starts(&cluster.heartbeat("n-1", &[]));
-    assert!(last[0].1 < first_token(6).as_u64() && cluster.scheduler.is_exhausted());
+    assert!(last[0].1 < first_token(Epoch::new(6)).as_u64() && cluster.scheduler.is_exhausted());
     cluster.submit(spec("wk-2", 1), 1);
     assert!(starts(&cluster.heartbeat("n-1", &as_running(&last))).is_empty());
 }
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -32,7 +32,7 @@
 }
 
 /// The epoch of the scheduler.
-const EPOCH: u64 = 5;
+const EPOCH: Epoch = Epoch::new(5);
 
 const LEASE: u64 = 12_000;
 
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -1,7 +1,7 @@
 //! What a new leader knows of its predecessor, and how it learns what runs where.
 
 use super::*;
-use crate::store::Revision;
+use crate::store::{Epoch, Revision};
 
 #[test]
 fn a_new_leader_places_all_but_what_an_unheard_machine_may_run() {
@@ -24,7 +24,7 @@
     assert!(starts(&cluster.heartbeat("n-1", &all)).is_empty());
     // A report under the old token says nothing: an old start may still be on its way to the worker.
     assert!(cluster
-        .heartbeat_with_token("n-2", first_token(4), &[])
+        .heartbeat_with_token("n-2", first_token(Epoch::new(4)), &[])
         .is_empty());
     assert_eq!(cluster.scheduler.unreconciled_machines(), 1);
     let mut got = starts(&cluster.heartbeat("n-2", &[]));
@@ -73,7 +73,7 @@
 fn a_worker_that_has_seen_a_later_epoch_ends_this_one() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
-    let r = cluster.report("n-1", first_token(6), &[]);
+    let r = cluster.report("n-1", first_token(Epoch::new(6)), &[]);
     assert_eq!(
         cluster
             .scheduler
@@ -169,13 +169,13 @@
     cluster.submit(spec("wk-1", 1), 50);
     cluster.replay(&[("n-1", "wk-1/0", (4 << TOKEN_BITS) + 3)]);
     // From before the task was started, and under the token of the epoch before.
-    let copy = cluster.report("n-1", first_token(4), &[]);
+    let copy = cluster.report("n-1", first_token(Epoch::new(4)), &[]);
     cluster.run_round(2000);
     assert!(cluster.handle(&copy).is_empty());
     assert!(starts(&cluster.heartbeat("n-9", &[])).is_empty());
     // It also says nothing of whether the machine is alive.
     cluster.advance_to(8000);
-    let copy = cluster.report("n-1", first_token(4), &[]);
+    let copy = cluster.report("n-1", first_token(Epoch::new(4)), &[]);
     cluster.handle(&copy);
     let n1 = cluster
         .scheduler
@@ -250,7 +250,7 @@
         ("wk-9/0", 7, run, None),
         ("wk-1/1", 70, done, None),
     ];
-    let r = cluster.report("n-1", first_token(4), &lines);
+    let r = cluster.report("n-1", first_token(Epoch::new(4)), &lines);
     let HeartbeatDecision::Reply(reply) = cluster
         .scheduler
         .handle_heartbeat(&r, HeartbeatSource::Request { may_start: false })
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -37,7 +37,8 @@
     starts_key, stopping_key, ROOT, TASKS_PER_CHUNK,
 };
 pub use records::{
-    bits_to_text, EpochRecord, FinalRecord, LeaderRecord, LiveRecord, RentalRecord, Versioned,
+    bits_to_text, Epoch, EpochRecord, FinalRecord, LeaderRecord, LiveRecord, RentalRecord,
+    Versioned,
 };
 pub use replica::{Replica, ReplicaChange};
 pub use transactions::{
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -4,6 +4,7 @@
 use crate::protocol::JobSpec;
 use ciborium::Value;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
+use std::fmt;
 
 /// An unfinished job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -41,11 +42,47 @@
     }
 }
 
+/// The number of an epoch, which is the time for which one controller leads. It grows by one with every change of the leader.
+#[derive(
+    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
+)]
+#[serde(transparent)]
+pub struct Epoch(u64);
+
+impl Epoch {
+    /// Before the first epoch: no leader was ever elected.
+    pub const ZERO: Epoch = Epoch(0);
+
+    /// The epoch with this number.
+    #[must_use]
+    pub const fn new(number: u64) -> Epoch {
+        Epoch(number)
+    }
+
+    /// Its number.
+    #[must_use]
+    pub const fn as_u64(self) -> u64 {
+        self.0
+    }
+
+    /// The epoch that follows.
+    #[must_use]
+    pub const fn next(self) -> Epoch {
+        Epoch(self.0 + 1)
+    }
+}
+
+impl fmt::Display for Epoch {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
 /// The current epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// Its number; grows by one with every change of the leader.
-    pub number: u64,
+    /// Its number.
+    pub number: Epoch,
     /// Who leads it.
     pub leader: LeaderRecord,
     /// Its members: the leader alone.
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -2,8 +2,8 @@
 //! or repeated one changes nothing.
 
 use super::{
-    epoch_key, final_key, leader_key, live_key, rental_key, starts_key, stopping_key, EpochRecord,
-    FinalRecord, LeaderRecord, LiveRecord, RentalRecord, Replica, Revision, Versioned,
+    epoch_key, final_key, leader_key, live_key, rental_key, starts_key, stopping_key, Epoch,
+    EpochRecord, FinalRecord, LeaderRecord, LiveRecord, RentalRecord, Replica, Revision, Versioned,
 };
 use crate::protocol::{Change, Guard, Txn};
 use ciborium::Value;
@@ -63,7 +63,9 @@
     }
     let epoch = replica.epoch.as_ref();
     let record = EpochRecord {
-        number: epoch.map_or(0, |epoch| epoch.record.number) + 1,
+        number: epoch
+            .map_or(Epoch::ZERO, |epoch| epoch.record.number)
+            .next(),
         leader: candidate.clone(),
         members: vec![candidate.clone()],
         logs_starts: true,
--- a/tests/compat/peers.rs
+++ b/tests/compat/peers.rs
@@ -4,7 +4,7 @@
 use hollowswitch::coordination::peers::{
     decode, encode, Cancelled, CancelledJob, JobTaskCounts, View,
 };
-use hollowswitch::store::Revision;
+use hollowswitch::store::{Epoch, Revision};
 
 /// A follower's view: node, epoch, revision, whether the store answers, then two absent fields.
 const FOLLOWER_VIEW: &[u8] = b"\x08\0\0\0\0\0\0\0drover-1\
@@ -44,7 +44,7 @@
 fn a_followers_view_is_written_and_read() {
     let view = View {
         node: "drover-1".into(),
-        epoch: 7,
+        epoch: Epoch::new(7),
         revision: Revision::new(258),
         store_reachable: true,
         leader_changes_per_s: None,
@@ -53,7 +53,7 @@
     assert_eq!(encode(&view), FOLLOWER_VIEW);
     let read: View = decode(FOLLOWER_VIEW).unwrap();
     assert_eq!(read.node, "drover-1");
-    assert_eq!(read.epoch, 7);
+    assert_eq!(read.epoch.as_u64(), 7);
     assert_eq!(read.revision, Revision::new(258));
     assert!(read.store_reachable);
     assert_eq!(read.leader_changes_per_s, None);
@@ -64,7 +64,7 @@
 fn a_leaders_view_is_written_and_read() {
     let view = View {
         node: "drover-0".into(),
-        epoch: 8,
+        epoch: Epoch::new(8),
         revision: Revision::new(259),
         store_reachable: false,
         leader_changes_per_s: Some(2.5),
@@ -76,7 +76,7 @@
     assert_eq!(encode(&view), LEADER_VIEW);
     let read: View = decode(LEADER_VIEW).unwrap();
     assert_eq!(read.node, "drover-0");
-    assert_eq!(read.epoch, 8);
+    assert_eq!(read.epoch.as_u64(), 8);
     assert_eq!(read.revision, Revision::new(259));
     assert!(!read.store_reachable);
     assert_eq!(read.leader_changes_per_s, Some(2.5));
--- a/tests/compat/stored_records/read.rs
+++ b/tests/compat/stored_records/read.rs
@@ -6,7 +6,7 @@
     OVER_DONE, RENTAL_ANSWERED, RENTAL_OPEN, SPEC,
 };
 use hollowswitch::protocol::decode;
-use hollowswitch::store::{EpochRecord, FinalRecord, Revision, TASKS_PER_CHUNK};
+use hollowswitch::store::{Epoch, EpochRecord, FinalRecord, Revision, TASKS_PER_CHUNK};
 
 #[test]
 fn an_unfinished_job_is_read() {
@@ -108,7 +108,7 @@
     let replica = replica_after(&put_event(b"\x72hollowswitch/epoch", EPOCH));
     let epoch = replica.epoch.unwrap();
     let expected = EpochRecord {
-        number: 6,
+        number: Epoch::new(6),
         leader: leader_record("drover-0", 77),
         members: vec![leader_record("drover-0", 77)],
         logs_starts: true,
@@ -129,7 +129,7 @@
         EPOCH_BEFORE_THE_START_LOG,
     ));
     let expected = EpochRecord {
-        number: 5,
+        number: Epoch::new(5),
         leader: leader_record("drover-1", 78),
         members: vec![leader_record("drover-1", 78), leader_record("drover-2", 79)],
         logs_starts: false,
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -8,7 +8,7 @@
 use hollowswitch::scheduler::{
     Hardware, HeartbeatDecision, HeartbeatSource, Origin, Params, Scheduler, StoredSlot, TeamQuota,
 };
-use hollowswitch::store::{guard, log_txn, LiveRecord, Revision};
+use hollowswitch::store::{guard, log_txn, Epoch, LiveRecord, Revision};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         }],
         finish_within: HashMap::new(),
     };
-    let mut scheduler = Scheduler::new(params, 5, 1000);
+    let mut scheduler = Scheduler::new(params, Epoch::new(5), 1000);
     scheduler.set_types(&[machine_type()]);
     for (machine, zone) in [("n-1", "a"), ("n-2", "b")] {
         scheduler.add_machine(
