--- a/src/controller/election_loop.rs
+++ b/src/controller/election_loop.rs
@@ -133,7 +133,7 @@
         match self.leader_transaction(&claim.txn).await {
             Ok(TxnOutcome::Applied(revision)) => Some(revision),
             // Without an answer, the transaction may have been applied: the store tells.
-            Err(StoreError::OutcomeUnknown) => self.read_claimed_epoch(&claim.record).await,
+            Err(StoreError::OutcomeUnknown(_)) => self.read_claimed_epoch(&claim.record).await,
             _ => None,
         }
     }
--- a/src/controller/tests/simulation/cluster/writes.rs
+++ b/src/controller/tests/simulation/cluster/writes.rs
@@ -41,7 +41,7 @@
             return;
         };
         let outcome = self.transact(node, &write.txn);
-        let answer = if outcome == Err(StoreError::OutcomeUnknown) {
+        let answer = if matches!(outcome, Err(StoreError::OutcomeUnknown(_))) {
             UNANSWERED_WRITE
         } else {
             self.start_log_write
--- a/src/controller/tests/simulation/invariants.rs
+++ b/src/controller/tests/simulation/invariants.rs
@@ -2,7 +2,7 @@
 
 use super::Simulation;
 use crate::protocol::{split_task, Change, Command, Txn};
-use crate::store::{FinalRecord, TxnOutcome};
+use crate::store::{final_key, FinalRecord, TxnOutcome};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
         let Change::Put { put, value, .. } = change else {
             return None;
         };
-        let (_, job) = put.split_once("/over/")?;
+        let job = put.strip_prefix(&final_key(""))?;
         Some(FinalState {
             key: put,
             job,
--- a/src/controller/tests/simulation/store.rs
+++ b/src/controller/tests/simulation/store.rs
@@ -7,7 +7,7 @@
 use super::Simulation;
 use crate::protocol::{Change, Event, Guard, Txn};
 use crate::store::{
-    self, Epoch, EpochRecord, Replica, Revision, StoreError, TxnOutcome, Versioned,
+    self, Epoch, EpochRecord, Replica, Revision, StoreError, TxnOutcome, UnknownOutcome, Versioned,
 };
 use crate::time::Timestamp;
 use ciborium::Value;
@@ -228,7 +228,9 @@
     /// A replica as a controller reads it at its start: everything but final states.
     pub(super) fn replica(&self) -> Replica {
         let (mut replica, mut changes) = (Replica::default(), Vec::new());
-        for (key, stored) in self.keys.iter().filter(|(key, _)| !key.contains("/over/")) {
+        let final_states = store::final_key("");
+        let is_replicated = |key: &str| !key.starts_with(&final_states);
+        for (key, stored) in self.keys.iter().filter(|(key, _)| is_replicated(key)) {
             replica.put(key, &stored.value, stored.version, &mut changes);
         }
         (replica.revision, replica.initialized) = (self.revision, true);
@@ -246,7 +248,7 @@
         if late_writes > 0.0 && self.rng.gen_bool(late_writes) {
             let delay = Duration::from_millis(self.rng.gen_range(LATE_WRITE_MS));
             self.send(delay, Message::LateWrite(txn.clone()));
-            return Err(StoreError::OutcomeUnknown);
+            return Err(StoreError::OutcomeUnknown(UnknownOutcome::NoResponse));
         }
         Ok(self.commit(txn))
     }
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -72,7 +72,9 @@
             Ok(TxnOutcome::Applied(revision)) => {
                 ControlFlow::Break(self.confirm(id, final_state, revision).await)
             }
-            Ok(TxnOutcome::Failed(_)) | Err(StoreError::OutcomeUnknown) => self.read_back(id).await,
+            Ok(TxnOutcome::Failed(_)) | Err(StoreError::OutcomeUnknown(_)) => {
+                self.read_back(id).await
+            }
             Err(_) => ControlFlow::Break(JobOutcome::RETRY_SOON),
         }
     }
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -71,7 +71,7 @@
                 }
             }
             Ok(TxnOutcome::Failed(_)) => JobOutcome::Known(self.unfinished_view(id)),
-            Err(StoreError::OutcomeUnknown) => self.read_back_submission(id).await,
+            Err(StoreError::OutcomeUnknown(_)) => self.read_back_submission(id).await,
             Err(_) => JobOutcome::RETRY_SOON,
         }
     }
--- a/src/protocol/state_service.rs
+++ b/src/protocol/state_service.rs
@@ -1,4 +1,7 @@
-//! The calls of the state service.
+//! The calls of the state service, a consensus-backed key-value store: transactions of conditions and changes, pages of keys,
+//! watches and leases.
+//!
+//! Values are CBOR of any form: what they hold is a matter of [`crate::store`].
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -53,7 +56,7 @@
     pub version: Revision,
 }
 
-/// A change in a transaction.
+/// A change of a key in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
@@ -61,10 +64,10 @@
     Put {
         /// Key.
         put: String,
-        /// Value.
+        /// New value.
         #[serde(rename = "v")]
         value: ciborium::Value,
-        /// State-service lease the key is attached to.
+        /// Lease that the key is attached to: when it ends, the key is removed.
         #[serde(rename = "tenure", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
@@ -76,12 +79,12 @@
     },
 }
 
-/// A transaction.
+/// A compare-and-swap transaction: if all conditions hold, all changes are made, at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// Conditions.
+    /// Conditions; all of them have to hold.
     pub guards: Vec<Guard>,
-    /// Changes.
+    /// Changes, in their order; none if the conditions are only compared.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub apply: Vec<Change>,
 }
@@ -89,15 +92,15 @@
 /// The outcome of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TxnReply {
-    /// Keys whose condition failed.
+    /// Keys whose conditions did not hold; none if the transaction was applied.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// Revision.
+    /// Revision of the changes; that of the store if nothing was changed.
     #[serde(rename = "ledger")]
     pub revision: Revision,
 }
 
-/// A key's content.
+/// A key with its value.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Item {
     /// Key.
@@ -114,18 +117,18 @@
 /// A page of keys.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Page {
-    /// Items by key.
+    /// The keys, in their order.
     #[serde(rename = "rows")]
     pub items: Vec<Item>,
     /// Whether another page follows.
     #[serde(rename = "hasNext")]
     pub more: bool,
-    /// Revision.
+    /// Revision of the store when the page was read.
     #[serde(rename = "ledger")]
     pub revision: Revision,
 }
 
-/// A change seen by a watch.
+/// A change of a key that a watch brings.
 ///
 /// Read by way of `EventFields`: as an untagged enum each event was first copied whole, for every variant to be tried.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -153,6 +156,11 @@
     },
 }
 
+/// Why an event is not understood.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("an event is either a put or a drop")]
+struct AmbiguousEvent;
+
 /// The fields of either variant of `Event`.
 #[derive(Deserialize)]
 struct EventFields {
@@ -165,9 +173,9 @@
 }
 
 impl TryFrom<EventFields> for Event {
-    type Error = &'static str;
+    type Error = AmbiguousEvent;
 
-    fn try_from(fields: EventFields) -> Result<Event, Self::Error> {
+    fn try_from(fields: EventFields) -> Result<Event, AmbiguousEvent> {
         let version = fields.version;
         match (fields.put, fields.drop) {
             (Some(put), None) => Ok(Event::Put {
@@ -176,33 +184,33 @@
                 version,
             }),
             (None, Some(key)) => Ok(Event::Delete { key, version }),
-            _ => Err("an event is either a put or a drop"),
+            _ => Err(AmbiguousEvent),
         }
     }
 }
 
-/// The answer of a watch.
+/// The answer to a watch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Watched {
-    /// Revision.
+    /// Revision up to which the changes are complete; the next watch begins there.
     #[serde(rename = "ledger")]
     pub revision: Revision,
-    /// Changes in order.
+    /// Changes in the order of their revisions; none if the watch has ended without any.
     pub events: Vec<Event>,
 }
 
-/// A new lease of the state service.
+/// A request for a lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Life without renewal.
+    /// Time until it ends without renewal, in milliseconds.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
 
-/// A lease's id.
+/// The answer to a request for a lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseReply {
-    /// Id.
+    /// The lease's id.
     #[serde(rename = "tenure")]
     pub lease: u64,
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -39,11 +39,38 @@
     /// The response is larger than this process is ready to hold. Only a read ends so.
     #[error("response too large")]
     ResponseTooLarge,
-    /// No response, or one that is not understood: executed, or to be executed later, or not at all.
-    #[error("outcome unknown")]
-    OutcomeUnknown,
+    /// No response to rely on: executed, or to be executed later, or not at all.
+    #[error("outcome unknown: {0}")]
+    OutcomeUnknown(#[source] UnknownOutcome),
 }
 
+/// Why the outcome of a call is unknown.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
+pub enum UnknownOutcome {
+    /// No complete response within the timeout.
+    #[error("no response")]
+    NoResponse,
+    /// A status that the call does not have.
+    #[error("unexpected status {0}")]
+    UnexpectedStatus(u16),
+    /// A body, or a record in it, that does not decode.
+    #[error("response not understood")]
+    Malformed,
+}
+
+impl UnknownOutcome {
+    /// Of a response whose status is not the expected one, or whose body does not decode.
+    fn of(response: &HttpResponse) -> StoreError {
+        StoreError::OutcomeUnknown(match response.status {
+            StatusCode::OK | StatusCode::CONFLICT => UnknownOutcome::Malformed,
+            status => UnknownOutcome::UnexpectedStatus(status.as_u16()),
+        })
+    }
+}
+
+const MALFORMED: StoreError = StoreError::OutcomeUnknown(UnknownOutcome::Malformed);
+
 /// The outcome of a transaction that was decided.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnOutcome {
@@ -77,7 +104,7 @@
     /// type.
     pub async fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Versioned<T>, StoreError> {
         let item: Item = self.read(&format!("/keys/{key}"), TIMEOUT).await?;
-        let record = read_record(&item.value).ok_or(StoreError::OutcomeUnknown)?;
+        let record = read_record(&item.value).ok_or(MALFORMED)?;
         Ok(Versioned {
             record,
             version: item.version,
@@ -95,7 +122,7 @@
             (StatusCode::OK, Some(reply)) => Ok(TxnOutcome::Applied(reply.revision)),
             (StatusCode::CONFLICT, Some(reply)) => Ok(TxnOutcome::Failed(reply.failed)),
             (StatusCode::BAD_REQUEST, _) => Err(StoreError::NotFound),
-            _ => Err(StoreError::OutcomeUnknown),
+            _ => Err(UnknownOutcome::of(&response)),
         }
     }
 
@@ -107,7 +134,7 @@
         let response = self.post("/multi", encode(txn), TIMEOUT).await?;
         match (response.status, decode::<TxnReply>(&response.body).ok()) {
             (StatusCode::OK | StatusCode::CONFLICT, Some(reply)) => Ok(reply.revision),
-            _ => Err(StoreError::OutcomeUnknown),
+            _ => Err(UnknownOutcome::of(&response)),
         }
     }
 
@@ -121,7 +148,7 @@
         let response = self.post("/holds", body, TIMEOUT).await?;
         match (response.status, decode::<LeaseReply>(&response.body).ok()) {
             (StatusCode::OK, Some(reply)) => Ok(reply.lease),
-            _ => Err(StoreError::OutcomeUnknown),
+            _ => Err(UnknownOutcome::of(&response)),
         }
     }
 
@@ -134,7 +161,7 @@
         let response = self.post(&path, Vec::new(), timeout).await?;
         match response.status {
             StatusCode::OK => Ok(()),
-            _ => Err(StoreError::OutcomeUnknown),
+            _ => Err(UnknownOutcome::of(&response)),
         }
     }
 
@@ -205,9 +232,9 @@
     ) -> Result<T, StoreError> {
         let response = self.call(Method::GET, path, None, timeout).await?;
         if response.status != StatusCode::OK {
-            return Err(StoreError::OutcomeUnknown);
+            return Err(UnknownOutcome::of(&response));
         }
-        decode(&response.body).map_err(|_| StoreError::OutcomeUnknown)
+        decode(&response.body).map_err(|_| MALFORMED)
     }
 
     async fn post(
@@ -219,7 +246,7 @@
         let result = self.call(Method::POST, path, Some(body), timeout).await;
         result.map_err(|error| match error {
             // Whatever came back, what was asked for may have been done.
-            StoreError::ResponseTooLarge => StoreError::OutcomeUnknown,
+            StoreError::ResponseTooLarge => MALFORMED,
             error => error,
         })
     }
@@ -243,7 +270,7 @@
             .await
             .map_err(|error| match error {
                 ExchangeError::TooLarge => StoreError::ResponseTooLarge,
-                _ => StoreError::OutcomeUnknown,
+                _ => StoreError::OutcomeUnknown(UnknownOutcome::NoResponse),
             })?;
         match response.status {
             StatusCode::TOO_MANY_REQUESTS => Err(StoreError::RateLimited),
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -31,7 +31,7 @@
 mod transactions;
 
 pub use crate::protocol::Revision;
-pub use client::{StoreClient, StoreError, TxnOutcome};
+pub use client::{StoreClient, StoreError, TxnOutcome, UnknownOutcome};
 pub use keys::{
     catalogue_key, done_key, epoch_key, final_key, leader_key, live_job, live_key, rental_key,
     starts_key, stopping_key, ROOT, TASKS_PER_CHUNK,
