--- a/src/store/tests/mod.rs
+++ b/src/store/tests/mod.rs
@@ -1,6 +1,7 @@
 //! Keys, records, transactions, the replica and the client.
 
 mod client;
+mod keys;
 mod records;
 mod replica;
 mod transactions;
