--- a/benches/load/users.rs
+++ b/benches/load/users.rs
@@ -1,7 +1,7 @@
 //! A stand-in for users: services at the start, arrays at a steady rate, and polls of unfinished jobs.
 
 use crate::http;
-use hollowswitch::protocol::{decode, encode, JobSpec, JobState, JobView, Kind, Priority};
+use hollowswitch::protocol::{decode, encode, JobKind, JobSpec, JobState, JobView, Priority};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -50,7 +50,7 @@
     fn service(&self, number: usize) -> JobSpec {
         JobSpec {
             class: "service".into(),
-            kind: Kind::Service,
+            kind: JobKind::Service,
             priority: Priority::Production,
             tasks: REPLICAS,
             estimate_s: 0.0,
@@ -64,7 +64,7 @@
             id: format!("wk-{number:06}"),
             class: "array".into(),
             team: "team".into(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             priority: Priority::Normal,
             tasks: self.tasks_per_array,
             cpus: self.cpus_per_task,
@@ -74,11 +74,11 @@
             image_gb: 0.5,
             types: None,
             zone: None,
-            together: false,
-            scatter: false,
+            single_zone: false,
+            spread_zones: false,
             spot: false,
             estimate_s: 60.0,
-            checkpoint_s: 0.0,
+            checkpoint_interval_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
         }
--- a/benches/load/worker/direct.rs
+++ b/benches/load/worker/direct.rs
@@ -1,19 +1,19 @@
-//! The address on which a worker takes direct orders.
+//! The address on which a worker takes direct commands.
 
 use super::tasks::WorkerState;
 use crate::http;
-use hollowswitch::protocol::{decode, DirectOrders};
+use hollowswitch::protocol::{decode, DirectCommandRequest};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Status of an answer to orders that were executed.
+/// Status of an answer to commands that were executed.
 const OK: u16 = 200;
-/// Status of an answer to orders that are void.
+/// Status of an answer to commands that are void.
 const CONFLICT: u16 = 409;
 
-/// Serves direct orders for ever, a connection for each.
+/// Serves direct commands for ever, a connection for each.
 pub(super) async fn serve(
     worker: Rc<RefCell<WorkerState>>,
     changed: Rc<Notify>,
@@ -28,17 +28,17 @@
     }
 }
 
-/// Executes the orders of a connection, and answers with a heartbeat.
+/// Executes the commands of a connection, and answers with a heartbeat.
 async fn answer(
     worker: &RefCell<WorkerState>,
     changed: &Notify,
     stream: &mut TcpStream,
 ) -> Option<()> {
     let (_, body) = http::read(stream).await?;
-    let orders = decode::<DirectOrders>(&body).ok()?;
+    let commands = decode::<DirectCommandRequest>(&body).ok()?;
     let (status, heartbeat) = {
         let mut worker = worker.borrow_mut();
-        let executed = worker.take_direct_orders(&orders);
+        let executed = worker.take_direct_commands(&commands);
         let status = if executed { OK } else { CONFLICT };
         (status, worker.next_heartbeat())
     };
--- a/benches/load/worker/heartbeats.rs
+++ b/benches/load/worker/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use crate::http;
 use crate::topology::ControllerId;
-use hollowswitch::protocol::{decode, Redirect, ReportReply};
+use hollowswitch::protocol::{decode, HeartbeatReply, Redirect};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -18,7 +18,7 @@
 /// What became of a heartbeat.
 pub(super) enum Outcome {
     /// The leader answered; nothing if its answer cannot be read.
-    Answered(Option<ReportReply>),
+    Answered(Option<HeartbeatReply>),
     /// The next heartbeat goes to the controller that was named.
     Redirected,
     /// No answer, or none of use; the next heartbeat goes to another controller.
--- a/benches/load/worker/mod.rs
+++ b/benches/load/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker: heartbeats over one kept connection, and direct orders on an address of its own.
+//! A stand-in for a worker: heartbeats over one kept connection, and direct commands on an address of its own.
 
 mod direct;
 mod heartbeats;
@@ -26,7 +26,7 @@
 pub(crate) struct Settings {
     /// The controllers.
     pub controllers: Vec<ControllerId>,
-    /// Port of direct orders.
+    /// Port of direct commands.
     pub port: u16,
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
--- a/benches/load/worker/tasks.rs
+++ b/benches/load/worker/tasks.rs
@@ -1,8 +1,8 @@
-//! A worker's tasks, and what orders do to them.
+//! A worker's tasks, and what commands do to them.
 
 use hollowswitch::protocol::{
-    encode, Command, DirectOrders, ExitReason, FencingToken, ListedMachine, Report, ReportReply,
-    TaskReport, TaskState,
+    encode, Command, DirectCommandRequest, ExitReason, FencingToken, HeartbeatReply, ListedMachine,
+    TaskState, TaskStatus, WorkerStatus,
 };
 use std::time::Duration;
 use tokio::time::Instant;
@@ -10,7 +10,7 @@
 /// A worker's tasks and counters.
 pub(super) struct WorkerState {
     /// The last heartbeat; its tasks are the worker's.
-    heartbeat: Report,
+    heartbeat: WorkerStatus,
     /// When each task ends, in the order of the heartbeat.
     ends: Vec<Option<Instant>>,
     run_time: Duration,
@@ -19,16 +19,16 @@
 impl WorkerState {
     /// A worker without tasks, in its first session.
     pub(super) fn new(machine: ListedMachine, run_time: Duration) -> Self {
-        let heartbeat = Report {
+        let heartbeat = WorkerStatus {
             machine: machine.id,
             address: machine.address,
             machine_type: machine.machine_type,
             zone: machine.zone,
             spot: machine.spot,
             session: 1,
-            seq: 0,
+            sequence: 0,
             token: FencingToken::ZERO,
-            notice_s: None,
+            eviction_notice_s: None,
             tasks: Vec::new(),
         };
         WorkerState {
@@ -40,32 +40,32 @@
 
     /// The next heartbeat, encoded.
     pub(super) fn next_heartbeat(&mut self) -> Vec<u8> {
-        self.heartbeat.seq += 1;
+        self.heartbeat.sequence += 1;
         encode(&self.heartbeat)
     }
 
     /// Takes the answer to a heartbeat; true if the next heartbeat is to follow at once.
-    pub(super) fn take_reply(&mut self, reply: &ReportReply) -> bool {
+    pub(super) fn take_reply(&mut self, reply: &HeartbeatReply) -> bool {
         let newer = reply.token > self.heartbeat.token;
         self.heartbeat.token = self.heartbeat.token.max(reply.token);
-        self.execute(&reply.orders) || newer
+        self.execute(&reply.commands) || newer
     }
 
-    /// Executes direct orders; false if they are void, since a newer token is known or the session is another.
-    pub(super) fn take_direct_orders(&mut self, direct: &DirectOrders) -> bool {
+    /// Executes direct commands; false if they are void, since a newer token is known or the session is another.
+    pub(super) fn take_direct_commands(&mut self, direct: &DirectCommandRequest) -> bool {
         let valid =
             direct.token >= self.heartbeat.token && direct.session == self.heartbeat.session;
         if valid {
             self.heartbeat.token = direct.token;
-            self.execute(&direct.orders);
+            self.execute(&direct.commands);
         }
         valid
     }
 
-    /// Executes orders; true if there are more or fewer tasks afterwards.
-    fn execute(&mut self, orders: &[Command]) -> bool {
+    /// Executes commands; true if there are more or fewer tasks afterwards.
+    fn execute(&mut self, commands: &[Command]) -> bool {
         let before = self.heartbeat.tasks.len();
-        for order in orders {
+        for order in commands {
             match order {
                 Command::Start { task, attempt } => self.start(task, *attempt),
                 Command::Stop { task, attempt, .. } => self.stop(task, *attempt),
@@ -86,7 +86,7 @@
         if self.position(task, attempt).is_some() {
             return;
         }
-        self.heartbeat.tasks.push(TaskReport {
+        self.heartbeat.tasks.push(TaskStatus {
             task: task.into(),
             attempt,
             state: TaskState::Running,
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -3,7 +3,7 @@
 use super::users::job_response;
 use super::workers::heartbeat_response;
 use crate::controller::{HeartbeatOutcome, HeartbeatResponse, JobOutcome, JobRejection};
-use crate::protocol::{FencingToken, JobState, JobView, ReportReply};
+use crate::protocol::{FencingToken, HeartbeatReply, JobState, JobView};
 use actix_web::body::MessageBody;
 use actix_web::http::ConnectionType;
 use std::time::{Duration, Instant};
@@ -29,9 +29,9 @@
 fn an_answer_to_a_worker_is_withheld_once_its_authority_has_expired() {
     let now = Instant::now();
     let decided = |valid_until| {
-        let outcome = HeartbeatOutcome::Reply(ReportReply {
+        let outcome = HeartbeatOutcome::Reply(HeartbeatReply {
             token: FencingToken::new(5),
-            orders: Vec::new(),
+            commands: Vec::new(),
         });
         heartbeat_response(
             HeartbeatResponse {
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -2,14 +2,14 @@
 
 use super::{responses, ApiState};
 use crate::controller::{Heartbeat, HeartbeatOutcome, HeartbeatResponse};
-use crate::protocol::{decode, Redirect, Report};
+use crate::protocol::{decode, Redirect, WorkerStatus};
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpResponse};
 use std::time::Instant;
 
 /// `POST /hello`: a heartbeat. The response carries commands and renews the lease of the worker.
 pub(super) async fn heartbeat(state: web::Data<ApiState>, body: web::Bytes) -> HttpResponse {
-    let Ok(report) = decode::<Report>(&body) else {
+    let Ok(report) = decode::<WorkerStatus>(&body) else {
         tracing::info!(bytes = body.len(), "report not understood");
         return responses::malformed();
     };
--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -1,7 +1,7 @@
 //! Commands that a controller sends directly to a worker, without waiting for its next heartbeat.
 
 use super::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest};
-use crate::protocol::{decode, encode, DirectOrders, Report};
+use crate::protocol::{decode, encode, DirectCommandRequest, WorkerStatus};
 use crate::scheduler::DirectCommands;
 use awc::http::{Method, StatusCode};
 use std::time::Duration;
@@ -34,11 +34,11 @@
 pub async fn send_commands(
     http: &awc::Client,
     commands: &DirectCommands,
-) -> Result<Report, CommandError> {
-    let body = encode(&DirectOrders {
+) -> Result<WorkerStatus, CommandError> {
+    let body = encode(&DirectCommandRequest {
         token: commands.token,
         session: commands.session,
-        orders: commands.orders.clone(),
+        commands: commands.commands.clone(),
     });
     let request = HttpRequest {
         method: Method::POST,
@@ -52,7 +52,7 @@
     if !matches!(response.status, StatusCode::OK | StatusCode::CONFLICT) {
         return Err(CommandError::Status(response.status));
     }
-    let report: Report = decode(&response.body).map_err(|_| CommandError::Malformed)?;
+    let report: WorkerStatus = decode(&response.body).map_err(|_| CommandError::Malformed)?;
     if report.machine != commands.machine {
         return Err(CommandError::OtherMachine(report.machine));
     }
--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -101,6 +101,6 @@
         address: worker.address.clone(),
         token: first_token(term.epoch),
         session: worker.session,
-        orders: Vec::new(),
+        commands: Vec::new(),
     }
 }
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -1,7 +1,7 @@
 //! The messages to a controller, and their outcomes. The API sends them; it maps the outcomes to responses.
 
 use crate::coordination::peers::{Cancelled, View};
-use crate::protocol::{JobSpec, JobView, Report, ReportReply};
+use crate::protocol::{HeartbeatReply, JobSpec, JobView, WorkerStatus};
 use crate::store::Revision;
 use actix::Message;
 use std::time::{Duration, Instant};
@@ -29,7 +29,7 @@
 /// A worker reports its state.
 #[derive(Message)]
 #[rtype(result = "HeartbeatResponse")]
-pub struct Heartbeat(pub Report);
+pub struct Heartbeat(pub WorkerStatus);
 
 /// Another controller sends its view, and is answered by that of this one.
 #[derive(Message)]
@@ -79,7 +79,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatOutcome {
     /// This controller leads: the commands for the worker.
-    Reply(ReportReply),
+    Reply(HeartbeatReply),
     /// Another controller leads; its name, if it is to be named.
     Redirect(Option<String>),
     /// This controller does not lead, and knows no other leader.
--- a/src/controller/state/heartbeats.rs
+++ b/src/controller/state/heartbeats.rs
@@ -3,13 +3,16 @@
 use super::{ControllerState, UnregisteredMachine, WorkerContact};
 use crate::controller::messages::HeartbeatOutcome;
 use crate::coordination::leadership::{Authority, LeadershipEvent};
-use crate::protocol::Report;
+use crate::protocol::WorkerStatus;
 use crate::scheduler::{HeartbeatDecision, HeartbeatSource};
 use std::time::Instant;
 
 impl ControllerState {
     /// Handles a worker's heartbeat.
-    pub(in crate::controller) fn handle_heartbeat(&mut self, report: &Report) -> HeartbeatOutcome {
+    pub(in crate::controller) fn handle_heartbeat(
+        &mut self,
+        report: &WorkerStatus,
+    ) -> HeartbeatOutcome {
         let authority = self.authority();
         if authority == Authority::None {
             return self.redirect_to_leader();
@@ -46,7 +49,7 @@
         }
     }
 
-    fn record_unregistered_machine(&mut self, report: &Report) {
+    fn record_unregistered_machine(&mut self, report: &WorkerStatus) {
         self.rental_reconciliation
             .add_unregistered(&report.machine, || UnregisteredMachine {
                 machine_type: report.machine_type.clone(),
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -3,7 +3,7 @@
 use super::round_timing::{FOLLOWER_TICK, TICK};
 use super::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
-use crate::protocol::Report;
+use crate::protocol::WorkerStatus;
 use crate::scheduler::{DirectCommands, Scheduler};
 use crate::time::Timestamp;
 use std::fmt;
@@ -166,7 +166,7 @@
         &mut self,
         term: Option<Term>,
         message: &DirectCommands,
-        answer: Option<&Report>,
+        answer: Option<&WorkerStatus>,
     ) {
         if term.is_none() || self.term() != term {
             return;
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -9,7 +9,7 @@
 use crate::controller::HeartbeatOutcome;
 use crate::coordination::leadership::{LeadershipEvent, Term};
 use crate::protocol::{
-    Change, Command, Event, ExitReason, FencingToken, JobState, Report, TaskReport, TaskState,
+    Change, Command, Event, ExitReason, FencingToken, JobState, TaskState, TaskStatus, WorkerStatus,
 };
 use crate::store::{Epoch, Replica, Revision, TxnOutcome};
 use ciborium::{cbor, Value};
@@ -149,30 +149,30 @@
 }
 
 /// A worker's report under the new leader's token.
-fn report(machine: &str, seq: u64, tasks: &[(&str, u64, TaskState)]) -> Report {
-    let task = |(task, attempt, state): &(&str, u64, TaskState)| TaskReport {
+fn report(machine: &str, sequence: u64, tasks: &[(&str, u64, TaskState)]) -> WorkerStatus {
+    let task = |(task, attempt, state): &(&str, u64, TaskState)| TaskStatus {
         task: (*task).into(),
         attempt: *attempt,
         state: *state,
         reason: (*state == TaskState::Exited).then_some(ExitReason::Done),
         saved: None,
     };
-    Report {
+    WorkerStatus {
         machine: machine.into(),
         address: "1.2.3.4:9".into(),
         machine_type: "m8".into(),
         zone: "a".into(),
         spot: false,
         session: 1,
-        seq,
+        sequence,
         token: FencingToken::new(TOKEN),
-        notice_s: None,
+        eviction_notice_s: None,
         tasks: tasks.iter().map(task).collect(),
     }
 }
 
 /// Lets 100 ms pass, places what can be placed, makes its lines durable, and answers a report.
-fn answer(controller: &mut ControllerState, report: &Report) -> Vec<Command> {
+fn answer(controller: &mut ControllerState, report: &WorkerStatus) -> Vec<Command> {
     if let Clock::Scripted(now) = controller.clock() {
         now.set(now.get() + 100);
     }
@@ -182,7 +182,7 @@
     };
     let round = controller.run_scheduling_round(limits);
     assert!(matches!(round, RoundOutcome::Send(messages) if messages.is_empty()));
-    let mut revision = 400 + report.seq;
+    let mut revision = 400 + report.sequence;
     while let Some(write) = controller.next_start_log_write() {
         let StartLogWrite { append, term, .. } = write;
         revision += 1;
@@ -200,19 +200,19 @@
                 7,
                 "the epoch stands above the lower 24 bits"
             );
-            reply.orders
+            reply.commands
         }
         other => panic!("{other:?}"),
     }
 }
 
-/// The tasks that are started and those that are stopped by orders.
-fn started_and_stopped(orders: &[Command]) -> (Vec<&str>, Vec<&str>) {
-    let started = orders.iter().filter_map(|order| match order {
+/// The tasks that are started and those that are stopped by commands.
+fn started_and_stopped(commands: &[Command]) -> (Vec<&str>, Vec<&str>) {
+    let started = commands.iter().filter_map(|order| match order {
         Command::Start { task, .. } => Some(task.as_str()),
         _ => None,
     });
-    let stopped = orders.iter().filter_map(|order| match order {
+    let stopped = commands.iter().filter_map(|order| match order {
         Command::Stop { task, .. } => Some(task.as_str()),
         _ => None,
     });
@@ -231,12 +231,12 @@
     let mut controller = new_leader(stored());
     // Both machines may run something, until they have been heard.
     assert_eq!(controller.scheduler().unwrap().unreconciled_machines(), 2);
-    let orders = answer(&mut controller, &report("n-1", 1, &N1_TASKS));
-    assert_eq!(started_and_stopped(&orders), (vec![], vec!["wk-3/0"]));
+    let commands = answer(&mut controller, &report("n-1", 1, &N1_TASKS));
+    assert_eq!(started_and_stopped(&commands), (vec![], vec!["wk-3/0"]));
     // wk-1/0 is done, wk-1/1 runs here, wk-1/2 may run on n-2; the older line that shows it here is void.
-    let orders = answer(&mut controller, &report("n-1", 2, &N1_TASKS));
-    assert_eq!(started_and_stopped(&orders).0, ["wk-1/3", "wk-2/0"]);
-    let attempts: Vec<u64> = orders
+    let commands = answer(&mut controller, &report("n-1", 2, &N1_TASKS));
+    assert_eq!(started_and_stopped(&commands).0, ["wk-1/3", "wk-2/0"]);
+    let attempts: Vec<u64> = commands
         .iter()
         .filter_map(|order| match order {
             Command::Start { attempt, .. } => Some(*attempt),
@@ -246,9 +246,9 @@
     assert!(attempts.iter().all(|attempt| *attempt > TOKEN));
     // n-2 still runs its task: nothing to do there.
     let on_n2 = [("wk-1/2", 0x600_0006, TaskState::Running)];
-    for seq in [3, 4] {
-        let orders = answer(&mut controller, &report("n-2", seq, &on_n2));
-        assert!(orders.is_empty(), "{orders:?}");
+    for sequence in [3, 4] {
+        let commands = answer(&mut controller, &report("n-2", sequence, &on_n2));
+        assert!(commands.is_empty(), "{commands:?}");
     }
     assert_eq!(controller.scheduler().unwrap().unreconciled_machines(), 0);
 }
@@ -257,10 +257,10 @@
 fn a_new_leader_starts_again_what_a_machine_no_longer_has() {
     let mut controller = new_leader(stored());
     answer(&mut controller, &report("n-2", 1, &[]));
-    let orders = answer(&mut controller, &report("n-2", 2, &[]));
+    let commands = answer(&mut controller, &report("n-2", 2, &[]));
     // Not the task of wk-1 that may be on n-1, nor the one that is done.
     assert_eq!(
-        started_and_stopped(&orders),
+        started_and_stopped(&commands),
         (vec!["wk-1/2", "wk-1/3", "wk-2/0"], vec![])
     );
 }
@@ -343,10 +343,10 @@
     }
     records.retain(|(key, ..)| !key.starts_with("hollowswitch/starts/"));
     let mut controller = new_leader(records);
-    for seq in 1..4 {
+    for sequence in 1..4 {
         // The tasks that n-1 reports are taken over, the cancelled one is stopped, and nothing is started.
-        let orders = answer(&mut controller, &report("n-1", seq, &N1_TASKS));
-        assert!(started_and_stopped(&orders).0.is_empty(), "{orders:?}");
+        let commands = answer(&mut controller, &report("n-1", sequence, &N1_TASKS));
+        assert!(started_and_stopped(&commands).0.is_empty(), "{commands:?}");
     }
     assert_eq!(controller.job_view("wk-1").unwrap().running, Some(1));
 }
--- a/src/controller/tests/fault_combinations/capacity_shortages.rs
+++ b/src/controller/tests/fault_combinations/capacity_shortages.rs
@@ -2,7 +2,7 @@
 
 use super::super::simulation::{Simulation, MILLISECOND, SECOND};
 use super::job_id;
-use crate::protocol::{JobSpec, Kind, Priority};
+use crate::protocol::{JobKind, JobSpec, Priority};
 use crate::scheduler::tests::spec;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 fn zone_bound_jobs_settle_after_losing_their_machines_and_the_leader() {
     let mut simulation = Simulation::new(15, 8);
     let service = JobSpec {
-        kind: Kind::Service,
+        kind: JobKind::Service,
         zone: Some("a".into()),
         ..spec("wk-1", 3)
     };
@@ -26,7 +26,7 @@
         ..spec("wk-2", 6)
     };
     let gang = JobSpec {
-        together: true,
+        single_zone: true,
         ..spec("wk-3", 4)
     };
     simulation.submit(service, Duration::ZERO);
--- a/src/controller/tests/fault_combinations/partitions.rs
+++ b/src/controller/tests/fault_combinations/partitions.rs
@@ -3,7 +3,7 @@
 use super::super::simulation::faults::IsolatedZone;
 use super::super::simulation::{Simulation, LEASE, SECOND};
 use super::{all_run, next_node, submit_long_jobs, third_node};
-use crate::protocol::{JobSpec, Kind};
+use crate::protocol::{JobKind, JobSpec};
 use crate::scheduler::tests::spec;
 use std::time::Duration;
 
@@ -128,8 +128,8 @@
     for leads in [true, false] {
         let mut simulation = Simulation::new(14, 8);
         let service = JobSpec {
-            kind: Kind::Service,
-            scatter: true,
+            kind: JobKind::Service,
+            spread_zones: true,
             ..spec("wk-1", 4)
         };
         simulation.submit(service, Duration::ZERO);
--- a/src/controller/tests/large_fleets.rs
+++ b/src/controller/tests/large_fleets.rs
@@ -1,20 +1,20 @@
 //! A controller and thousands of machines.
 
 use super::simulation::Simulation;
-use crate::protocol::{FencingToken, Report};
+use crate::protocol::{FencingToken, WorkerStatus};
 
 /// The first heartbeat of a machine.
-fn heartbeat(machine: String) -> Report {
-    Report {
+fn heartbeat(machine: String) -> WorkerStatus {
+    WorkerStatus {
         machine,
         address: "127.0.0.1:9".into(),
         machine_type: "m8".into(),
         zone: "a".into(),
         spot: false,
         session: 1,
-        seq: 1,
+        sequence: 1,
         token: FencingToken::ZERO,
-        notice_s: None,
+        eviction_notice_s: None,
         tasks: Vec::new(),
     }
 }
--- a/src/controller/tests/random_schedules/workload.rs
+++ b/src/controller/tests/random_schedules/workload.rs
@@ -1,7 +1,7 @@
 //! What the users of a schedule do: they submit and cancel jobs.
 
 use super::super::simulation::{Simulation, NODES};
-use crate::protocol::{Kind, Priority};
+use crate::protocol::{JobKind, Priority};
 use crate::scheduler::tests::spec;
 use rand::Rng;
 use std::time::Duration;
@@ -26,12 +26,12 @@
         match rng.gen_range(0..6) {
             0 if self.services < SERVICES => {
                 self.services += 1;
-                job.kind = Kind::Service;
-                job.scatter = rng.gen_bool(0.5);
+                job.kind = JobKind::Service;
+                job.spread_zones = rng.gen_bool(0.5);
                 job.tasks = tasks.min(3);
             }
             1 => job.zone = Some("a".into()),
-            2 => job.together = true,
+            2 => job.single_zone = true,
             _ => {}
         }
         let run_time = Duration::from_millis(rng.gen_range(500..30_000));
--- a/src/controller/tests/simulation/cluster/dispatch.rs
+++ b/src/controller/tests/simulation/cluster/dispatch.rs
@@ -20,7 +20,7 @@
 
 fn starts_tasks(direct: &DirectCommands) -> bool {
     direct
-        .orders
+        .commands
         .iter()
         .any(|command| matches!(command, Command::Start { .. }))
 }
@@ -66,7 +66,7 @@
     /// Direct commands leave their controller; some are delayed on their way, which may be longer than it waits for the answer.
     pub(in super::super) fn send_commands(&mut self, dispatches: Vec<Dispatch>) {
         for dispatch in dispatches {
-            self.record_sent_commands(&dispatch.direct.orders);
+            self.record_sent_commands(&dispatch.direct.commands);
             let delayed_commands = self.faults.delayed_commands;
             let delay = if delayed_commands > 0.0 && self.rng.gen_bool(delayed_commands) {
                 let shortest_ms = whole_millis(self.faults.command_delay);
--- a/src/controller/tests/simulation/delivery.rs
+++ b/src/controller/tests/simulation/delivery.rs
@@ -3,7 +3,7 @@
 use super::network::{Dispatch, Message, DIRECT_TIMEOUT, HEARTBEAT_TIMEOUT};
 use super::{Simulation, STEP};
 use crate::controller::HeartbeatOutcome;
-use crate::protocol::{Report, ReportReply, Txn};
+use crate::protocol::{HeartbeatReply, Txn, WorkerStatus};
 use crate::time::Timestamp;
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
     }
 
     /// A controller takes a heartbeat, once it is not paused any more, and answers it.
-    fn deliver_heartbeat(&mut self, node: usize, report: Report, copy: bool) {
+    fn deliver_heartbeat(&mut self, node: usize, report: WorkerStatus, copy: bool) {
         let (now, paused_until) = (self.now(), self.nodes[node].paused_until);
         if now < paused_until {
             let again = Message::Heartbeat { node, report, copy };
@@ -53,13 +53,7 @@
             return;
         };
         let answer = controller.handle_heartbeat(&report);
-        if let (
-            HeartbeatOutcome::Reply(ReportReply {
-                orders: commands, ..
-            }),
-            false,
-        ) = (&answer, copy)
-        {
+        if let (HeartbeatOutcome::Reply(HeartbeatReply { commands, .. }), false) = (&answer, copy) {
             self.record_sent_commands(commands);
         }
         let Some(worker) = self.workers.get(&report.machine) else {
@@ -67,7 +61,7 @@
         };
         let lost = copy
             || worker.session != report.session
-            || worker.sequence < report.seq
+            || worker.sequence < report.sequence
             || now < worker.deaf_until
             || !self.faults.node_reaches_zone(node, &worker.zone);
         if lost {
@@ -140,7 +134,7 @@
         if worker.accept_token(dispatch.direct.token, dispatch.direct.session) {
             worker.execute(
                 &machine,
-                &dispatch.direct.orders,
+                &dispatch.direct.commands,
                 now,
                 image_fetch,
                 &self.jobs,
@@ -181,7 +175,7 @@
         self.send(delay, lost);
     }
 
-    fn deliver_direct_answer(&mut self, dispatch: &Dispatch, report: Option<&Report>) {
+    fn deliver_direct_answer(&mut self, dispatch: &Dispatch, report: Option<&WorkerStatus>) {
         let node = &mut self.nodes[dispatch.node];
         if node.incarnation != dispatch.incarnation {
             return;
--- a/src/controller/tests/simulation/invariants.rs
+++ b/src/controller/tests/simulation/invariants.rs
@@ -137,7 +137,7 @@
     /// A job that is to be scattered has at most half of its tasks in a zone, and one that is to be together is in one zone.
     fn check_spread(&mut self, id: &str, task: &str) {
         let spec = &self.jobs[id].spec;
-        if !spec.scatter && !spec.together {
+        if !spec.spread_zones && !spec.single_zone {
             return;
         }
         let mut by_zone: HashMap<&str, u32> = HashMap::new();
@@ -146,7 +146,7 @@
         }
         let zone_limit = spec.tasks.div_ceil(2);
         let scattered = by_zone.values().all(|tasks| *tasks <= zone_limit);
-        if (spec.scatter && !scattered) || (spec.together && by_zone.len() > 1) {
+        if (spec.spread_zones && !scattered) || (spec.single_zone && by_zone.len() > 1) {
             let violation = format!("wrong_place: {task}, {by_zone:?}");
             self.violate(violation);
         }
--- a/src/controller/tests/simulation/network.rs
+++ b/src/controller/tests/simulation/network.rs
@@ -3,7 +3,7 @@
 use super::Simulation;
 use crate::controller::HeartbeatOutcome;
 use crate::coordination::leadership::Term;
-use crate::protocol::{Report, Txn};
+use crate::protocol::{Txn, WorkerStatus};
 use crate::scheduler::DirectCommands;
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -29,7 +29,7 @@
     /// A heartbeat on its way to a controller.
     Heartbeat {
         node: usize,
-        report: Report,
+        report: WorkerStatus,
         /// Nobody waits for the answer.
         copy: bool,
     },
@@ -51,7 +51,7 @@
     /// The answer to direct commands; none if it was lost or came too late.
     DirectAnswer {
         dispatch: Dispatch,
-        report: Option<Report>,
+        report: Option<WorkerStatus>,
     },
     /// A transaction that got no answer and is carried out late.
     LateWrite(Txn),
--- a/src/controller/tests/simulation/settling.rs
+++ b/src/controller/tests/simulation/settling.rs
@@ -3,7 +3,7 @@
 use super::users::SubmittedJob;
 use super::Simulation;
 use crate::coordination::leadership::Role;
-use crate::protocol::Kind;
+use crate::protocol::JobKind;
 use crate::store;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         let mut services = 0;
         let expected = |job: &&SubmittedJob| !job.cancellation_requested;
         for job in self.jobs.values().filter(expected) {
-            if job.spec.kind == Kind::Service {
+            if job.spec.kind == JobKind::Service {
                 services += job.spec.tasks;
                 continue;
             }
@@ -81,7 +81,7 @@
         let running = self.running(id);
         let settled = match (self.final_state(id), job.spec.kind) {
             (Some(state), _) => !state.cancelled || running == 0,
-            (None, Kind::Service) => live && running == job.spec.tasks as usize,
+            (None, JobKind::Service) => live && running == job.spec.tasks as usize,
             _ => false,
         };
         let done = job.done.len();
--- a/src/controller/tests/simulation/workers/commands.rs
+++ b/src/controller/tests/simulation/workers/commands.rs
@@ -2,7 +2,7 @@
 
 use super::super::users::SubmittedJob;
 use super::{Attempt, Worker, CHANGE_HEARTBEAT};
-use crate::protocol::{split_task, Command, ExitReason, Kind, TaskState};
+use crate::protocol::{split_task, Command, ExitReason, JobKind, TaskState};
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -71,10 +71,10 @@
     fn refusal_of(&self, task: &str) -> Option<ExitReason> {
         let active = self.attempts.iter().filter(|(_, a)| !a.has_exited());
         if active.clone().any(|((other, _), _)| other == task) {
-            return Some(ExitReason::Busy);
+            return Some(ExitReason::ConflictingAttempt);
         }
         let cpus = active.count() as f64 * TASK_CPUS;
-        (cpus + TASK_CPUS > MACHINE_CPUS).then_some(ExitReason::NoRoom)
+        (cpus + TASK_CPUS > MACHINE_CPUS).then_some(ExitReason::InsufficientResources)
     }
 
     fn stop(&mut self, task: &str, attempt: u64) {
@@ -95,7 +95,7 @@
 impl SubmittedJob {
     /// When a task ends that begins at that time; a service's never does. One that has ended before ends at once.
     fn end_of_task(&self, number: u32, begins_at: Timestamp) -> Option<Timestamp> {
-        if self.spec.kind == Kind::Service {
+        if self.spec.kind == JobKind::Service {
             return None;
         }
         let run_time = if self.done.contains(&number) {
--- a/src/controller/tests/simulation/workers/mod.rs
+++ b/src/controller/tests/simulation/workers/mod.rs
@@ -10,7 +10,8 @@
 use super::{Simulation, NODES, STEP};
 use crate::controller::HeartbeatOutcome;
 use crate::protocol::{
-    split_task, Command, ExitReason, FencingToken, Report, ReportReply, TaskReport, TaskState,
+    split_task, Command, ExitReason, FencingToken, HeartbeatReply, TaskState, TaskStatus,
+    WorkerStatus,
 };
 use crate::time::Timestamp;
 use rand::Rng;
@@ -109,25 +110,25 @@
     }
 
     /// Makes the next heartbeat.
-    pub(super) fn next_heartbeat(&mut self, machine: &str) -> Report {
+    pub(super) fn next_heartbeat(&mut self, machine: &str) -> WorkerStatus {
         self.sequence += 1;
-        let status = |((task, attempt), state): (&AttemptKey, &Attempt)| TaskReport {
+        let status = |((task, attempt), state): (&AttemptKey, &Attempt)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: state.state,
             reason: state.reason,
             saved: None,
         };
-        Report {
+        WorkerStatus {
             machine: machine.into(),
             address: "1.2.3.4:9".into(),
             machine_type: "m8".into(),
             zone: self.zone.clone(),
             spot: false,
             session: self.session,
-            seq: self.sequence,
+            sequence: self.sequence,
             token: self.token,
-            notice_s: None,
+            eviction_notice_s: None,
             tasks: self.attempts.iter().map(status).collect(),
         }
     }
@@ -209,10 +210,7 @@
     ) -> Option<Vec<Command>> {
         self.awaiting_answer_since = None;
         match answer {
-            HeartbeatOutcome::Reply(ReportReply {
-                token,
-                orders: commands,
-            }) => {
+            HeartbeatOutcome::Reply(HeartbeatReply { token, commands }) => {
                 // An answer of an earlier leader is dropped.
                 if token < self.token {
                     return None;
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -14,7 +14,7 @@
 use crate::controller::handles::Handles;
 use crate::controller::messages::{JobOutcome, JobRejection};
 use crate::controller::state::ControllerState;
-use crate::protocol::{JobSpec, JobState, JobView, Kind};
+use crate::protocol::{JobKind, JobSpec, JobState, JobView};
 use crate::store::{self, LiveRecord, StoreError, TxnOutcome};
 
 /// Number of changes of the store by a submission.
@@ -149,8 +149,8 @@
 /// independently; those of any other job run together.
 fn exceeds_team_limit(spec: &JobSpec, team: &Team) -> bool {
     let simultaneous_tasks = match spec.kind {
-        Kind::Array => 1.0,
-        Kind::Service | Kind::Gang => f64::from(spec.tasks),
+        JobKind::Array => 1.0,
+        JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
     };
     // A limit of zero is none.
     let exceeds =
--- a/src/controller/user_requests/submission/tests.rs
+++ b/src/controller/user_requests/submission/tests.rs
@@ -60,8 +60,11 @@
             (spec.kind, spec.tasks, spec.cpus) = (kind, tasks, 8.0);
         })
     };
-    assert_eq!(job(Kind::Gang, 2), Ok(()));
-    assert_eq!(job(Kind::Gang, 3), Err(JobRejection::ExceedsTeamLimit));
-    assert_eq!(job(Kind::Service, 3), Err(JobRejection::ExceedsTeamLimit));
-    assert_eq!(job(Kind::Array, 100), Ok(()));
+    assert_eq!(job(JobKind::Gang, 2), Ok(()));
+    assert_eq!(job(JobKind::Gang, 3), Err(JobRejection::ExceedsTeamLimit));
+    assert_eq!(
+        job(JobKind::Service, 3),
+        Err(JobRejection::ExceedsTeamLimit)
+    );
+    assert_eq!(job(JobKind::Array, 100), Ok(()));
 }
--- a/src/protocol/job_validation.rs
+++ b/src/protocol/job_validation.rs
@@ -75,7 +75,7 @@
             self.memory_gb,
             self.image_gb,
             self.estimate_s,
-            self.checkpoint_s,
+            self.checkpoint_interval_s,
             self.save_s,
         ];
         amounts.into_iter().all(is_amount)
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -27,10 +27,10 @@
 pub use state_service::{
     Change, Event, Guard, Item, LeaseReply, LeaseRequest, Page, Revision, Txn, TxnReply, Watched,
 };
-pub use users::{JobSpec, JobState, JobView, Kind, Priority};
+pub use users::{JobKind, JobSpec, JobState, JobView, Priority};
 pub use workers::{
-    split_task, Command, DirectOrders, ExitReason, FencingToken, Redirect, Report, ReportReply,
-    TaskReport, TaskState,
+    split_task, Command, DirectCommandRequest, ExitReason, FencingToken, HeartbeatReply, Redirect,
+    TaskState, TaskStatus, WorkerStatus,
 };
 
 /// Largest request body accepted from users, in bytes. Also the unit for the limit on heartbeats.
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -84,12 +84,15 @@
         "apply"=>[{"put"=>"a/b","v"=>{"x"=>1},"tenure"=>7},{"drop"=>"c/d"}]})
     .unwrap();
     assert_eq!(back, expect);
-    let orders = ReportReply {
+    let commands = HeartbeatReply {
         token: FencingToken::new(4),
-        orders: vec![Command::Start {
+        commands: vec![Command::Start {
             task: "wk-1/0".into(),
             attempt: 2,
         }],
     };
-    assert_eq!(decode::<ReportReply>(&encode(&orders)).unwrap(), orders);
+    assert_eq!(
+        decode::<HeartbeatReply>(&encode(&commands)).unwrap(),
+        commands
+    );
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -5,7 +5,7 @@
 
 /// How the tasks of a job relate, and whether they end by themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks that run to completion.
     #[serde(rename = "array")]
     Array,
@@ -47,7 +47,7 @@
     pub team: String,
     /// Job array, service or gang.
     #[serde(rename = "shape")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
@@ -77,10 +77,10 @@
     pub zone: Option<String>,
     /// All tasks must be in the same zone.
     #[serde(rename = "together")]
-    pub together: bool,
+    pub single_zone: bool,
     /// At most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
-    pub scatter: bool,
+    pub spread_zones: bool,
     /// Whether spot machines may be used.
     #[serde(rename = "loaners")]
     pub spot: bool,
@@ -89,7 +89,7 @@
     pub estimate_s: f64,
     /// Progress between two checkpoints; 0 if the task cannot be checkpointed.
     #[serde(rename = "markEveryS", deserialize_with = "finite_number")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "stowS", deserialize_with = "finite_number")]
     pub save_s: f64,
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -82,10 +82,10 @@
     Error,
     /// The start was refused: the machine has too few free resources.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// The start was refused: the task is on the machine with another attempt.
     #[serde(rename = "in_use")]
-    Busy,
+    ConflictingAttempt,
     /// The start was refused: there is no such job or task.
     #[serde(rename = "unknown")]
     Unknown,
@@ -96,7 +96,7 @@
 
 /// The status of a task on its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// `job/number`.
     #[serde(rename = "chore")]
     pub task: String,
@@ -116,7 +116,7 @@
 
 /// A heartbeat of a worker, with the status of its machine and of all tasks there.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerStatus {
     /// Name of the machine.
     #[serde(rename = "host")]
     pub machine: String,
@@ -136,7 +136,7 @@
     pub session: u64,
     /// Sequence number: increases with every heartbeat and every response to direct commands.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
@@ -147,10 +147,10 @@
         deserialize_with = "optional_finite_number",
         skip_serializing_if = "Option::is_none"
     )]
-    pub notice_s: Option<f64>,
+    pub eviction_notice_s: Option<f64>,
     /// All tasks on the machine. Exited ones are listed until a command removes them.
     #[serde(rename = "chores")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// Splits the name of a task, `job/number`, into job id and number.
@@ -201,17 +201,18 @@
 
 /// The response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatReply {
     /// The fencing token under which the commands are given.
     #[serde(rename = "baton")]
     pub token: FencingToken,
     /// Commands, which the worker executes in this order.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Commands that are sent to the address of a worker instead of with the response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct DirectOrders {
+pub struct DirectCommandRequest {
     /// The fencing token under which the commands are given.
     #[serde(rename = "baton")]
     pub token: FencingToken,
@@ -219,7 +220,8 @@
     #[serde(rename = "shift")]
     pub session: u64,
     /// Commands, which the worker executes in this order.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Tells a worker to send its heartbeats to another controller.
--- a/src/scheduler/heartbeat/adoption.rs
+++ b/src/scheduler/heartbeat/adoption.rs
@@ -1,6 +1,6 @@
 //! Tasks on a machine that this leader knows nothing of.
 
-use crate::protocol::TaskReport;
+use crate::protocol::TaskStatus;
 use crate::scheduler::attempt::{Phase, TaskEvent, TaskId};
 use crate::scheduler::index::MachineIndex;
 use crate::scheduler::Scheduler;
@@ -11,7 +11,7 @@
         &mut self,
         machine: MachineIndex,
         task: TaskId,
-        line: &TaskReport,
+        line: &TaskStatus,
         phase: Phase,
     ) {
         let job = self.job(task.job);
--- a/src/scheduler/heartbeat/commands.rs
+++ b/src/scheduler/heartbeat/commands.rs
@@ -1,6 +1,6 @@
 //! Commands for a worker, in the answer to its heartbeat or sent straight to it.
 
-use crate::protocol::{Command, ReportReply};
+use crate::protocol::{Command, HeartbeatReply};
 use crate::scheduler::attempt::{Phase, Route, TaskEvent, TaskId};
 use crate::scheduler::index::MachineIndex;
 use crate::scheduler::Scheduler;
@@ -24,16 +24,13 @@
         &mut self,
         index: MachineIndex,
         mut commands: Vec<Command>,
-    ) -> ReportReply {
+    ) -> HeartbeatReply {
         // Stops first: where there are more commands than fit, the rest is told next time.
         commands.sort_by_key(|command| !matches!(command, Command::Stop { .. }));
         commands.truncate(COMMANDS_PER_MESSAGE);
         self.void_copies_of_forgotten_starts(index, &mut commands);
         let token = self.token(self.machine(index));
-        ReportReply {
-            token,
-            orders: commands,
-        }
+        HeartbeatReply { token, commands }
     }
 
     /// A copy of a direct start that was carried out may still come, and once its attempt is forgotten the worker would start
--- a/src/scheduler/heartbeat/mod.rs
+++ b/src/scheduler/heartbeat/mod.rs
@@ -17,7 +17,7 @@
 
 use super::index::MachineIndex;
 use super::{Scheduler, TOKEN_BITS};
-use crate::protocol::{Report, ReportReply};
+use crate::protocol::{HeartbeatReply, WorkerStatus};
 
 /// How a heartbeat has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatDecision {
     /// The heartbeat gets this answer.
-    Reply(ReportReply),
+    Reply(HeartbeatReply),
     /// The worker has seen the token of a later epoch: this leader's term is over.
     Superseded,
     /// No rental names the machine.
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy)]
 struct Heartbeat<'a> {
     machine: MachineIndex,
-    report: &'a Report,
+    report: &'a WorkerStatus,
     source: HeartbeatSource,
 }
 
@@ -60,7 +60,7 @@
     fn sequence(&self) -> HeartbeatSequence {
         HeartbeatSequence {
             session: self.report.session,
-            number: self.report.seq,
+            number: self.report.sequence,
         }
     }
 }
@@ -69,7 +69,7 @@
     /// Takes in a heartbeat.
     pub fn handle_heartbeat(
         &mut self,
-        report: &Report,
+        report: &WorkerStatus,
         source: HeartbeatSource,
     ) -> HeartbeatDecision {
         if report.token.as_u64() >> TOKEN_BITS > self.epoch.as_u64() {
@@ -89,9 +89,9 @@
         if self.is_newest(heartbeat) {
             HeartbeatDecision::Reply(self.handle_newest_heartbeat(heartbeat))
         } else {
-            HeartbeatDecision::Reply(ReportReply {
+            HeartbeatDecision::Reply(HeartbeatReply {
                 token: self.token(self.machine(machine)),
-                orders: Vec::new(),
+                commands: Vec::new(),
             })
         }
     }
@@ -104,7 +104,7 @@
     }
 
     /// Takes in the newest heartbeat of a machine and returns its answer.
-    fn handle_newest_heartbeat(&mut self, heartbeat: Heartbeat) -> ReportReply {
+    fn handle_newest_heartbeat(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
         let session_changed = self.record_contact(heartbeat);
         let mut commands = Vec::new();
         if heartbeat.report.token == self.token(self.machine(heartbeat.machine)) {
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -1,6 +1,6 @@
 //! Tasks that have ended on a machine, and what their failures say of machines and jobs.
 
-use crate::protocol::{ExitReason, Kind};
+use crate::protocol::{ExitReason, JobKind};
 use crate::scheduler::attempt::{Phase, TaskAttempt, TaskEvent, TaskId};
 use crate::scheduler::index::{JobIndex, MachineIndex};
 use crate::scheduler::machines::MachineState;
@@ -24,7 +24,7 @@
     ) -> bool {
         let job = self.job(task.job);
         let has_result = reason == Some(ExitReason::Done)
-            && job.record.spec.kind != Kind::Service
+            && job.record.spec.kind != JobKind::Service
             && !job.cancelled;
         if has_result {
             return self.take_result(machine, task, active);
@@ -85,7 +85,7 @@
     fn handle_failure(&mut self, machine: MachineIndex, job: JobIndex, reason: Option<ExitReason>) {
         match reason {
             Some(ExitReason::Error) => self.task_failed(machine, job),
-            Some(ExitReason::NoRoom) => {
+            Some(ExitReason::InsufficientResources) => {
                 let now = self.now();
                 self.machine_mut(machine).health.record_refused_start(now);
             }
@@ -119,7 +119,7 @@
         machine.health.set_quarantined(was_up);
         self.set_machine_state(index, MachineState::Draining, "fails tasks of several jobs");
         for task in self.machine(index).load.tasks().clone() {
-            let save = self.job(task.job).record.spec.checkpoint_s > 0.0;
+            let save = self.job(task.job).record.spec.checkpoint_interval_s > 0.0;
             self.apply_event(task, TaskEvent::Stop { save });
         }
     }
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -6,7 +6,7 @@
 //! (A direct stop that overtook such a start once made tasks run twice.)
 
 use super::Heartbeat;
-use crate::protocol::{split_task, Command, Report, TaskReport, TaskState};
+use crate::protocol::{split_task, Command, TaskState, TaskStatus, WorkerStatus};
 use crate::scheduler::attempt::{Phase, Route, TaskAttempt, TaskEvent, TaskId};
 use crate::scheduler::index::MachineIndex;
 use crate::scheduler::Scheduler;
@@ -14,7 +14,7 @@
 use std::collections::HashSet;
 
 /// A command that stops a task that a worker lists.
-fn stop(line: &TaskReport, grace_s: f64) -> Command {
+fn stop(line: &TaskStatus, grace_s: f64) -> Command {
     Command::Stop {
         task: line.task.clone(),
         attempt: line.attempt,
@@ -54,7 +54,7 @@
     /// Stops what a machine lists of jobs of which nothing may run any more, though the heartbeat is not under the current
     /// token and nothing is concluded from it. Without this, a machine that hung or was cut off once it had its lease renewed
     /// went on with it for another lease.
-    pub(super) fn stop_ended_jobs(&self, report: &Report, commands: &mut Vec<Command>) {
+    pub(super) fn stop_ended_jobs(&self, report: &WorkerStatus, commands: &mut Vec<Command>) {
         let live = report
             .tasks
             .iter()
@@ -67,7 +67,7 @@
 
     /// Whether a line belongs to a job of which nothing may run any more: one cancelled, or gone from the store before this
     /// epoch began.
-    fn job_has_ended(&self, line: &TaskReport) -> bool {
+    fn job_has_ended(&self, line: &TaskStatus) -> bool {
         let job = split_task(&line.task).and_then(|(job, _)| self.jobs.index_of(job));
         job.is_none_or(|job| self.job(job).cancelled)
     }
@@ -80,7 +80,7 @@
     }
 
     /// The same for a task that its job has.
-    fn known_task(&self, line: &TaskReport) -> Option<TaskId> {
+    fn known_task(&self, line: &TaskStatus) -> Option<TaskId> {
         self.find_task(&line.task)
             .filter(|task| task.number < self.job(task.job).tasks())
     }
@@ -90,7 +90,7 @@
         &self,
         machine: MachineIndex,
         task: TaskId,
-        line: &TaskReport,
+        line: &TaskStatus,
     ) -> Option<TaskAttempt> {
         let attempt = self.attempt(task).copied();
         attempt.filter(|a| a.machine == machine && a.attempt == line.attempt)
@@ -126,7 +126,7 @@
     fn reconcile_ended(
         &mut self,
         machine: MachineIndex,
-        line: &TaskReport,
+        line: &TaskStatus,
         listed: &mut HashSet<TaskId>,
         commands: &mut Vec<Command>,
     ) {
@@ -154,7 +154,7 @@
     fn reconcile_live(
         &mut self,
         machine: MachineIndex,
-        line: &TaskReport,
+        line: &TaskStatus,
         listed: &mut HashSet<TaskId>,
         commands: &mut Vec<Command>,
     ) {
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -28,7 +28,9 @@
         machine
             .contact
             .record_heartbeat(heartbeat.sequence(), &report.address, now);
-        let notice = report.notice_s.map(|seconds| now + duration(seconds));
+        let notice = report
+            .eviction_notice_s
+            .map(|seconds| now + duration(seconds));
         machine.eviction.set_notice(notice);
         last_session != 0 && is_new_session
     }
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -6,7 +6,7 @@
 use super::quota::TeamIndex;
 use super::task_bitmap::TaskBitmap;
 use crate::placement::ResourceClass;
-use crate::protocol::{JobSpec, Kind, Priority};
+use crate::protocol::{JobKind, JobSpec, Priority};
 use crate::resources::Resources;
 use crate::store::{LiveRecord, Revision};
 use crate::time::Timestamp;
@@ -144,12 +144,12 @@
 
     /// Whether its tasks start together or not at all.
     pub(super) fn is_gang(&self) -> bool {
-        self.spec().kind == Kind::Gang
+        self.spec().kind == JobKind::Gang
     }
 
     /// Whether its tasks are replicas that never end.
     pub(super) fn is_service(&self) -> bool {
-        self.spec().kind == Kind::Service
+        self.spec().kind == JobKind::Service
     }
 
     /// Whether it is of the highest priority.
@@ -159,12 +159,12 @@
 
     /// Whether its tasks save their progress when they are stopped with time to do so.
     pub(super) fn saves_checkpoints(&self) -> bool {
-        self.spec().checkpoint_s > 0.0
+        self.spec().checkpoint_interval_s > 0.0
     }
 
     /// Whether the number of its tasks in a zone is limited.
     pub(super) fn has_zone_rule(&self) -> bool {
-        self.spec().scatter || self.spec().together
+        self.spec().spread_zones || self.spec().single_zone
     }
 
     /// Its tasks that are or may be on machines of a zone.
@@ -175,10 +175,10 @@
     /// How many more tasks its zone rules allow in a zone.
     pub(super) fn zone_allowance(&self, zone: ZoneIndex) -> u32 {
         let elsewhere = |(other, count): (&ZoneIndex, &u32)| *count > 0 && *other != zone;
-        if self.spec().together && self.active_by_zone.iter().any(elsewhere) {
+        if self.spec().single_zone && self.active_by_zone.iter().any(elsewhere) {
             return 0;
         }
-        if self.spec().scatter {
+        if self.spec().spread_zones {
             return self
                 .tasks()
                 .div_ceil(2)
@@ -231,8 +231,8 @@
     /// waited for places on full machines while others had room.
     pub(super) fn expected_run_s(&self) -> f64 {
         match self.spec().kind {
-            Kind::Service => 0.0,
-            Kind::Array | Kind::Gang => self
+            JobKind::Service => 0.0,
+            JobKind::Array | JobKind::Gang => self
                 .run_times
                 .mean_s()
                 .unwrap_or_else(|| self.spec().estimate_s.max(1.0)),
--- a/src/scheduler/machines/direct_commands.rs
+++ b/src/scheduler/machines/direct_commands.rs
@@ -1,7 +1,7 @@
 //! Commands and probes that are sent straight to workers, and the order in which machines are released.
 
 use super::machine::{Machine, MachineState};
-use crate::protocol::{Command, FencingToken, Report};
+use crate::protocol::{Command, FencingToken, WorkerStatus};
 use crate::scheduler::attempt::Route;
 use crate::scheduler::heartbeat::HeartbeatSource;
 use crate::scheduler::index::MachineIndex;
@@ -26,13 +26,13 @@
     /// The worker's session.
     pub session: u64,
     /// The commands.
-    pub orders: Vec<Command>,
+    pub commands: Vec<Command>,
 }
 
 impl DirectCommands {
     /// Whether a task is started.
     fn has_starts(&self) -> bool {
-        self.orders
+        self.commands
             .iter()
             .any(|command| matches!(command, Command::Start { .. }))
     }
@@ -64,7 +64,7 @@
             }
             self.pending_commands.remove(&index);
             let message = self.collect_commands(index);
-            if !message.orders.is_empty() {
+            if !message.commands.is_empty() {
                 self.machine_mut(index)
                     .commands
                     .send_direct(message.has_starts());
@@ -77,10 +77,10 @@
     /// What is to be sent to a machine.
     fn collect_commands(&mut self, index: MachineIndex) -> DirectCommands {
         let mut message = self.message_to(index);
-        self.collect_stops(index, &mut message.orders);
+        self.collect_stops(index, &mut message.commands);
         // A release may take long where the cloud does not answer: what is cancelled there is stopped meanwhile.
         if self.machine(index).state() != MachineState::Releasing {
-            self.collect_starts(index, Route::Direct, &mut message.orders);
+            self.collect_starts(index, Route::Direct, &mut message.commands);
         }
         message
     }
@@ -93,7 +93,7 @@
             address: machine.contact.address().to_string(),
             token: self.token(machine),
             session: machine.contact.latest_heartbeat().session,
-            orders: Vec::new(),
+            commands: Vec::new(),
         }
     }
 
@@ -101,7 +101,7 @@
     /// seconds, in which the job is cancelled and that is confirmed to its user.
     #[must_use]
     pub fn is_still_valid(&self, direct: &DirectCommands) -> bool {
-        direct.orders.iter().all(|command| match command {
+        direct.commands.iter().all(|command| match command {
             Command::Start { task, attempt } => self.is_to_run(task, *attempt),
             _ => true,
         })
@@ -162,7 +162,11 @@
 
     /// The response to direct commands, or none. Without one they may execute minutes later: the fencing token is advanced,
     /// so that they are void once the worker has seen it, and until then nothing is concluded from its heartbeats.
-    pub fn handle_direct_response(&mut self, sent: &DirectCommands, response: Option<&Report>) {
+    pub fn handle_direct_response(
+        &mut self,
+        sent: &DirectCommands,
+        response: Option<&WorkerStatus>,
+    ) {
         let Some(index) = self.machines.index_of(&sent.machine) else {
             return;
         };
@@ -171,8 +175,8 @@
             Some(report) => {
                 self.handle_heartbeat(report, HeartbeatSource::DirectResponse);
             }
-            None if sent.orders.is_empty() => {}
-            None => self.advance_fencing_token(index, "no answer to direct orders"),
+            None if sent.commands.is_empty() => {}
+            None => self.advance_fencing_token(index, "no answer to direct commands"),
         }
     }
 
--- a/src/scheduler/machines/expiry.rs
+++ b/src/scheduler/machines/expiry.rs
@@ -1,7 +1,7 @@
 //! What time alone brings: leases that have surely expired, and termination notices.
 
 use super::machine::{Machine, MachineState};
-use crate::protocol::{JobSpec, Kind};
+use crate::protocol::{JobKind, JobSpec};
 use crate::scheduler::attempt::TaskEvent;
 use crate::scheduler::index::MachineIndex;
 use crate::scheduler::Scheduler;
@@ -59,9 +59,9 @@
         self.set_machine_state(index, MachineState::Draining, "notice");
         for task in self.machine(index).load.tasks().clone() {
             let spec = &self.job(task.job).record.spec;
-            let save = spec.checkpoint_s > 0.0;
+            let save = spec.checkpoint_interval_s > 0.0;
             let must_save_now = save && now + self.time_to_save(spec) >= terminates_at;
-            if spec.kind == Kind::Service || must_save_now {
+            if spec.kind == JobKind::Service || must_save_now {
                 self.apply_event(task, TaskEvent::Stop { save });
             }
         }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -128,7 +128,7 @@
             pass.unplaceable.add(job);
             return;
         }
-        if job.spec().together && job.active_by_zone.values().all(|count| *count == 0) {
+        if job.spec().single_zone && job.active_by_zone.values().all(|count| *count == 0) {
             self.keep_roomiest_zone(&mut candidates);
         }
         let request = self.placement_request(job, &goal, &candidates);
@@ -190,7 +190,7 @@
         let machine_type = self.machine(candidates[0].machine).machine_type();
         let fetch_gb_per_s = self.fetch_rates.gb_per_s(machine_type);
         // With a zone rule a machine may get less than planned; the plan then covers all machines.
-        let slots = if job.spec().scatter {
+        let slots = if job.spec().spread_zones {
             u32::MAX
         } else {
             goal.tasks
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -6,7 +6,7 @@
 pub(super) struct Cluster {
     pub(super) scheduler: Scheduler,
     /// The sequence number of the last heartbeat.
-    seq: u64,
+    sequence: u64,
 }
 
 impl Cluster {
@@ -52,7 +52,10 @@
             zones: vec!["a".into(), "b".into()],
         };
         scheduler.set_types(&[kind]);
-        Cluster { scheduler, seq: 0 }
+        Cluster {
+            scheduler,
+            sequence: 0,
+        }
     }
 
     /// Adds a job.
@@ -124,44 +127,44 @@
         machine: &str,
         token: FencingToken,
         tasks: &[TaskLine],
-    ) -> Report {
-        self.seq += 1;
+    ) -> WorkerStatus {
+        self.sequence += 1;
         let zone = self
             .scheduler
             .machine_index(machine)
             .map(|i| self.scheduler.zone_name(self.scheduler.machine(i).zone()));
         let lines = tasks
             .iter()
-            .map(|(task, attempt, state, reason)| TaskReport {
+            .map(|(task, attempt, state, reason)| TaskStatus {
                 task: (*task).into(),
                 attempt: *attempt,
                 state: *state,
                 reason: *reason,
                 saved: None,
             });
-        Report {
+        WorkerStatus {
             machine: machine.into(),
             address: "1.2.3.4:9".into(),
             machine_type: "m8".into(),
             zone: zone.unwrap_or("a").into(),
             spot: false,
             session: 1,
-            seq: self.seq,
+            sequence: self.sequence,
             token,
-            notice_s: None,
+            eviction_notice_s: None,
             tasks: lines.collect(),
         }
     }
 
     /// Handles a heartbeat, after a scheduling pass whose starts are durable; returns the commands of the reply.
-    pub(super) fn handle(&mut self, r: &Report) -> Vec<Command> {
+    pub(super) fn handle(&mut self, r: &WorkerStatus) -> Vec<Command> {
         self.scheduler.place();
         self.write_start_log();
         match self
             .scheduler
             .handle_heartbeat(r, HeartbeatSource::Request { may_start: true })
         {
-            HeartbeatDecision::Reply(reply) => reply.orders,
+            HeartbeatDecision::Reply(reply) => reply.commands,
             other => panic!("{other:?}"),
         }
     }
--- a/src/scheduler/tests/describe.rs
+++ b/src/scheduler/tests/describe.rs
@@ -31,7 +31,7 @@
                 j.active_by_zone,
                 j.active,
                 j.retry_at,
-                j.record.spec.together
+                j.record.spec.single_zone
             )
         };
         let machines: String = self.machines().map(machine).collect();
--- a/src/scheduler/tests/direct_commands.rs
+++ b/src/scheduler/tests/direct_commands.rs
@@ -9,7 +9,7 @@
     cluster.submit(spec("wk-1", 1), 101);
     cluster.run_round(2000);
     let sent = cluster.scheduler.direct_commands(9);
-    assert_eq!(starts(&sent[0].orders).len(), 1);
+    assert_eq!(starts(&sent[0].commands).len(), 1);
     // A report that left before the order arrived lacks the task: nothing follows from it while the answer is out.
     assert!(starts(&cluster.heartbeat("n-1", &[])).is_empty());
     cluster.scheduler.handle_direct_response(&sent[0], None);
@@ -21,7 +21,7 @@
     cluster.heartbeat_with_token("n-1", raised, &[]);
     let again = starts(&cluster.heartbeat_with_token("n-1", raised, &[]));
     assert_eq!(again.len(), 1);
-    assert_ne!(again[0].1, starts(&sent[0].orders)[0].1);
+    assert_ne!(again[0].1, starts(&sent[0].commands)[0].1);
 }
 
 #[test]
@@ -50,7 +50,7 @@
     cluster.add_machine("n-1", "a");
     cluster.add_machine("n-2", "a");
     cluster.submit(spec("wk-1", 1), 101);
-    // The start leaves in the response to a report. Before the worker has received it, it answers a direct order: it
+    // The start leaves in the response to a report. Before the worker has received it, it answers a direct command: it
     // does not have the task yet, but will.
     let got = starts(&cluster.heartbeat("n-1", &[]));
     assert_eq!(got.len(), 1);
@@ -59,7 +59,7 @@
         address: String::new(),
         token: first_token(EPOCH),
         session: 1,
-        orders: vec![Command::Stop {
+        commands: vec![Command::Stop {
             task: got[0].0.clone(),
             attempt: got[0].1,
             grace_s: 0.0,
@@ -83,14 +83,14 @@
     cluster.add_machine("n-1", "a");
     cluster.submit(
         JobSpec {
-            kind: Kind::Service,
+            kind: JobKind::Service,
             ..spec("wk-1", 1)
         },
         101,
     );
     cluster.run_round(2000);
     let sent = cluster.scheduler.direct_commands(9);
-    let got = starts(&sent[0].orders);
+    let got = starts(&sent[0].commands);
     let line = |state, reason| [(got[0].0.as_str(), got[0].1, state, reason)];
     cluster.respond(&sent[0], &line(TaskState::Running, None));
     cluster.scheduler.drop_job("wk-1");
@@ -103,10 +103,10 @@
         .scheduler
         .handle_heartbeat(&r, HeartbeatSource::Request { may_start: true })
     {
-        // A copy of the direct order carries the old token.
+        // A copy of the direct command carries the old token.
         HeartbeatDecision::Reply(reply) => {
             assert_eq!(reply.token, first_token(EPOCH) + 1);
-            assert!(matches!(reply.orders[..], [Command::Forget { .. }]));
+            assert!(matches!(reply.commands[..], [Command::Forget { .. }]));
         }
         other => panic!("{other:?}"),
     }
@@ -127,14 +127,14 @@
     cluster.submit(spec("wk-1", 1), 101);
     cluster.run_round(2000);
     let sent = cluster.scheduler.direct_commands(9);
-    let got = starts(&sent[0].orders);
+    let got = starts(&sent[0].commands);
     let lines = [
         ("wk-1/0", 3, TaskState::Running, None),
         (
             got[0].0.as_str(),
             got[0].1,
             TaskState::Exited,
-            Some(ExitReason::Busy),
+            Some(ExitReason::ConflictingAttempt),
         ),
     ];
     cluster.respond(&sent[0], &lines);
@@ -156,7 +156,7 @@
     cluster.run_round(2000);
     let sent = cluster.scheduler.direct_commands(9);
     let d = sent.iter().find(|d| d.machine == "n-1").unwrap().clone();
-    let got = starts(&d.orders);
+    let got = starts(&d.commands);
     let line = as_running(&got[..1]);
     cluster.respond(&d, &line);
     // Every report is overtaken by the answer to a probe. It is as old as its tasks, but its worker waits for the answer
@@ -167,7 +167,7 @@
         cluster.scheduler.at(2000 + s * 1500);
         cluster.scheduler.handle_direct_response(
             &DirectCommands {
-                orders: vec![],
+                commands: vec![],
                 ..d.clone()
             },
             Some(&answer),
--- a/src/scheduler/tests/image_holders.rs
+++ b/src/scheduler/tests/image_holders.rs
@@ -18,7 +18,7 @@
     );
     cluster.run_round(1100);
     let got = cluster.scheduler.direct_commands(9).remove(0);
-    let task = starts(&got.orders).remove(0);
+    let task = starts(&got.commands).remove(0);
     cluster.respond(&got, &as_running(&[task]));
     // The holder is full and a little faster than the machine that has room.
     let holder = cluster.scheduler.machine_index(&got.machine).unwrap();
@@ -35,7 +35,7 @@
         .measure(ResourceClass::Cpu, 1.0);
     cluster.submit(
         JobSpec {
-            kind: Kind::Service,
+            kind: JobKind::Service,
             estimate_s: 0.0,
             ..spec("wk-2", 1)
         },
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -85,8 +85,8 @@
     cluster.scheduler.drop_job("wk-1");
     let mut stopped = Vec::new();
     while let Some(sent) = cluster.scheduler.direct_commands(9).pop() {
-        assert!(sent.orders.len() <= 300);
-        stopped.push(stops(&sent.orders));
+        assert!(sent.commands.len() <= 300);
+        stopped.push(stops(&sent.commands));
         let answer = cluster.report("n-1", first_token(EPOCH), &as_running(&running));
         cluster
             .scheduler
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -16,7 +16,8 @@
 
 use super::*;
 use crate::protocol::{
-    Command, ExitReason, JobSpec, Kind, Priority, Report, ReportReply, TaskReport, TaskState,
+    Command, ExitReason, HeartbeatReply, JobKind, JobSpec, Priority, TaskState, TaskStatus,
+    WorkerStatus,
 };
 use crate::resources::QuotaResources;
 use crate::store::{LiveRecord, LoggedJob, Revision};
@@ -44,7 +45,7 @@
         id: id.into(),
         class: "c".into(),
         team: "t".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks,
         cpus: 2.0,
@@ -54,11 +55,11 @@
         image_gb: 1.0,
         types: None,
         zone: None,
-        together: false,
-        scatter: false,
+        single_zone: false,
+        spread_zones: false,
         spot: true,
         estimate_s: 60.0,
-        checkpoint_s: 0.0,
+        checkpoint_interval_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
     }
@@ -104,17 +105,17 @@
     }
 }
 
-/// The starts among orders.
-fn starts(orders: &[Command]) -> Vec<(String, u64)> {
+/// The starts among commands.
+fn starts(commands: &[Command]) -> Vec<(String, u64)> {
     let start = |o: &Command| match o {
         Command::Start { task, attempt } => Some((task.clone(), *attempt)),
         _ => None,
     };
-    orders.iter().filter_map(start).collect()
+    commands.iter().filter_map(start).collect()
 }
 
-fn stops(orders: &[Command]) -> usize {
-    orders
+fn stops(commands: &[Command]) -> usize {
+    commands
         .iter()
         .filter(|o| matches!(o, Command::Stop { .. }))
         .count()
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -258,7 +258,7 @@
         panic!()
     };
     let stopped: Vec<&str> = reply
-        .orders
+        .commands
         .iter()
         .map(|o| match o {
             Command::Stop { task, grace_s, .. } if *grace_s == 0.0 => task.as_str(),
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -21,8 +21,8 @@
     cluster.scheduler.drop_job("wk-2");
     cluster.submit(spec("wk-3", 4), 102);
     cluster.run_round(1600);
-    let orders = cluster.heartbeat("n-9", &line);
-    assert_eq!((starts(&orders).len(), stops(&orders)), (0, 1));
+    let commands = cluster.heartbeat("n-9", &line);
+    assert_eq!((starts(&commands).len(), stops(&commands)), (0, 1));
     cluster.heartbeat("n-9", &[]);
     assert_eq!(starts(&cluster.heartbeat("n-9", &[])).len(), 1);
 }
@@ -60,7 +60,7 @@
     cluster.add_machine("n-2", "b");
     cluster.submit(
         JobSpec {
-            scatter: true,
+            spread_zones: true,
             ..spec("wk-1", 5)
         },
         101,
@@ -99,7 +99,7 @@
     cluster.add_machine("n-2", "b");
     cluster.submit(
         JobSpec {
-            together: true,
+            single_zone: true,
             ..spec("wk-4", 6)
         },
         101,
@@ -118,7 +118,7 @@
     cluster.add_machine("n-2", "b");
     cluster.submit(
         JobSpec {
-            scatter: true,
+            spread_zones: true,
             ..spec("wk-5", 3)
         },
         101,
@@ -140,7 +140,7 @@
     cluster.add_machine("n-1", "a");
     cluster.submit(
         JobSpec {
-            kind: Kind::Gang,
+            kind: JobKind::Gang,
             ..spec("wk-1", 6)
         },
         101,
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -122,7 +122,7 @@
     cluster.submit(
         JobSpec {
             priority: Priority::Low,
-            checkpoint_s: 10.0,
+            checkpoint_interval_s: 10.0,
             save_s: 3.0,
             ..spec("wk-1", 4)
         },
@@ -130,13 +130,13 @@
     );
     cluster.run_round(1100);
     for d in cluster.scheduler.direct_commands(9) {
-        let got = starts(&d.orders);
+        let got = starts(&d.commands);
         let lines = as_running(&got);
         cluster.respond(&d, &lines);
     }
     cluster.submit(
         JobSpec {
-            kind: Kind::Service,
+            kind: JobKind::Service,
             priority: Priority::Production,
             ..spec("wk-2", 1)
         },
@@ -150,7 +150,7 @@
         assert_eq!(ending(&cluster), 2000);
     }
     let stop = cluster.scheduler.direct_commands(9).remove(0);
-    assert!(matches!(stop.orders[..], [Command::Stop { grace_s, .. }] if grace_s == 3.0));
+    assert!(matches!(stop.commands[..], [Command::Stop { grace_s, .. }] if grace_s == 3.0));
     // Equal work does not yield.
     cluster.submit(
         JobSpec {
@@ -174,9 +174,9 @@
     // Two of the four may be in zone a; there is no other zone with machines.
     cluster.submit(
         JobSpec {
-            kind: Kind::Service,
+            kind: JobKind::Service,
             priority: Priority::Production,
-            scatter: true,
+            spread_zones: true,
             ..spec("wk-2", 4)
         },
         102,
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -41,9 +41,9 @@
         cluster
             .scheduler
             .handle_heartbeat(&r, HeartbeatSource::Request { may_start: false }),
-        HeartbeatDecision::Reply(ReportReply {
+        HeartbeatDecision::Reply(HeartbeatReply {
             token: first_token(EPOCH),
-            orders: vec![]
+            commands: vec![]
         }),
         "renewing in an outage starts nothing"
     );
@@ -77,8 +77,8 @@
     let rows = cluster.scheduler.unsaved(9);
     assert_eq!(rows.len(), 1);
     cluster.scheduler.saved(&rows[0]);
-    let orders = cluster.heartbeat("n-1", &[done(0), run(1)]);
-    assert!(matches!(orders[..], [Command::Forget { .. }]));
+    let commands = cluster.heartbeat("n-1", &[done(0), run(1)]);
+    assert!(matches!(commands[..], [Command::Forget { .. }]));
     assert!(cluster.scheduler.complete_jobs().is_empty());
     cluster.heartbeat("n-1", &[done(0), done(1)]);
     assert_eq!(
@@ -168,7 +168,7 @@
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.heartbeat("n-1", &[]);
-    // From now on it reaches no controller; direct orders and their answers get through. It begins its second session
+    // From now on it reaches no controller; direct commands and their answers get through. It begins its second session
     // without an answer, which a probe tells shortly before the first one's lease would be over here.
     cluster.advance_to(1000 + LEASE / 2 - 1000);
     let at = cluster.scheduler.now().as_millis();
@@ -188,7 +188,7 @@
     cluster.scheduler.place();
     cluster.write_start_log();
     let sent = cluster.scheduler.direct_commands(9);
-    let started = starts(&sent[0].orders);
+    let started = starts(&sent[0].commands);
     let mut r = cluster.report(
         "n-1",
         token,
--- a/src/scheduler/tests/responsiveness.rs
+++ b/src/scheduler/tests/responsiveness.rs
@@ -12,7 +12,7 @@
     cluster.submit(spec("wk-1", 4), 50);
     cluster.submit(
         JobSpec {
-            kind: Kind::Service,
+            kind: JobKind::Service,
             priority: Priority::Production,
             spot: false,
             ..spec("wk-2", 1)
@@ -64,7 +64,7 @@
             .len(),
         2
     );
-    // An unanswered probe gave no orders: the token stays.
+    // An unanswered probe gave no commands: the token stays.
     cluster.scheduler.handle_direct_response(&probe[0], None);
     assert_eq!(
         cluster
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -46,9 +46,9 @@
     );
     assert_eq!(
         cluster.reply_without_pass("n-1"),
-        HeartbeatDecision::Reply(ReportReply {
+        HeartbeatDecision::Reply(HeartbeatReply {
             token: first_token(EPOCH),
-            orders: vec![]
+            commands: vec![]
         })
     );
     assert!(cluster.scheduler.direct_commands(9).is_empty());
@@ -66,7 +66,7 @@
         .scheduler
         .log_write_applied(again, Revision::new(151));
     let sent = cluster.scheduler.direct_commands(9);
-    let got = starts(&sent[0].orders);
+    let got = starts(&sent[0].commands);
     assert_eq!(got.len(), 2);
     for (task, attempt) in &got {
         let t = task.split_once('/').unwrap().1;
@@ -106,8 +106,8 @@
         .scheduler
         .log_write_applied(again, Revision::new(200));
     let sent = cluster.scheduler.direct_commands(9);
-    assert_eq!(starts(&sent[0].orders).len(), 1);
-    assert_eq!(starts(&sent[0].orders)[0].0, "wk-2/0");
+    assert_eq!(starts(&sent[0].commands).len(), 1);
+    assert_eq!(starts(&sent[0].commands)[0].0, "wk-2/0");
 }
 
 #[test]
--- a/tests/compat/stored_records/mod.rs
+++ b/tests/compat/stored_records/mod.rs
@@ -7,7 +7,7 @@
 mod unreadable;
 mod written;
 
-use hollowswitch::protocol::{decode, JobSpec, Kind, MachineType, Priority, Watched};
+use hollowswitch::protocol::{decode, JobKind, JobSpec, MachineType, Priority, Watched};
 use hollowswitch::store::{LeaderRecord, LiveRecord, RentalRecord, Replica};
 
 /// `JobSpec` of `job_spec`.
@@ -70,7 +70,7 @@
         id: "wk-1".into(),
         class: "gold".into(),
         team: "red".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 9000,
         cpus: 2.0,
@@ -80,11 +80,11 @@
         image_gb: 4.0,
         types: Some(vec!["m8".into()]),
         zone: Some("a".into()),
-        together: true,
-        scatter: false,
+        single_zone: true,
+        spread_zones: false,
         spot: true,
         estimate_s: 5.0,
-        checkpoint_s: 6.0,
+        checkpoint_interval_s: 6.0,
         save_s: 7.0,
         deadline_s: Some(8.0),
     }
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -2,7 +2,7 @@
 
 use super::{bytes, job_spec, machine_type};
 use hollowswitch::protocol::{
-    encode, Command, FencingToken, JobSpec, Report, TaskReport, TaskState,
+    encode, Command, FencingToken, JobSpec, TaskState, TaskStatus, WorkerStatus,
 };
 use hollowswitch::resources::QuotaResources;
 use hollowswitch::scheduler::{
@@ -66,20 +66,26 @@
     scheduler
 }
 
-fn report(machine: &str, zone: &str, address: &str, token: u64, tasks: &[(&str, u64)]) -> Report {
-    Report {
+fn report(
+    machine: &str,
+    zone: &str,
+    address: &str,
+    token: u64,
+    tasks: &[(&str, u64)],
+) -> WorkerStatus {
+    WorkerStatus {
         machine: machine.into(),
         address: address.into(),
         machine_type: "m8".into(),
         zone: zone.into(),
         spot: false,
         session: 1,
-        seq: 1 + token % 7,
+        sequence: 1 + token % 7,
         token: FencingToken::new(token),
-        notice_s: None,
+        eviction_notice_s: None,
         tasks: tasks
             .iter()
-            .map(|(task, attempt)| TaskReport {
+            .map(|(task, attempt)| TaskStatus {
                 task: (*task).into(),
                 attempt: *attempt,
                 state: TaskState::Running,
@@ -90,9 +96,9 @@
     }
 }
 
-fn orders(scheduler: &mut Scheduler, report: &Report) -> Vec<Command> {
+fn commands(scheduler: &mut Scheduler, report: &WorkerStatus) -> Vec<Command> {
     match scheduler.handle_heartbeat(report, HeartbeatSource::Request { may_start: true }) {
-        HeartbeatDecision::Reply(reply) => reply.orders,
+        HeartbeatDecision::Reply(reply) => reply.commands,
         other => panic!("{other:?}"),
     }
 }
@@ -103,9 +109,9 @@
 fn the_start_log_is_written_as_text() {
     let mut scheduler = scheduler();
     for token in [0, TOKEN] {
-        orders(&mut scheduler, &report("n-1", "a", "1.2.3.4:9", token, &[]));
+        commands(&mut scheduler, &report("n-1", "a", "1.2.3.4:9", token, &[]));
         // An address that cannot stand in the text.
-        orders(&mut scheduler, &report("n-2", "b", "a b", token, &[]));
+        commands(&mut scheduler, &report("n-2", "b", "a b", token, &[]));
     }
     scheduler.place();
     let append = scheduler.next_log_write(8000, 60).unwrap();
@@ -176,19 +182,19 @@
         ("wk-2/0", 0x400_0003),
     ];
     assert_eq!(
-        orders(
+        commands(
             &mut scheduler,
             &report("n-1", "a", "1.2.3.4:9", TOKEN, &known)
         ),
         []
     );
     let other = [("wk-3/1", 0x400_0004), ("wk-1/0", 0x3ff_ffff)];
-    let orders = orders(
+    let commands = commands(
         &mut scheduler,
         &report("n-2", "b", "1.2.3.5:9", TOKEN, &other),
     );
     assert!(
-        matches!(&orders[..], [Command::Stop { task, .. }] if task == "wk-1/0"),
-        "{orders:?}"
+        matches!(&commands[..], [Command::Stop { task, .. }] if task == "wk-1/0"),
+        "{commands:?}"
     );
 }
--- a/tests/compat/users.rs
+++ b/tests/compat/users.rs
@@ -5,7 +5,8 @@
 };
 use ciborium::Value;
 use hollowswitch::protocol::{
-    decode, encode, is_job_id, JobSpec, JobState, JobView, Kind, Priority, BODY_LIMIT, TASK_LIMIT,
+    decode, encode, is_job_id, JobKind, JobSpec, JobState, JobView, Priority, BODY_LIMIT,
+    TASK_LIMIT,
 };
 
 /// The submission that the protocol's page shows.
@@ -25,7 +26,7 @@
         id: "wk-000412".into(),
         class: "train".into(),
         team: "vision".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::High,
         tasks: 16,
         cpus: 8.5,
@@ -35,11 +36,11 @@
         image_gb: 6.25,
         types: Some(vec!["g8".into(), "c4".into()]),
         zone: Some("a".into()),
-        together: true,
-        scatter: false,
+        single_zone: true,
+        spread_zones: false,
         spot: true,
         estimate_s: 240.0,
-        checkpoint_s: 30.0,
+        checkpoint_interval_s: 30.0,
         save_s: 4.0,
         deadline_s: Some(900.0),
     }
@@ -53,8 +54,8 @@
     let opposite = with(&opposite, "scatter", Value::Bool(true));
     let opposite = with(&opposite, "loaners", Value::Bool(false));
     let expected = JobSpec {
-        together: false,
-        scatter: true,
+        single_zone: false,
+        spread_zones: true,
         spot: false,
         ..job()
     };
@@ -161,9 +162,9 @@
 #[test]
 fn shapes_have_these_names() {
     for (kind, name) in [
-        (Kind::Array, "array"),
-        (Kind::Service, "daemon"),
-        (Kind::Gang, "gang"),
+        (JobKind::Array, "array"),
+        (JobKind::Service, "daemon"),
+        (JobKind::Gang, "gang"),
     ] {
         let literal = with(&submission(), "shape", name.into());
         let expected = JobSpec { kind, ..job() };
@@ -171,7 +172,7 @@
         assert_eq!(written(&expected), literal);
         assert_eq!(written(&kind), Value::from(name));
     }
-    assert!(try_read::<Kind>(&message!("service")).is_none());
+    assert!(try_read::<JobKind>(&message!("service")).is_none());
 }
 
 #[test]
@@ -304,7 +305,7 @@
         assert_eq!(refusal(|job| job.memory_gb = bad), "an amount");
         assert_eq!(refusal(|job| job.image_gb = bad), "an amount");
         assert_eq!(refusal(|job| job.estimate_s = bad), "an amount");
-        assert_eq!(refusal(|job| job.checkpoint_s = bad), "an amount");
+        assert_eq!(refusal(|job| job.checkpoint_interval_s = bad), "an amount");
         assert_eq!(refusal(|job| job.save_s = bad), "an amount");
         assert_eq!(refusal(|job| job.deadline_s = Some(bad)), "dueS");
     }
--- a/tests/compat/workers.rs
+++ b/tests/compat/workers.rs
@@ -5,8 +5,8 @@
 };
 use ciborium::Value;
 use hollowswitch::protocol::{
-    decode, encode, split_task, Command, DirectOrders, ExitReason, FencingToken, Redirect, Report,
-    ReportReply, TaskReport, TaskState,
+    decode, encode, split_task, Command, DirectCommandRequest, ExitReason, FencingToken,
+    HeartbeatReply, Redirect, TaskState, TaskStatus, WorkerStatus,
 };
 
 /// A report with a task that runs, and one that has ended.
@@ -23,26 +23,26 @@
 }
 
 /// The same, as the program has it.
-fn report() -> Report {
-    Report {
+fn report() -> WorkerStatus {
+    WorkerStatus {
         machine: "n-000231".into(),
         address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         session: 2,
-        seq: 88,
+        sequence: 88,
         token: FencingToken::new(41),
-        notice_s: Some(60.5),
+        eviction_notice_s: Some(60.5),
         tasks: vec![
-            TaskReport {
+            TaskStatus {
                 task: "wk-000412/3".into(),
                 attempt: 2,
                 state: TaskState::Running,
                 reason: None,
                 saved: None,
             },
-            TaskReport {
+            TaskStatus {
                 task: "wk-000398/0".into(),
                 attempt: 1,
                 state: TaskState::Exited,
@@ -55,35 +55,35 @@
 
 #[test]
 fn a_report_is_read_and_written_field_by_field() {
-    assert_eq!(read::<Report>(&report_message()), report());
+    assert_eq!(read::<WorkerStatus>(&report_message()), report());
     assert_eq!(written(&report()), report_message());
     let ordinary = with(&report_message(), "loaners", Value::Bool(false));
-    assert!(!read::<Report>(&ordinary).spot);
+    assert!(!read::<WorkerStatus>(&ordinary).spot);
 }
 
 #[test]
 fn a_report_is_these_bytes() {
-    assert_eq!(decode::<Report>(&hex(REPORT)).ok(), Some(report()));
+    assert_eq!(decode::<WorkerStatus>(&hex(REPORT)).ok(), Some(report()));
     assert_eq!(encode(&report()), hex(REPORT));
 }
 
 #[test]
 fn a_spot_notice_may_be_null_or_absent() {
-    let expected = Report {
-        notice_s: None,
+    let expected = WorkerStatus {
+        eviction_notice_s: None,
         ..report()
     };
     let absent = without(&report_message(), "recallS");
     let null = with(&report_message(), "recallS", Value::Null);
-    assert_eq!(read::<Report>(&absent), expected);
-    assert_eq!(read::<Report>(&null), expected);
+    assert_eq!(read::<WorkerStatus>(&absent), expected);
+    assert_eq!(read::<WorkerStatus>(&null), expected);
     assert_eq!(written(&expected), absent);
-    assert_amounts::<Report>(&report_message(), &["recallS"]);
+    assert_amounts::<WorkerStatus>(&report_message(), &["recallS"]);
 }
 
 #[test]
 fn the_other_fields_of_a_report_are_required() {
-    assert_required::<Report>(
+    assert_required::<WorkerStatus>(
         &report_message(),
         &[
             "host", "address", "breed", "yard", "loaners", "shift", "tally", "baton", "chores",
@@ -99,8 +99,8 @@
         .fold(report_message(), |m, field| {
             with(&m, field, Value::from(largest))
         });
-    let report = read::<Report>(&message);
-    assert_eq!((report.session, report.seq), (u64::MAX, u64::MAX));
+    let report = read::<WorkerStatus>(&message);
+    assert_eq!((report.session, report.sequence), (u64::MAX, u64::MAX));
     assert_eq!(report.token, FencingToken::new(u64::MAX));
     assert_eq!(written(&report), message);
 }
@@ -109,7 +109,7 @@
 fn unknown_fields_of_a_report_are_ignored() {
     let mut fields = report_message().into_map().unwrap();
     fields.push(("weather".into(), message!({"rain" => true})));
-    assert_eq!(read::<Report>(&Value::Map(fields)), report());
+    assert_eq!(read::<WorkerStatus>(&Value::Map(fields)), report());
 }
 
 fn task_message() -> Value {
@@ -117,8 +117,8 @@
               "saved" => false})
 }
 
-fn task() -> TaskReport {
-    TaskReport {
+fn task() -> TaskStatus {
+    TaskStatus {
         task: "wk-1/0".into(),
         attempt: 7,
         state: TaskState::Exited,
@@ -129,24 +129,24 @@
 
 #[test]
 fn optional_fields_of_a_task_may_be_null_or_absent() {
-    assert_eq!(read::<TaskReport>(&task_message()), task());
+    assert_eq!(read::<TaskStatus>(&task_message()), task());
     assert_eq!(written(&task()), task_message());
-    let no_reason = TaskReport {
+    let no_reason = TaskStatus {
         reason: None,
         ..task()
     };
-    let not_saved = TaskReport {
+    let not_saved = TaskStatus {
         saved: None,
         ..task()
     };
     for (field, expected) in [("cause", no_reason), ("saved", not_saved)] {
         let absent = without(&task_message(), field);
         let null = with(&task_message(), field, Value::Null);
-        assert_eq!(read::<TaskReport>(&absent), expected);
-        assert_eq!(read::<TaskReport>(&null), expected);
+        assert_eq!(read::<TaskStatus>(&absent), expected);
+        assert_eq!(read::<TaskStatus>(&null), expected);
         assert_eq!(written(&expected), absent);
     }
-    assert_required::<TaskReport>(&task_message(), &["chore", "try", "standing"]);
+    assert_required::<TaskStatus>(&task_message(), &["chore", "try", "standing"]);
 }
 
 #[test]
@@ -159,11 +159,11 @@
         (TaskState::Exited, "exited"),
     ] {
         let literal = with(&task_message(), "standing", name.into());
-        assert_eq!(read::<TaskReport>(&literal).state, state);
+        assert_eq!(read::<TaskStatus>(&literal).state, state);
         assert_eq!(written(&state), Value::from(name));
     }
     let new = with(&task_message(), "standing", "dreaming".into());
-    assert_eq!(read::<TaskReport>(&new).state, TaskState::Other);
+    assert_eq!(read::<TaskStatus>(&new).state, TaskState::Other);
 }
 
 #[test]
@@ -172,16 +172,16 @@
         (ExitReason::Done, "done"),
         (ExitReason::Stopped, "halted"),
         (ExitReason::Error, "error"),
-        (ExitReason::NoRoom, "full"),
-        (ExitReason::Busy, "in_use"),
+        (ExitReason::InsufficientResources, "full"),
+        (ExitReason::ConflictingAttempt, "in_use"),
         (ExitReason::Unknown, "unknown"),
     ] {
         let literal = with(&task_message(), "cause", name.into());
-        assert_eq!(read::<TaskReport>(&literal).reason, Some(reason));
+        assert_eq!(read::<TaskStatus>(&literal).reason, Some(reason));
         assert_eq!(written(&reason), Value::from(name));
     }
     let new = with(&task_message(), "cause", "bored".into());
-    assert_eq!(read::<TaskReport>(&new).reason, Some(ExitReason::Other));
+    assert_eq!(read::<TaskStatus>(&new).reason, Some(ExitReason::Other));
 }
 
 /// One command of each kind.
@@ -227,9 +227,9 @@
 
 #[test]
 fn the_answer_to_a_report_is_written_and_read_field_by_field() {
-    let reply = ReportReply {
+    let reply = HeartbeatReply {
         token: FencingToken::new(41),
-        orders: commands(),
+        commands: commands(),
     };
     let literal = message!({"baton" => 41, "orders" => [
         {"verb" => "start", "chore" => "wk-000412/4", "try" => 2},
@@ -237,22 +237,22 @@
         {"verb" => "clear", "chore" => "wk-000398/0", "try" => 3}
     ]});
     assert_eq!(written(&reply), literal);
-    assert_eq!(read::<ReportReply>(&literal), reply);
-    assert_required::<ReportReply>(&literal, &["baton", "orders"]);
+    assert_eq!(read::<HeartbeatReply>(&literal), reply);
+    assert_required::<HeartbeatReply>(&literal, &["baton", "orders"]);
 }
 
 #[test]
 fn the_answer_to_a_report_is_these_bytes() {
-    let reply = ReportReply {
+    let reply = HeartbeatReply {
         token: FencingToken::new(41),
-        orders: commands(),
+        commands: commands(),
     };
     assert_eq!(encode(&reply), hex(REPORT_REPLY));
-    let empty = ReportReply {
+    let empty = HeartbeatReply {
         token: FencingToken::new(5),
-        orders: Vec::new(),
+        commands: Vec::new(),
     };
-    // {"baton": 5, "orders": []}
+    // {"baton": 5, "commands": []}
     assert_eq!(
         encode(&empty),
         hex("a2 65 6261746f6e 05 66 6f7264657273 80")
@@ -261,29 +261,29 @@
 
 #[test]
 fn direct_orders_are_written_and_read_field_by_field() {
-    let orders = DirectOrders {
+    let commands = DirectCommandRequest {
         token: FencingToken::new(41),
         session: 2,
-        orders: commands(),
+        commands: commands(),
     };
     let literal = message!({"baton" => 41, "shift" => 2, "orders" => [
         {"verb" => "start", "chore" => "wk-000412/4", "try" => 2},
         {"verb" => "halt", "chore" => "wk-000377/1", "try" => 1, "windDownS" => 10.0},
         {"verb" => "clear", "chore" => "wk-000398/0", "try" => 3}
     ]});
-    assert_eq!(written(&orders), literal);
-    assert_eq!(read::<DirectOrders>(&literal), orders);
-    assert_required::<DirectOrders>(&literal, &["baton", "shift", "orders"]);
+    assert_eq!(written(&commands), literal);
+    assert_eq!(read::<DirectCommandRequest>(&literal), commands);
+    assert_required::<DirectCommandRequest>(&literal, &["baton", "shift", "orders"]);
 }
 
 #[test]
 fn direct_orders_are_these_bytes() {
-    let orders = DirectOrders {
+    let commands = DirectCommandRequest {
         token: FencingToken::new(41),
         session: 2,
-        orders: commands(),
+        commands: commands(),
     };
-    assert_eq!(encode(&orders), hex(DIRECT_ORDERS));
+    assert_eq!(encode(&commands), hex(DIRECT_ORDERS));
 }
 
 #[test]
@@ -333,7 +333,7 @@
     3163747279016977696e64446f776e53f94900a3647665726265636c6561726563686f72656b776b \
     2d3030303339382f306374727903";
 
-/// Direct orders with one command of each kind, byte by byte.
+/// Direct commands with one command of each kind, byte by byte.
 const DIRECT_ORDERS: &str = "\
     a3656261746f6e182965736869667402666f726465727383a364766572626573746172746563686f \
     72656b776b2d3030303431322f346374727902a464766572626468616c746563686f72656b776b2d \
