--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -9,11 +9,14 @@
 
 /// `POST /hello`: a heartbeat. The response carries commands and renews the lease of the worker.
 pub(super) async fn heartbeat(state: web::Data<ApiState>, body: web::Bytes) -> HttpResponse {
-    let Ok(report) = decode::<WorkerStatus>(&body) else {
-        tracing::info!(bytes = body.len(), "report not understood");
-        return responses::malformed();
+    let status = match decode::<WorkerStatus>(&body) {
+        Ok(status) => status,
+        Err(error) => {
+            tracing::info!(bytes = body.len(), %error, "heartbeat not understood");
+            return responses::malformed();
+        }
     };
-    let mut response = match state.controller.send(Heartbeat(report)).await {
+    let mut response = match state.controller.send(Heartbeat(status)).await {
         Ok(decided) => heartbeat_response(decided, Instant::now()),
         Err(_) => responses::stopping(),
     };
--- a/src/controller/cloud/machine_types.rs
+++ b/src/controller/cloud/machine_types.rs
@@ -55,7 +55,7 @@
         let guards = self.read_state(|state| {
             let Term { epoch_version, .. } = state.term()?;
             let stored = state.replica().catalogue.as_ref();
-            if stored.is_some_and(|stored| have_same_shape(&stored.record, types)) {
+            if stored.is_some_and(|stored| are_equivalent(&stored.record, types)) {
                 return None;
             }
             let version = stored.map_or(Revision::ZERO, |stored| stored.version);
@@ -77,7 +77,7 @@
 }
 
 /// Whether two catalogues have the same types, by name, whole CPUs and zones. Prices change too often to be stored.
-fn have_same_shape(a: &[MachineType], b: &[MachineType]) -> bool {
+fn are_equivalent(a: &[MachineType], b: &[MachineType]) -> bool {
     let same = |(a, b): (&MachineType, &MachineType)| {
         a.name == b.name && a.cpus.trunc() == b.cpus.trunc() && a.zones == b.zones
     };
--- a/src/protocol/codec.rs
+++ b/src/protocol/codec.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
     /// The body is not CBOR, or not a message of the expected form.
-    #[error("malformed body")]
+    #[error("malformed body: {0}")]
     Malformed(#[from] ciborium::de::Error<std::io::Error>),
     /// Bytes follow the message.
     #[error("trailing bytes after the message")]
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -168,7 +168,7 @@
             return 0;
         }
         let mut won = 0;
-        for machine in self.preemption_hosts(index) {
+        for machine in self.preemption_candidates(index) {
             if won == tasks {
                 break;
             }
@@ -181,11 +181,11 @@
     }
 
     /// Machines on which a job might preempt others: holders of its image first, so that what is freed is used at once.
-    fn preemption_hosts(&self, index: JobIndex) -> Vec<MachineIndex> {
+    fn preemption_candidates(&self, index: JobIndex) -> Vec<MachineIndex> {
         let job = self.job(index);
         let holders = self.image_holders.get(job.image);
         let holds_image = |machine| holders.is_some_and(|holders| holders.contains(&machine));
-        let mut hosts: Vec<(bool, MachineIndex)> = self
+        let mut candidates: Vec<(bool, MachineIndex)> = self
             .machines()
             .filter(|(_, machine)| {
                 self.accepts_tasks(machine)
@@ -194,8 +194,8 @@
             })
             .map(|(machine, _)| (!holds_image(machine), machine))
             .collect();
-        hosts.sort_unstable();
-        hosts.into_iter().map(|(_, machine)| machine).collect()
+        candidates.sort_unstable();
+        candidates.into_iter().map(|(_, machine)| machine).collect()
     }
 
     /// Stops other tasks on one machine for up to `tasks` tasks of a job, and plans these in the pool; returns for how many.
