--- a/tests/compat/main.rs
+++ b/tests/compat/main.rs
@@ -11,4 +11,5 @@
 mod state_service;
 mod stored_records;
 mod users;
+mod wire_names;
 mod workers;
