--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -2,7 +2,6 @@
 
 use super::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest};
 use crate::protocol::{decode, encode, DirectCommandRequest, WorkerStatus};
-use crate::scheduler::DirectCommands;
 use awc::http::{Method, StatusCode};
 use std::time::Duration;
 
@@ -27,23 +26,28 @@
     OtherMachine(String),
 }
 
+/// Where a worker is reached.
+#[derive(Debug, Clone, Copy)]
+pub struct WorkerAddress<'a> {
+    /// The machine whose worker it is.
+    pub machine: &'a str,
+    /// The worker's address: host and port.
+    pub address: &'a str,
+}
+
 /// Sends direct commands and returns the worker's report after them. A worker that rejects the commands (409) reports, too.
 ///
 /// # Errors
 /// If no report of this machine arrives.
 pub async fn send_commands(
     http: &awc::Client,
-    commands: &DirectCommands,
+    worker: WorkerAddress<'_>,
+    commands: &DirectCommandRequest,
 ) -> Result<WorkerStatus, CommandError> {
-    let body = encode(&DirectCommandRequest {
-        token: commands.token,
-        session: commands.session,
-        commands: commands.commands.clone(),
-    });
     let request = HttpRequest {
         method: Method::POST,
-        url: format!("http://{}/orders", commands.address),
-        body: Some(body),
+        url: format!("http://{}/orders", worker.address),
+        body: Some(encode(commands)),
         timeout: TIMEOUT,
         response_limit: RESPONSE_LIMIT,
         connection: ConnectionReuse::Close,
@@ -53,7 +57,7 @@
         return Err(CommandError::Status(response.status));
     }
     let report: WorkerStatus = decode(&response.body).map_err(|_| CommandError::Malformed)?;
-    if report.machine != commands.machine {
+    if report.machine != worker.machine {
         return Err(CommandError::OtherMachine(report.machine));
     }
     Ok(report)
--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -1,7 +1,6 @@
 //! Adoption: machines that no rental record names get one, so that they are used or returned.
 
 use super::Handles;
-use crate::clients::worker;
 use crate::controller::state::{ControllerState, UnregisteredMachine, WorkerContact};
 use crate::coordination::leadership::Term;
 use crate::scheduler::{first_token, DirectCommands};
@@ -58,7 +57,7 @@
         };
         if let Some(worker) = &machine.worker {
             let probe = empty_command(name, worker, term);
-            if worker::send_commands(&self.http, &probe).await.is_err() {
+            if self.send_directly(&probe).await.is_err() {
                 return;
             }
         }
--- a/src/controller/scheduling_loop.rs
+++ b/src/controller/scheduling_loop.rs
@@ -3,7 +3,8 @@
 use super::handles::Handles;
 use super::state::{ControllerState, RoundOutcome, SendLimits, MIN_ROUND_INTERVAL};
 use crate::clients::authority_check::while_authorized;
-use crate::clients::worker;
+use crate::clients::worker::{self, CommandError, WorkerAddress};
+use crate::protocol::WorkerStatus;
 use crate::scheduler::DirectCommands;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -44,6 +45,18 @@
         }
     }
 
+    /// Sends commands straight to a worker; its status after them.
+    pub(super) async fn send_directly(
+        &self,
+        message: &DirectCommands,
+    ) -> Result<WorkerStatus, CommandError> {
+        let worker = WorkerAddress {
+            machine: &message.machine,
+            address: &message.address,
+        };
+        worker::send_commands(&self.http, worker, &message.request()).await
+    }
+
     /// Sends a message to a worker and handles the answer, beside the loop.
     fn spawn_send(&self, message: DirectCommands, in_flight: Rc<Cell<usize>>) {
         let handles = self.clone();
@@ -51,10 +64,9 @@
         in_flight.set(in_flight.get() + 1);
         actix::spawn(async move {
             let authorized = || handles.read_state(|state| state.may_send_direct(term, &message));
-            let answer =
-                while_authorized(authorized, worker::send_commands(&handles.http, &message))
-                    .await
-                    .and_then(Result::ok);
+            let answer = while_authorized(authorized, handles.send_directly(&message))
+                .await
+                .and_then(Result::ok);
             in_flight.set(in_flight.get() - 1);
             handles.with_state(|state| {
                 state.handle_direct_answer(term, &message, answer.as_ref());
--- a/src/scheduler/machines/direct_commands.rs
+++ b/src/scheduler/machines/direct_commands.rs
@@ -1,7 +1,7 @@
 //! Commands and probes that are sent straight to workers, and the order in which machines are released.
 
 use super::machine::{Machine, MachineState};
-use crate::protocol::{Command, FencingToken, WorkerStatus};
+use crate::protocol::{Command, DirectCommandRequest, FencingToken, WorkerStatus};
 use crate::scheduler::attempt::Route;
 use crate::scheduler::heartbeat::HeartbeatSource;
 use crate::scheduler::index::MachineIndex;
@@ -30,6 +30,16 @@
 }
 
 impl DirectCommands {
+    /// The message to the worker.
+    #[must_use]
+    pub fn request(&self) -> DirectCommandRequest {
+        DirectCommandRequest {
+            token: self.token,
+            session: self.session,
+            commands: self.commands.clone(),
+        }
+    }
+
     /// Whether a task is started.
     fn has_starts(&self) -> bool {
         self.commands
