--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -159,7 +159,7 @@
         largest
     }
 
-    /// The most that services have recently held in each zone, so that a zone that is cut off keeps its share.
+    /// The most that services have recently held in each zone, so that a zone that is isolated keeps its share.
     fn largest_placed_services(&self) -> CpusByZone {
         let mut largest = CpusByZone::new();
         for sample in &self.samples {
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -36,7 +36,7 @@
     /// A machine that is silent for longer is released, unless most of its zone is silent.
     pub silence_limit: Duration,
     /// A machine that is silent for longer is released though its whole zone is silent: machines that are dead are listed as
-    /// failed, and what is cut off for so long is not worth its price.
+    /// failed, and what is isolated for so long is not worth its price.
     pub zone_silence_limit: Duration,
     /// A machine without tasks for longer is returned.
     pub idle_limit: Duration,
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -35,7 +35,7 @@
     offers: &OfferBackoffs,
     now: Timestamp,
 ) -> Vec<RentalRequest> {
-    // Machines that come up in a zone that is cut off are out of reach, and were once counted on all the same.
+    // Machines that come up in a zone that is isolated are out of reach, and were once counted on all the same.
     let unreachable = scheduler.unreachable_zones();
     let available =
         |offer: &Offer| !unreachable.contains(&offer.zone) && offers.is_available(*offer, now);
--- a/src/controller/election_loop.rs
+++ b/src/controller/election_loop.rs
@@ -19,7 +19,7 @@
 /// Time after a campaign that was lost.
 const LOST_CAMPAIGN_DELAY: Duration = Duration::from_millis(100);
 /// How long a leader that stepped down does not campaign, in times to live of its leader lease: long enough for another
-/// controller to claim leadership, and for the next one where that one is cut off from the workers as well.
+/// controller to claim leadership, and for the next one where that one is isolated from the workers as well.
 const STEP_DOWN_BACKOFF_LEASES: f64 = 4.0;
 
 impl Handles {
--- a/src/controller/state/rentals.rs
+++ b/src/controller/state/rentals.rs
@@ -39,7 +39,7 @@
 
     /// Decides what to rent and what to return.
     pub(in crate::controller) fn scaling_decision(&mut self) -> Vec<RentalRequest> {
-        // The calls before this one may have taken seconds: a leader that was cut off meanwhile once gave up machines that
+        // The calls before this one may have taken seconds: a leader that was isolated meanwhile once gave up machines that
         // its successor was using.
         if self.authority() != Authority::Full {
             return Vec::new();
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -22,7 +22,7 @@
 /// Why a leader steps down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::controller) enum StepDownReason {
-    /// No worker reports to this leader, which may be cut off from them.
+    /// No worker reports to this leader, which may be isolated from them.
     NoHeartbeats,
     /// The epoch has no numbers left for further attempts of tasks.
     AttemptNumbersExhausted,
@@ -179,7 +179,7 @@
     /// Detects whether the process was paused, or had no processor, since the last round.
     ///
     /// What was not heard during a pause says nothing about the store and the other controllers. A controller that woke up
-    /// once reported to the load balancer that it was cut off.
+    /// once reported to the load balancer that it was isolated.
     fn detect_process_pause(&mut self) {
         let now = self.now();
         let Some(pause) = self.pause_detector.start_round(now) else {
--- a/src/controller/tests/simulation/faults.rs
+++ b/src/controller/tests/simulation/faults.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A zone that is cut off together with one controller; nothing else reaches either of them.
+/// A zone that is isolated together with one controller; nothing else reaches either of them.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct IsolatedZone {
     pub zone: &'static str,
@@ -20,7 +20,7 @@
     pub cloud_down: bool,
     /// No controller reaches another before this time.
     pub peers_cut_until: Timestamp,
-    /// A zone that is cut off.
+    /// A zone that is isolated.
     pub isolated_zone: Option<IsolatedZone>,
     /// Controllers that reach no worker.
     pub cut_from_workers: BTreeSet<usize>,
--- a/src/controller/watch_loop.rs
+++ b/src/controller/watch_loop.rs
@@ -49,7 +49,7 @@
 
     /// Applies the changes that the watch brings, until they cannot be had any more.
     ///
-    /// A controller that was cut off from the store for long once asked for the same changes for ever: they were more than
+    /// A controller that was isolated from the store for long once asked for the same changes for ever: they were more than
     /// it accepts in one answer.
     async fn follow_store(&self, watch_interval: Duration, stall_timeout: &mut Duration) {
         loop {
--- a/src/coordination/peers/health.rs
+++ b/src/coordination/peers/health.rs
@@ -1,4 +1,4 @@
-//! Whether this controller is cut off from the others.
+//! Whether this controller is isolated from the others.
 
 use crate::time::Timestamp;
 use std::collections::HashMap;
--- a/src/scheduler/heartbeat/adoption.rs
+++ b/src/scheduler/heartbeat/adoption.rs
@@ -6,7 +6,7 @@
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
-    /// Takes in a task that a machine lists, unless it is known to be somewhere or has finished.
+    /// Adopts a task that a machine lists, unless it is known to be somewhere or has finished.
     pub(super) fn adopt_if_unknown(
         &mut self,
         machine: MachineIndex,
--- a/src/scheduler/heartbeat/mod.rs
+++ b/src/scheduler/heartbeat/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A heartbeat comes as a request of the worker, whose answer renews the worker's lease and carries commands, or as the
 //! response to direct commands. It is ordered by session and sequence number (`sequence`); only the newest one counts, and
-//! only one under the machine's current fencing token says what is on the machine. `session` takes in contact and lease,
-//! `reconciliation` compares the worker's tasks with what is known of them, `adoption` takes in those that are unknown here,
+//! only one under the machine's current fencing token says what is on the machine. `session` processes contact and lease,
+//! `reconciliation` compares the worker's tasks with what is known of them, `adoption` adopts those that are unknown here,
 //! `outcomes` handles those that have ended, and `commands` writes the answer.
 
 mod adoption;
@@ -66,7 +66,7 @@
 }
 
 impl Scheduler {
-    /// Takes in a heartbeat.
+    /// Processes a heartbeat.
     pub fn handle_heartbeat(
         &mut self,
         report: &WorkerStatus,
@@ -103,7 +103,7 @@
             && heartbeat.report.token <= self.token(machine)
     }
 
-    /// Takes in the newest heartbeat of a machine and returns its answer.
+    /// Processes the newest heartbeat of a machine and returns its answer.
     fn handle_newest_heartbeat(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
         let session_changed = self.record_contact(heartbeat);
         let mut commands = Vec::new();
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -52,7 +52,7 @@
     }
 
     /// Stops what a machine lists of jobs of which nothing may run any more, though the heartbeat is not under the current
-    /// token and nothing is concluded from it. Without this, a machine that hung or was cut off once it had its lease renewed
+    /// token and nothing is concluded from it. Without this, a machine that hung or was isolated once it had its lease renewed
     /// went on with it for another lease.
     pub(super) fn stop_ended_jobs(&self, report: &WorkerStatus, commands: &mut Vec<Command>) {
         let live = report
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -35,7 +35,7 @@
         last_session != 0 && is_new_session
     }
 
-    /// Takes in the newest heartbeat under the current token, which is the truth about its machine.
+    /// Processes the newest heartbeat under the current token, which is the truth about its machine.
     pub(super) fn handle_confirmed_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The machine shows its current token. If it had not done so, or not of late, tasks may be placed there from now on.
+    /// The machine shows its current token. If it had not done so, or not recently, tasks may be placed there from now on.
     fn confirm_token(&mut self, heartbeat: Heartbeat) {
         let now = self.now();
         let overdue = self.params.heartbeat_interval * 3;
--- a/src/scheduler/machines/machine.rs
+++ b/src/scheduler/machines/machine.rs
@@ -145,7 +145,7 @@
             && self.is_responsive(lease, heartbeat_interval, now)
     }
 
-    /// Whether its worker shows the current token and has done so of late, with a lease that lasts.
+    /// Whether its worker shows the current token and has done so recently, with a lease that lasts.
     fn is_responsive(&self, lease: Duration, heartbeat_interval: Duration, now: Timestamp) -> bool {
         self.contact.acknowledges_token()
             && !self.contact.is_silent_for(heartbeat_interval * 3, now)
--- a/src/scheduler/machines/mod.rs
+++ b/src/scheduler/machines/mod.rs
@@ -4,7 +4,7 @@
 //! `lease`, `command_channel`, `load`, `health`, `eviction`) say what is known of one. `lifecycle` adds and removes machines
 //! and has the one function that changes a machine's state; `responsiveness` judges silence, with the help of
 //! `zone_health`; `direct_commands` sends commands and probes; `expiry` does what time alone brings. `boot_times` measures
-//! how long machines take to come up. Heartbeats are taken in by `super::heartbeat`.
+//! how long machines take to come up. Heartbeats are processed by `super::heartbeat`.
 
 mod boot_progress;
 mod boot_times;
--- a/src/scheduler/machines/responsiveness.rs
+++ b/src/scheduler/machines/responsiveness.rs
@@ -1,4 +1,4 @@
-//! Which machines are silent, and whether it is they, their zone or this process that is cut off.
+//! Which machines are silent, and whether it is they, their zone or this process that is isolated.
 
 use super::machine::Machine;
 use super::zone_health::silent_zones;
@@ -7,7 +7,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// Beside the time in which every machine reports, before a leader takes itself for cut off.
+/// Beside the time in which every machine reports, before a leader considers itself isolated.
 const ISOLATION_MARGIN: Duration = Duration::from_millis(500);
 /// Two probes that all go unanswered, and their way.
 const UNANSWERED_PROBES: Duration = Duration::from_secs(5);
@@ -25,7 +25,7 @@
     }
 
     /// Machines that should send heartbeats and have not shown the current token for the time `silence`, less those of
-    /// zones with an outage: a zone of which most machines are quiet is cut off rather than dead, and what is up there will
+    /// zones with an outage: a zone of which most machines are quiet is isolated rather than dead, and what is up there will
     /// be of use as soon as it is back. Those are given up after the time `lost` only.
     ///
     /// Whether most are quiet is asked of a shorter time, in which a machine surely reports: a leader that heard nobody any
@@ -62,9 +62,9 @@
         silent_zones(expected, self.params.quiet_time(), self.now())
     }
 
-    /// Whether none of the machines that should send heartbeats has done so of late, under whichever token: then it is this
-    /// process that is cut off. A new leader that nobody has answered yet knows sooner, since it probes all machines when it
-    /// begins: a new leader cut off like its predecessor once held the leadership until the leases had expired.
+    /// Whether none of the machines that should send heartbeats has done so recently, under whichever token: then it is this
+    /// process that is isolated. A new leader that nobody has answered yet knows sooner, since it probes all machines when it
+    /// begins: a new leader isolated like its predecessor once held the leadership until the leases had expired.
     #[must_use]
     pub fn is_isolated_from_workers(&self) -> bool {
         let now = self.now();
--- a/src/scheduler/machines/zone_health.rs
+++ b/src/scheduler/machines/zone_health.rs
@@ -1,4 +1,4 @@
-//! Which zones are cut off, judged by how many of their machines are quiet.
+//! Which zones are isolated, judged by how many of their machines are quiet.
 
 use super::machine::Machine;
 use crate::scheduler::index::ZoneIndex;
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -40,7 +40,7 @@
 struct LatestStarts(BTreeMap<TaskId, LatestStart>);
 
 impl LatestStarts {
-    /// Takes in a start, which counts if it is the latest one of its task.
+    /// Processes a start, which counts if it is the latest one of its task.
     fn record(&mut self, task: TaskId, start: LatestStart) {
         let latest = self.0.entry(task).or_insert(start);
         if latest.attempt < start.attempt {
@@ -85,7 +85,7 @@
             }
             entries.push(entry);
             // What was started there has its image there, or is fetching it. Without this a new leader knew as holders only
-            // machines that had reported, and when a zone that had been cut off was back, all of it fetched its images anew.
+            // machines that had reported, and when a zone that had been isolated was back, all of it fetched its images anew.
             let image = self.job(entry.task.job).image;
             self.hold_image(entry.machine, image);
             let start = LatestStart {
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -1,4 +1,4 @@
-//! Fleets of thousands of machines: nothing is cut off, and what nothing follows from costs no round.
+//! Fleets of thousands of machines: nothing is truncated, and what changes nothing costs no round.
 
 use super::*;
 use crate::store::Epoch;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -281,7 +281,7 @@
     }
 }
 
-/// Takes in a page of a replica that is being read. What has changed is of no interest: the replica is new as a whole.
+/// Applies a page of a replica that is being read. What has changed is of no interest: the replica is new as a whole.
 fn put_page(replica: &mut Replica, page: &Page) {
     let mut changes: Vec<ReplicaChange> = Vec::new();
     for item in &page.items {
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -104,7 +104,7 @@
 }
 
 impl Replica {
-    /// Takes in a key that was read in a listing or brought by a watch, and adds what has changed to `changes`. A version older
+    /// Applies a key that was read in a listing or brought by a watch, and adds what has changed to `changes`. A version older
     /// than the known one is ignored. A record that cannot be read is left alone and logged.
     pub fn put(
         &mut self,
@@ -179,7 +179,7 @@
         Some(())
     }
 
-    /// Takes in a rental request, read or just written by this controller. A version older than the known one is ignored: the
+    /// Applies a rental request, read or just written by this controller. A version older than the known one is ignored: the
     /// watch may lag behind this controller's own write, and each request was once sent to the cloud a second time.
     pub fn put_rental(&mut self, request: &str, record: RentalRecord, version: Revision) {
         insert_newer(&mut self.rentals, request, record, version);
@@ -217,7 +217,7 @@
         }
     }
 
-    /// A request that brought no machines was taken in by `put_rental` with the version of its own removal.
+    /// A request that brought no machines was applied by `put_rental` with the version of its own removal.
     fn remove_rental(&mut self, request: &str, removed_at: Revision) {
         let known = self.rentals.get(request);
         if known.is_some_and(|known| known.version <= removed_at) {
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Takes in the changes that a watch has brought, which are all of them up to `revision`.
+    /// Applies the changes that a watch has brought, which are all of them up to `revision`.
     pub fn apply(&mut self, revision: Revision, events: &[Event]) -> Vec<ReplicaChange> {
         let mut changes = Vec::new();
         for event in events {
