--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -11,7 +11,7 @@
 //! |---|---|---|---|
 //! | `leader` | [`LeaderRecord`] | a candidate, attached to its lease | the end of that lease |
 //! | `epoch` | [`EpochRecord`] | a candidate, together with `leader` | nobody |
-//! | `catalogue` | list of [`MachineType`](crate::protocol::MachineType) | any controller, when the cloud tells of others | nobody |
+//! | `catalogue` | list of [`MachineType`](crate::protocol::MachineType) | the leader, when the cloud offers others | nobody |
 //! | `live/JOB` | [`LiveRecord`] | any controller, for a user who submits | with the write of `over/JOB` |
 //! | `stopping/JOB` | [`LiveRecord`] | any controller, for a user who cancels | the leader, once no task can be anywhere |
 //! | `over/JOB` | [`FinalRecord`] | any controller (cancelled) or the leader (done) | nobody |
