--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! hollowswitch: a cluster scheduler that rents machines by the second and keeps every task in at most one place.
 //!
-//! The program in `main.rs` is thin; [`service::run`] is the whole service. Start reading at [`scheduler`], the logic
-//! without I/O, and `docs/design.md`.
+//! The program in `main.rs` is thin; [`service::run`] is the whole service. Begin with `docs/architecture.md`;
+//! [`scheduler`] is the logic without I/O.
 
 pub mod admission;
 pub mod api;
