--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,11 +1,20 @@
 //! The HTTP responses that outcomes are mapped to.
 
-use super::users::job_response;
+use super::connections::Connections;
+use super::users::{self, job_response};
 use super::workers::heartbeat_response;
-use crate::controller::{HeartbeatOutcome, HeartbeatResponse, JobOutcome, JobRejection};
+use super::ApiState;
+use crate::admission::concurrency_limit::{ConcurrencyLimit, RequestKind};
+use crate::config::tests::settings;
+use crate::controller::{
+    Controller, HeartbeatOutcome, HeartbeatResponse, JobOutcome, JobRejection,
+};
 use crate::protocol::{FencingToken, HeartbeatReply, JobState, JobView};
+use actix::Actor;
 use actix_web::body::MessageBody;
 use actix_web::http::ConnectionType;
+use actix_web::web;
+use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
 #[test]
@@ -102,3 +111,21 @@
     assert_eq!(retry_after(2000), "2");
     assert_eq!(retry_after(2001), "3");
 }
+
+#[actix_web::test]
+async fn a_request_beyond_the_concurrency_limit_gets_429_with_retry_after() {
+    let state = web::Data::new(ApiState {
+        controller: Controller::new(settings()).start(),
+        concurrency_limit: RefCell::new(ConcurrencyLimit::new(8)),
+        connections: Connections::new(8),
+    });
+    while state.with_concurrency_limit(|limit| limit.try_acquire(RequestKind::Change)) {}
+    let response = users::poll(state, web::Path::from("wk-000412".to_string())).await;
+    let retry_after = response.headers().get("retry-after").unwrap();
+    assert_eq!(
+        (response.status().as_u16(), retry_after.to_str().unwrap()),
+        (429, "1")
+    );
+    let body = response.into_body().try_into_bytes().unwrap();
+    assert_eq!(&body[..], b"\xa1eerrorx\x1dtoo many requests in progress");
+}
