--- a/src/admission/rate.rs
+++ b/src/admission/rate.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::time::Timestamp;
+use crate::time::{duration_from_millis, Timestamp};
 use std::time::Duration;
 
 /// Lowest rate of a bucket, per second, so that it is refilled at all.
@@ -52,15 +52,10 @@
         Err(self.time_until_token())
     }
 
-    #[expect(
-        clippy::cast_possible_truncation,
-        clippy::cast_sign_loss,
-        reason = "a wait is positive, and a cast of one that is too long saturates"
-    )]
     fn time_until_token(&self) -> Duration {
         let wait_ms = (1.0 - self.tokens) / self.tokens_per_ms;
         let whole_ms = (wait_ms - WAIT_TOLERANCE_MS).ceil().max(1.0);
-        Duration::from_millis(whole_ms as u64)
+        duration_from_millis(whole_ms)
     }
 }
 
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::config::Settings;
 use crate::scheduler::{Job, Offer, Scheduler, UnmetDemand};
-use crate::time::{duration, Timestamp};
+use crate::time::{duration, duration_from_millis, Timestamp};
 use headroom::{DemandHistory, DemandSample};
 use offers::OfferBackoffs;
 use std::collections::BTreeMap;
@@ -176,7 +176,7 @@
 
 /// How far ahead replicas are planned for: until a machine that is rented now is up.
 fn forecast_horizon(boot_time_s: f64) -> Duration {
-    Duration::from_millis(floor(boot_time_s * HORIZON_MILLIS_PER_SECOND)) + HORIZON_MARGIN
+    duration_from_millis(boot_time_s * HORIZON_MILLIS_PER_SECOND) + HORIZON_MARGIN
 }
 
 fn log_demand(scheduler: &Scheduler, demands: &[UnmetDemand]) {
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -19,7 +19,7 @@
 mod tests;
 
 use crate::store::{Epoch, Revision};
-use crate::time::{whole_millis, Timestamp};
+use crate::time::{duration_from_millis, whole_millis, Timestamp};
 use std::time::Duration;
 
 /// The largest relative error assumed of a steady clock. The protocol promises 0.05%; this is twice as much.
@@ -276,13 +276,8 @@
 }
 
 /// A duration times a factor near one, in whole milliseconds, rounded down.
-#[expect(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    reason = "the product of a duration and a positive factor is positive, and the cast saturates"
-)]
 fn scaled(duration: Duration, factor: f64) -> Duration {
-    Duration::from_millis((whole_millis(duration) as f64 * factor) as u64)
+    duration_from_millis(whole_millis(duration) as f64 * factor)
 }
 
 fn log_role_change(from: &Role, to: &Role) {
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -147,6 +147,15 @@
         self.spec().kind == JobKind::Gang
     }
 
+    /// CPUs that one of its tasks takes as a replica of a service, in thousandths; 0 for other tasks.
+    pub(super) fn service_cpu_milli(&self) -> u64 {
+        if self.is_service() {
+            self.task_resources.cpu_milli
+        } else {
+            0
+        }
+    }
+
     /// Whether its tasks are replicas that never end.
     pub(super) fn is_service(&self) -> bool {
         self.spec().kind == JobKind::Service
--- a/src/scheduler/machines/boot_times.rs
+++ b/src/scheduler/machines/boot_times.rs
@@ -9,7 +9,7 @@
 mod tests;
 
 use super::offer::Offer;
-use crate::time::{whole_millis, Timestamp};
+use crate::time::{duration_from_millis, whole_millis, Timestamp};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -60,7 +60,9 @@
     }
 
     fn expected_ms(&self) -> u64 {
-        floor(self.mean_ms + DEVIATIONS * self.deviation_ms)
+        whole_millis(duration_from_millis(
+            self.mean_ms + DEVIATIONS * self.deviation_ms,
+        ))
     }
 }
 
@@ -87,8 +89,7 @@
         let expected_ms = self
             .expected_ms(offer, nominal_ms)
             .max(BootTime::new(nominal_ms).expected_ms());
-        let timeout_ms = floor(expected_ms as f64 * GIVE_UP_FACTOR);
-        Duration::from_millis(timeout_ms * u64::from(factor))
+        duration_from_millis(expected_ms as f64 * GIVE_UP_FACTOR) * factor
     }
 
     /// A machine that was rented at a time has come up.
@@ -139,13 +140,3 @@
             .or_insert_with(|| BootTime::new(nominal_ms))
     }
 }
-
-/// A number of milliseconds rounded down.
-#[expect(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    reason = "float to integer casts saturate, which is what is wanted"
-)]
-fn floor(millis: f64) -> u64 {
-    millis as u64
-}
--- a/src/scheduler/task_events.rs
+++ b/src/scheduler/task_events.rs
@@ -116,11 +116,7 @@
     fn reserve(&mut self, task: TaskId, machine: MachineIndex) {
         let job = &mut self.jobs[task.job];
         let amount = job.task_resources;
-        let service_cpu_milli = if job.is_service() {
-            amount.cpu_milli
-        } else {
-            0
-        };
+        let service_cpu_milli = job.service_cpu_milli();
         if let Some(team) = job.team {
             self.quotas.charge(team, amount.quota());
         }
@@ -133,11 +129,7 @@
     fn free(&mut self, task: TaskId, machine: MachineIndex) {
         let job = &mut self.jobs[task.job];
         let amount = job.task_resources;
-        let service_cpu_milli = if job.is_service() {
-            amount.cpu_milli
-        } else {
-            0
-        };
+        let service_cpu_milli = job.service_cpu_milli();
         if let Some(team) = job.team {
             self.quotas.release(team, amount.quota());
         }
--- a/src/time.rs
+++ b/src/time.rs
@@ -73,13 +73,8 @@
 
 /// Seconds as milliseconds, rounded down; what is negative or no number is 0.
 #[must_use]
-#[expect(
-    clippy::cast_possible_truncation,
-    clippy::cast_sign_loss,
-    reason = "float to integer casts saturate, which is what is wanted"
-)]
 pub fn millis(seconds: f64) -> u64 {
-    (seconds * 1000.0) as u64
+    round_down(seconds * 1000.0)
 }
 
 /// Seconds as a duration of whole milliseconds, rounded down; what is negative or no number is zero.
@@ -90,11 +85,15 @@
 
 /// Milliseconds as a duration, rounded down to whole ones; what is negative or no number is zero.
 #[must_use]
+pub fn duration_from_millis(milliseconds: f64) -> Duration {
+    Duration::from_millis(round_down(milliseconds))
+}
+
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "float to integer casts saturate, which is what is wanted"
 )]
-pub fn duration_from_millis(milliseconds: f64) -> Duration {
-    Duration::from_millis(milliseconds as u64)
+fn round_down(milliseconds: f64) -> u64 {
+    milliseconds as u64
 }
