--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -79,7 +79,7 @@
         let (response, needs_round) = self.handles.with_state(|state| {
             let response = HeartbeatResponse {
                 outcome: state.handle_heartbeat(&message.0),
-                valid_until: state.answer_valid_until(),
+                valid_until: state.response_valid_until(),
             };
             (response, state.needs_round())
         });
--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -52,7 +52,7 @@
 
     /// Adopts a machine, if its worker runs. One that is known by a heartbeat only is asked, since that may be a late copy.
     async fn adopt(&self, name: &str, machine: UnregisteredMachine) {
-        let Some(term) = self.read_state(|state| state.term_to_adopt(name, &machine)) else {
+        let Some(term) = self.read_state(|state| state.adoption_term(name, &machine)) else {
             return;
         };
         if let Some(worker) = &machine.worker {
--- a/src/controller/cloud/machine_list.rs
+++ b/src/controller/cloud/machine_list.rs
@@ -51,7 +51,7 @@
         self.await_cloud_call().await;
         // Without an answer the listing ends, and begins anew after the interval.
         if let Ok(page) = self.cloud.list_page(&after).await {
-            listing.next_page = self.with_state(|state| state.reconcile_page(page));
+            listing.next_page = self.with_state(|state| state.reconcile_machine_page(page));
         }
     }
 }
--- a/src/controller/cloud/rentals.rs
+++ b/src/controller/cloud/rentals.rs
@@ -49,10 +49,7 @@
     /// was carried out call by call was seconds old at its end, and spent whole calls on a few machines.
     pub(super) async fn rent_most_urgent(&self) -> Result<(), RentalError> {
         // Without a request no call is spent, and what the look ahead preempts for others is not delayed by the rate.
-        if self
-            .with_state(ControllerState::scaling_decision)
-            .is_empty()
-        {
+        if self.with_state(ControllerState::decide_scaling).is_empty() {
             return Err(RentalError::NothingToRent);
         }
         self.await_cloud_call().await;
@@ -74,10 +71,10 @@
     /// Calls the cloud for a stored request, and stores the machines that it brought.
     async fn call_rental(&self, mut rental: OpenRental) -> Result<(), RentalError> {
         let term = self
-            .read_state(ControllerState::term_to_rent)
+            .read_state(ControllerState::rental_term)
             .ok_or(RentalError::NoAuthority)?;
         let machines = self.call_cloud(&rental, term).await?;
-        self.with_state(|state| state.record_offer(&rental.record, machines.len()));
+        self.with_state(|state| state.record_rental_response(&rental.record, machines.len()));
         rental.record.machines = Some(machines);
         rental.version = self.store_rental(&rental, term).await?;
         self.with_state(|state| state.finish_rental(&rental));
--- a/src/controller/read_barrier_loop.rs
+++ b/src/controller/read_barrier_loop.rs
@@ -35,7 +35,7 @@
     }
 
     async fn send_read_barrier(self, barrier: ReadBarrier) {
-        let answer = self.store.barrier(&barrier.transaction).await;
+        let answer = self.store.barrier(&barrier.txn).await;
         // If the barrier failed, its reads fail with the batch that is dropped here.
         let Ok(revision) = self.record_store_answer(answer) else {
             return;
--- a/src/controller/scheduling_loop.rs
+++ b/src/controller/scheduling_loop.rs
@@ -69,7 +69,7 @@
                 .and_then(Result::ok);
             in_flight.set(in_flight.get() - 1);
             handles.with_state(|state| {
-                state.handle_direct_answer(term, &message, answer.as_ref());
+                state.handle_direct_response(term, &message, answer.as_ref());
             });
             handles.round_requested.notify_one();
         });
--- a/src/controller/start_log_loop.rs
+++ b/src/controller/start_log_loop.rs
@@ -17,16 +17,20 @@
             let Some(write) = self.with_state(ControllerState::next_start_log_write) else {
                 continue;
             };
-            let StartLogWrite { append, term, txn } = write;
+            let StartLogWrite {
+                slot_write,
+                term,
+                txn,
+            } = write;
             let outcome = self.leader_transaction(&txn).await;
             let slot = match outcome {
                 Ok(TxnOutcome::Applied(_))
                 | Err(StoreError::RateLimited | StoreError::Unavailable) => None,
                 // The write, or an earlier one without an answer, may have been applied: the slot tells.
-                _ => self.read_start_log_slot(append.slot).await,
+                _ => self.read_start_log_slot(slot_write.slot).await,
             };
             self.with_state(|state| {
-                state.finish_start_log_write(term, append, &outcome, slot.as_ref());
+                state.finish_start_log_write(term, slot_write, &outcome, slot.as_ref());
             });
             self.round_requested.notify_one();
             tokio::time::sleep(interval).await;
--- a/src/controller/state/adoption.rs
+++ b/src/controller/state/adoption.rs
@@ -21,20 +21,20 @@
 
     /// The term in which a machine may be adopted, if it may: it is not known by now, and no rental without an answer can
     /// have brought it.
-    pub(in crate::controller) fn term_to_adopt(
+    pub(in crate::controller) fn adoption_term(
         &self,
         name: &str,
         machine: &UnregisteredMachine,
     ) -> Option<Term> {
         let term = self.term()?;
         let mut rentals = self.replica.rentals.values().map(|rental| &rental.record);
-        let may_be_rented = rentals.any(|rental| {
+        let may_belong_to_open_rental = rentals.any(|rental| {
             rental.machines.is_none()
                 && rental.machine_type == machine.machine_type
                 && rental.zone == machine.zone
         });
         let is_unknown = !self.scheduler.as_ref()?.knows(name);
-        (is_unknown && !may_be_rented).then_some(term)
+        (is_unknown && !may_belong_to_open_rental).then_some(term)
     }
 
     /// Whether the replica holds a rental with this record.
--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -48,7 +48,7 @@
 
     /// Remembers a final state that was read from the store. If it is a cancellation that the leader may not know of, the
     /// leader has to be notified.
-    pub(in crate::controller) fn learn_final_state(
+    pub(in crate::controller) fn record_final_state(
         &mut self,
         id: &str,
         read: &Versioned<FinalRecord>,
--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -10,9 +10,9 @@
 /// Time between two rounds of durable writes of the leader.
 pub(in crate::controller) const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
 /// Share of the store's changes that each of the batches in a round may take.
-const CHANGE_RATE_SHARE: f64 = 0.25;
+const BATCH_CHANGE_SHARE: f64 = 0.25;
 /// The largest number of jobs that are made final in a round.
-const MAX_COMPLETIONS: usize = 8;
+const MAX_COMPLETIONS_PER_ROUND: usize = 8;
 
 /// A job whose tasks are all done, to be made final.
 pub(in crate::controller) struct JobCompletion {
@@ -58,14 +58,17 @@
     )]
     fn max_batch_changes(&self) -> usize {
         let limits = &self.settings.platform.deployment.state;
-        let per_round = limits.write_rps * FLUSH_INTERVAL.as_secs_f64() * CHANGE_RATE_SHARE;
+        let per_round = limits.write_rps * FLUSH_INTERVAL.as_secs_f64() * BATCH_CHANGE_SHARE;
         (per_round as usize).clamp(1, limits.txn_ops)
     }
 
     /// Jobs whose tasks are all done, some at a time.
     pub(in crate::controller) fn job_completions(&self, epoch: &Guard) -> Vec<JobCompletion> {
         let complete = self.scheduler.as_ref().map(Scheduler::complete_jobs);
-        let complete = complete.into_iter().flatten().take(MAX_COMPLETIONS);
+        let complete = complete
+            .into_iter()
+            .flatten()
+            .take(MAX_COMPLETIONS_PER_ROUND);
         complete
             .map(|job| JobCompletion {
                 txn: store::complete_txn(epoch, &job.id, job.version, job.tasks),
@@ -132,7 +135,7 @@
     /// Removes released machines from their rental records. A record without machines is deleted.
     pub(in crate::controller) fn rental_cleanup(&self, epoch: &Guard) -> Option<RentalCleanup> {
         let reconciliation = &self.rental_reconciliation;
-        if !reconciliation.has_machines_to_remove() {
+        if !reconciliation.has_pending_removals() {
             return None;
         }
         let max_changes = self.max_batch_changes();
@@ -148,14 +151,14 @@
             let outdated = machines.is_empty()
                 || machines
                     .iter()
-                    .any(|machine| reconciliation.is_to_remove(machine));
+                    .any(|machine| reconciliation.is_removal_pending(machine));
             if !outdated || txn.apply.len() >= max_changes {
                 continue;
             }
             let (released, kept): (Vec<String>, Vec<String>) = machines
                 .iter()
                 .cloned()
-                .partition(|machine| reconciliation.is_to_remove(machine));
+                .partition(|machine| reconciliation.is_removal_pending(machine));
             removed.extend(released);
             let key = store::rental_key(name);
             txn.guards.push(guard(key.clone(), rental.version));
--- a/src/controller/state/heartbeats.rs
+++ b/src/controller/state/heartbeats.rs
@@ -20,10 +20,10 @@
         let Some(scheduler) = self.scheduler_at_now() else {
             return HeartbeatOutcome::NoLeader;
         };
-        let arrival = HeartbeatSource::Request {
+        let source = HeartbeatSource::Request {
             may_start: authority == Authority::Full,
         };
-        match scheduler.handle_heartbeat(report, arrival) {
+        match scheduler.handle_heartbeat(report, source) {
             HeartbeatDecision::Reply(reply) => HeartbeatOutcome::Reply(reply),
             HeartbeatDecision::Superseded => {
                 self.apply_leadership_event(LeadershipEvent::TermEnded);
@@ -63,7 +63,7 @@
     }
 
     /// The moment at which an answer to a worker that is decided now becomes void.
-    pub(in crate::controller) fn answer_valid_until(&self) -> Option<Instant> {
+    pub(in crate::controller) fn response_valid_until(&self) -> Option<Instant> {
         let now = self.now();
         let authority_ends = self.leadership().authority_ends(now);
         Instant::now().checked_add(authority_ends.saturating_duration_since(now))
--- a/src/controller/state/peer_views.rs
+++ b/src/controller/state/peer_views.rs
@@ -50,12 +50,12 @@
     pub(in crate::controller) fn receive_view(&mut self, view: View) {
         let now = self.now();
         self.observe_epoch(view.epoch);
-        let is_current = view.epoch >= self.newest_epoch();
-        if let Some(per_second) = view.leader_changes_per_s.filter(|_| is_current) {
+        let is_current_epoch = view.epoch >= self.newest_epoch();
+        if let Some(per_second) = view.leader_changes_per_s.filter(|_| is_current_epoch) {
             self.leader_report.record_change_rate(per_second, now);
         }
-        let follows = self.scheduler.is_none();
-        if let Some(task_counts) = view.task_counts.filter(|_| follows && is_current) {
+        let is_follower = self.scheduler.is_none();
+        if let Some(task_counts) = view.task_counts.filter(|_| is_follower && is_current_epoch) {
             self.leader_report.replace_task_counts(task_counts);
         }
         self.cancellations
--- a/src/controller/state/read_barriers.rs
+++ b/src/controller/state/read_barriers.rs
@@ -12,7 +12,7 @@
     /// When the reads were collected.
     pub(in crate::controller) requested_at: Timestamp,
     /// A transaction without changes, whose answer tells the revision of the store.
-    pub(in crate::controller) transaction: Txn,
+    pub(in crate::controller) txn: Txn,
     /// The reads that wait for it.
     pub(in crate::controller) batch: ReadBatch,
 }
@@ -36,7 +36,7 @@
             .map_or(Revision::ZERO, |epoch| epoch.version);
         Some(ReadBarrier {
             requested_at: self.now(),
-            transaction: Txn {
+            txn: Txn {
                 guards: vec![guard(store::epoch_key(), epoch_version)],
                 apply: Vec::new(),
             },
--- a/src/controller/state/rental_reconciliation.rs
+++ b/src/controller/state/rental_reconciliation.rs
@@ -10,9 +10,9 @@
 
 /// Most unregistered machines that are remembered at a time, so that heartbeats in made-up names cost bounded memory; some
 /// times the largest fleet. The rest is remembered when it reports or is listed again.
-const UNREGISTERED_LIMIT: usize = 16_384;
+const MAX_UNREGISTERED_MACHINES: usize = 16_384;
 /// How long a release is remembered.
-const RELEASE_MEMORY: Duration = Duration::from_mins(10);
+const RELEASE_RETENTION: Duration = Duration::from_mins(10);
 
 /// A machine that no rental record names.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     unregistered: BTreeMap<String, UnregisteredMachine>,
     released_at: HashMap<String, Timestamp>,
     /// Released machines that rental records may still name.
-    to_remove: HashSet<String>,
+    pending_removals: HashSet<String>,
 }
 
 impl RentalReconciliation {
@@ -47,7 +47,9 @@
         name: &str,
         machine: impl FnOnce() -> UnregisteredMachine,
     ) {
-        if self.released_at.contains_key(name) || self.unregistered.len() >= UNREGISTERED_LIMIT {
+        if self.released_at.contains_key(name)
+            || self.unregistered.len() >= MAX_UNREGISTERED_MACHINES
+        {
             return;
         }
         self.unregistered.insert(name.to_string(), machine());
@@ -68,29 +70,30 @@
 
     /// Forgets the releases that are long past; called before new ones are recorded.
     pub(in crate::controller) fn expire_releases(&mut self, now: Timestamp) {
-        self.released_at.retain(|_, at| now < *at + RELEASE_MEMORY);
+        self.released_at
+            .retain(|_, at| now < *at + RELEASE_RETENTION);
     }
 
     /// The cloud has confirmed a machine's release.
     pub(in crate::controller) fn record_release(&mut self, name: String, now: Timestamp) {
         self.released_at.insert(name.clone(), now);
-        self.to_remove.insert(name);
+        self.pending_removals.insert(name);
     }
 
     /// Whether released machines have yet to be removed from their rental records.
-    pub(in crate::controller) fn has_machines_to_remove(&self) -> bool {
-        !self.to_remove.is_empty()
+    pub(in crate::controller) fn has_pending_removals(&self) -> bool {
+        !self.pending_removals.is_empty()
     }
 
     /// Whether a machine has to be removed from its rental record.
-    pub(in crate::controller) fn is_to_remove(&self, name: &str) -> bool {
-        self.to_remove.contains(name)
+    pub(in crate::controller) fn is_removal_pending(&self, name: &str) -> bool {
+        self.pending_removals.contains(name)
     }
 
     /// Machines were removed from their rental records.
     pub(in crate::controller) fn mark_removed(&mut self, names: &[String]) {
         for name in names {
-            self.to_remove.remove(name);
+            self.pending_removals.remove(name);
         }
     }
 
@@ -98,6 +101,6 @@
     /// What was released is remembered all the same, for a later term.
     pub(in crate::controller) fn clear_on_step_down(&mut self) {
         self.unregistered.clear();
-        self.to_remove.clear();
+        self.pending_removals.clear();
     }
 }
--- a/src/controller/state/rentals.rs
+++ b/src/controller/state/rentals.rs
@@ -9,7 +9,7 @@
 use crate::time::duration;
 
 /// For so many calls of the cloud an offer rests after a request while others are wanted.
-const REST_CALLS: f64 = 2.9;
+const OFFER_COOLDOWN_CALLS: f64 = 2.9;
 
 /// A rental request in the store whose answer is unknown.
 pub(in crate::controller) struct OpenRental {
@@ -33,12 +33,12 @@
     }
 
     /// The term, if machines may be rented in it.
-    pub(in crate::controller) fn term_to_rent(&self) -> Option<Term> {
+    pub(in crate::controller) fn rental_term(&self) -> Option<Term> {
         self.term().filter(|_| self.authority() == Authority::Full)
     }
 
     /// Decides what to rent and what to return.
-    pub(in crate::controller) fn scaling_decision(&mut self) -> Vec<RentalRequest> {
+    pub(in crate::controller) fn decide_scaling(&mut self) -> Vec<RentalRequest> {
         // The calls before this one may have taken seconds: a leader that was isolated meanwhile once gave up machines that
         // its successor was using.
         if self.authority() != Authority::Full {
@@ -54,11 +54,11 @@
 
     /// Decides what to rent, and chooses the request to carry out first.
     pub(in crate::controller) fn next_rental_request(&mut self) -> Option<RentalRequest> {
-        let requests = self.scaling_decision();
+        let requests = self.decide_scaling();
         let now = self.now();
         let calls_per_s = self.settings.platform.deployment.cloud.rps * CLOUD_REQUEST_SHARE;
-        let rest = duration(REST_CALLS / calls_per_s);
-        self.autoscaler.next_request(requests, rest, now)
+        let offer_cooldown = duration(OFFER_COOLDOWN_CALLS / calls_per_s);
+        self.autoscaler.next_request(requests, offer_cooldown, now)
     }
 
     /// A rental with a name that was never used before, and the term in which to store it.
@@ -87,9 +87,13 @@
     }
 
     /// The cloud has answered a rental request with a number of machines.
-    pub(in crate::controller) fn record_offer(&mut self, rental: &RentalRecord, rented: usize) {
+    pub(in crate::controller) fn record_rental_response(
+        &mut self,
+        rental: &RentalRecord,
+        rented: usize,
+    ) {
         let now = self.now();
-        let request = self.request_of(rental);
+        let request = self.request_for(rental);
         if let Some(request) = request {
             self.autoscaler.record_rental(&request, rented, now);
         }
@@ -114,7 +118,7 @@
     }
 
     /// The request that a rental was made for. None if its machine type or zone is not known, or nobody leads.
-    fn request_of(&self, rental: &RentalRecord) -> Option<RentalRequest> {
+    fn request_for(&self, rental: &RentalRecord) -> Option<RentalRequest> {
         let scheduler = self.scheduler.as_ref()?;
         let offer = Offer {
             machine_type: scheduler.machine_type_index(&rental.machine_type)?,
--- a/src/controller/state/request_limits.rs
+++ b/src/controller/state/request_limits.rs
@@ -67,12 +67,12 @@
     }
 
     /// The store has decided on changes by a user.
-    pub(super) fn record_user_changes_decided(&mut self) {
+    pub(super) fn record_user_changes_accepted(&mut self) {
         self.user_changes.record_accepted();
     }
 
     /// The store has refused changes by a user, since there were too many requests.
-    pub(super) fn record_user_changes_refused(&mut self) {
+    pub(super) fn record_user_changes_throttled(&mut self) {
         self.user_changes.record_throttled();
     }
 
@@ -117,11 +117,11 @@
     /// Adapts the rate of users' changes to the store's answer to one of their transactions.
     pub(in crate::controller) fn record_user_transaction(
         &mut self,
-        decided: &Result<TxnOutcome, StoreError>,
+        outcome: &Result<TxnOutcome, StoreError>,
     ) {
-        match decided {
-            Err(StoreError::RateLimited) => self.request_limits.record_user_changes_refused(),
-            Ok(_) => self.request_limits.record_user_changes_decided(),
+        match outcome {
+            Err(StoreError::RateLimited) => self.request_limits.record_user_changes_throttled(),
+            Ok(_) => self.request_limits.record_user_changes_accepted(),
             // Other failures say nothing about the rate.
             Err(_) => {}
         }
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -1,6 +1,6 @@
 //! One scheduling round: the scheduler's timers, placement, and the messages to workers.
 
-use super::round_timing::{FOLLOWER_TICK, TICK};
+use super::round_timing::{FOLLOWER_ROUND_INTERVAL, TICK_INTERVAL};
 use super::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
 use crate::protocol::WorkerStatus;
@@ -132,14 +132,14 @@
     /// The time until the next round: until the next tick, or until something may be placed.
     pub(in crate::controller) fn until_next_round(&self) -> Duration {
         let Some(scheduler) = &self.scheduler else {
-            return FOLLOWER_TICK;
+            return FOLLOWER_ROUND_INTERVAL;
         };
         if scheduler.has_changed() && self.authority() == Authority::Full {
             self.round_deadlines
                 .until_placement(self.now())
-                .clamp(Duration::from_millis(1), TICK)
+                .clamp(Duration::from_millis(1), TICK_INTERVAL)
         } else {
-            TICK
+            TICK_INTERVAL
         }
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Handles a worker's answer to a message, or its absence. An answer to a message of an earlier term is ignored.
-    pub(in crate::controller) fn handle_direct_answer(
+    pub(in crate::controller) fn handle_direct_response(
         &mut self,
         term: Option<Term>,
         message: &DirectCommands,
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -9,16 +9,16 @@
 /// The largest number of bytes of a request to the store.
 const MAX_REQUEST_BYTES: usize = 60 << 10;
 /// A number of bytes that is enough for one condition of a transaction.
-const BYTES_PER_CONDITION: usize = 100;
+const BYTES_PER_GUARD: usize = 100;
 /// The largest number of conditions of one write.
-const MAX_CONDITIONS: usize = 100;
+const MAX_JOB_GUARDS: usize = 100;
 /// Bytes for the quotes of the value, and for the rest of the transaction.
 const VALUE_OVERHEAD_BYTES: usize = 64;
 
 /// A write of the start log.
 pub(in crate::controller) struct StartLogWrite {
     /// What is written.
-    pub(in crate::controller) append: SlotWrite,
+    pub(in crate::controller) slot_write: SlotWrite,
     /// The term in which it was decided.
     pub(in crate::controller) term: Term,
     /// The transaction.
@@ -31,26 +31,30 @@
         let term = self.term_with_full_authority()?;
         let limits = &self.settings.platform.deployment.state;
         // The store allows four conditions for each change; two of them are taken.
-        let max_conditions = (4 * limits.txn_ops - 2).min(MAX_CONDITIONS);
+        let max_job_guards = (4 * limits.txn_ops - 2).min(MAX_JOB_GUARDS);
         let max_bytes = kib_to_bytes(limits.value_kb)
-            .min(MAX_REQUEST_BYTES - BYTES_PER_CONDITION * max_conditions)
+            .min(MAX_REQUEST_BYTES - BYTES_PER_GUARD * max_job_guards)
             .saturating_sub(VALUE_OVERHEAD_BYTES);
-        let append = self
+        let slot_write = self
             .scheduler
             .as_mut()?
-            .next_log_write(max_bytes, max_conditions)?;
+            .next_log_write(max_bytes, max_job_guards)?;
         let epoch = guard(store::epoch_key(), term.epoch_version);
-        let txn = store::log_txn(&epoch, append.start_log_write());
-        Some(StartLogWrite { append, term, txn })
+        let txn = store::log_txn(&epoch, slot_write.start_log_write());
+        Some(StartLogWrite {
+            slot_write,
+            term,
+            txn,
+        })
     }
 
     /// Handles the outcome of a write of the start log. `slot` is what its slot holds, where that had to be read.
     pub(in crate::controller) fn finish_start_log_write(
         &mut self,
         term: Term,
-        append: SlotWrite,
+        write: SlotWrite,
         outcome: &Result<TxnOutcome, StoreError>,
-        slot: Option<&Versioned<String>>,
+        stored: Option<&Versioned<String>>,
     ) {
         if self.term() != Some(term) {
             return;
@@ -64,14 +68,14 @@
                 scheduler.drop_job(job);
             }
         }
-        match (outcome, slot) {
-            (Ok(TxnOutcome::Applied(version)), _) => scheduler.log_write_applied(append, *version),
-            (_, Some(slot)) if slot.record == append.text => {
-                scheduler.log_write_applied(append, slot.version);
+        match (outcome, stored) {
+            (Ok(TxnOutcome::Applied(version)), _) => scheduler.log_write_applied(write, *version),
+            (_, Some(stored)) if stored.record == write.text => {
+                scheduler.log_write_applied(write, stored.version);
             }
-            (_, slot) => {
-                let slot = slot.map(|slot| (slot.version, slot.record.as_str()));
-                scheduler.log_write_failed(append, slot);
+            (_, stored) => {
+                let stored = stored.map(|stored| (stored.version, stored.record.as_str()));
+                scheduler.log_write_failed(write, stored);
             }
         }
     }
--- a/src/controller/state/store_contact.rs
+++ b/src/controller/state/store_contact.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// The store counts as reachable for this long after an answer.
-const REACHABLE_FOR: Duration = Duration::from_millis(2500);
+const REACHABILITY_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// When the store answered last.
 #[derive(Default)]
@@ -20,7 +20,7 @@
 
     /// Whether the store has answered lately.
     pub(super) fn is_reachable(&self, now: Timestamp) -> bool {
-        now < self.answered_at + REACHABLE_FOR
+        now < self.answered_at + REACHABILITY_TIMEOUT
     }
 
     /// The process was paused. That it heard nothing meanwhile says nothing about the store.
--- a/src/controller/tests/cancellation_broadcast.rs
+++ b/src/controller/tests/cancellation_broadcast.rs
@@ -98,9 +98,9 @@
     controller
         .cancellations_mut()
         .peer_replica_reached(&leader, revision);
-    controller.learn_final_state("wk-8", &cancelled(revision));
+    controller.record_final_state("wk-8", &cancelled(revision));
     assert!(controller.cancellation_message_for(&leader).is_none());
-    controller.learn_final_state("wk-9", &cancelled(revision.next()));
+    controller.record_final_state("wk-9", &cancelled(revision.next()));
     assert_eq!(
         controller.cancellation_message_for(&leader).unwrap().0.jobs[0].job,
         "wk-9"
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -184,11 +184,13 @@
     assert!(matches!(round, RoundOutcome::Send(messages) if messages.is_empty()));
     let mut revision = 400 + report.sequence;
     while let Some(write) = controller.next_start_log_write() {
-        let StartLogWrite { append, term, .. } = write;
+        let StartLogWrite {
+            slot_write, term, ..
+        } = write;
         revision += 1;
         controller.finish_start_log_write(
             term,
-            append,
+            slot_write,
             &Ok(TxnOutcome::Applied(Revision::new(revision))),
             None,
         );
--- a/src/controller/tests/simulation/cluster/writes.rs
+++ b/src/controller/tests/simulation/cluster/writes.rs
@@ -47,7 +47,7 @@
             self.start_log_write
         };
         self.nodes[node].pending_append = Some(PendingAppend {
-            append: write.append,
+            append: write.slot_write,
             term: write.term,
             outcome,
             answered_at: now + answer,
--- a/src/controller/tests/simulation/delivery.rs
+++ b/src/controller/tests/simulation/delivery.rs
@@ -112,7 +112,7 @@
         if controller.may_send_direct(dispatch.term, &dispatch.direct) {
             self.send_commands(vec![dispatch]);
         } else {
-            controller.handle_direct_answer(dispatch.term, &dispatch.direct, None);
+            controller.handle_direct_response(dispatch.term, &dispatch.direct, None);
         }
     }
 
@@ -181,7 +181,7 @@
             return;
         }
         if let Some(controller) = node.controller.as_mut() {
-            controller.handle_direct_answer(dispatch.term, &dispatch.direct, report);
+            controller.handle_direct_response(dispatch.term, &dispatch.direct, report);
         }
     }
 }
--- a/src/controller/user_requests/mod.rs
+++ b/src/controller/user_requests/mod.rs
@@ -37,7 +37,7 @@
     async fn read_final_state(&self, id: &str) -> Result<Versioned<FinalRecord>, StoreError> {
         let read = self.store.get::<FinalRecord>(&store::final_key(id)).await;
         let found = self.record_store_answer(read)?;
-        self.with_state(|state| state.learn_final_state(id, &found));
+        self.with_state(|state| state.record_final_state(id, &found));
         Ok(found)
     }
 
