--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -1,8 +1,8 @@
-//! What a controller knows and decides, without I/O: the loops carry out what it asks for, and the tests drive it with a
-//! simulated store, workers and peers.
+//! The state of a controller and its decisions, without I/O: the controller's loops carry the decisions out, and the tests
+//! drive the state with a simulated store, workers and peers.
 //!
-//! Each part of the state that has an invariant of its own is a type with private fields in one of the modules below. The
-//! other modules below hold the steps that join these parts, each beside the types of its outcome.
+//! Each part of the state that has its own invariant is a type with private fields in one of the submodules. The other
+//! submodules implement the operations that combine these parts, next to the types of their outcomes.
 
 mod adoption;
 mod cancellations;
@@ -55,14 +55,14 @@
 use crate::store::{LeaderRecord, Replica};
 use crate::time::Timestamp;
 
-/// The state of a controller.
+/// The state of one controller process, shared by its loops and message handlers.
 pub(super) struct ControllerState {
     settings: Settings,
     clock: Clock,
-    /// The replica of the store.
+    /// This controller's replica of the store.
     replica: Replica,
     leadership_status: LeadershipStatus,
-    /// The scheduler, while this controller leads and has read the store.
+    /// The scheduler, which exists while this controller leads and has read the store.
     scheduler: Option<Scheduler>,
     store_contact: StoreContact,
     request_limits: RequestLimits,
@@ -74,13 +74,13 @@
     peer_health: PeerHealth,
     cancellations: Cancellations,
     rental_reconciliation: RentalReconciliation,
-    /// Number of rental requests that this process has made: part of their names.
+    /// Number of rental requests that this process has made. It is part of their names, which keeps them unique.
     rental_requests_made: u64,
     pending_reads: PendingReads,
 }
 
 impl ControllerState {
-    /// The state of a controller that has yet to read the store.
+    /// Creates the state of a controller that has not read the store yet.
     pub(super) fn new(settings: Settings, incarnation: u64, clock: Clock) -> ControllerState {
         let identity = LeaderRecord {
             node: settings.platform.node.clone(),
@@ -110,47 +110,48 @@
         }
     }
 
-    /// The settings, which never change.
+    /// Returns the settings, which never change.
     pub(super) fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The time of the steady clock.
+    /// Returns the time of the steady clock.
     pub(super) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The time of day, in milliseconds since the Unix epoch.
+    /// Returns the time of day, in milliseconds since the Unix epoch.
     pub(super) fn unix_millis(&self) -> u64 {
         self.clock.unix_millis()
     }
 
-    /// The replica of the store.
+    /// Returns this controller's replica of the store.
     pub(super) fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The scheduler, while this controller leads and has read the store.
+    /// Returns the scheduler, while this controller leads and has read the store.
     pub(super) fn scheduler(&self) -> Option<&Scheduler> {
         self.scheduler.as_ref()
     }
 
-    /// Whether this controller leads and has read the store, so that it schedules.
+    /// Reports whether this controller schedules, that is, leads and has read the store.
     pub(super) fn is_scheduling(&self) -> bool {
         self.scheduler.is_some()
     }
 
-    /// The machine types that can be rented.
+    /// Returns the machine types that can be rented.
     pub(super) fn machine_types(&self) -> &[MachineType] {
         &self.machine_types
     }
 
-    /// Remembers that the store had no final state of a job, if the replica still has the generation of that read.
+    /// Records that a read of the store found no final state of a job, if the replica still has the generation that it had at
+    /// the time of that read.
     pub(super) fn remember_absent(&mut self, job: &str, generation: u64) {
         self.replica.remember_absent(job, generation);
     }
 
-    /// The scheduler, with its clock set to now.
+    /// Returns the scheduler with its clock set to the current time.
     pub(super) fn scheduler_at_now(&mut self) -> Option<&mut Scheduler> {
         let now = self.clock.now();
         let scheduler = self.scheduler.as_mut()?;
@@ -158,21 +159,21 @@
         Some(scheduler)
     }
 
-    /// The store has answered.
+    /// Records that the store has answered a request.
     pub(super) fn record_store_answer(&mut self) {
         self.store_contact.record_answer(self.clock.now());
     }
 
-    /// Whether the store has answered lately.
+    /// Reports whether the store has answered recently.
     pub(super) fn is_store_reachable(&self) -> bool {
         self.store_contact.is_reachable(self.now())
     }
 
-    /// Whether this controller should get users.
+    /// Reports whether the load balancer should send users to this controller.
     ///
-    /// It should once it has read the store and the machine types. If the store does not answer it, it still should unless
-    /// it is isolated: a controller that had lost the store and its peers once kept its users, and was given more, since it
-    /// had few connections.
+    /// It should once this controller has read the store and the machine types. While the store does not answer, it still
+    /// should, unless this controller is isolated: a controller that had lost the store and its peers, but reported itself
+    /// healthy, kept its users and received further ones, since it had few connections.
     pub(super) fn is_healthy(&self) -> bool {
         let has_peers = !self.settings.platform.peers.is_empty();
         let isolated = has_peers && self.peer_health.is_isolated(self.now());
