--- a/src/controller/state/epoch_start.rs
+++ b/src/controller/state/epoch_start.rs
@@ -1,20 +1,20 @@
-//! The claim of an epoch, and the scheduler that a new leader builds from its replica of the store.
+//! The start of an epoch: the transaction that claims it, and the scheduler that the new leader builds from its replica.
 
 use super::ControllerState;
 use crate::protocol::Txn;
 use crate::scheduler::{Hardware, Origin, Params, Scheduler, StoredSlot};
 use crate::store::{self, Epoch, EpochRecord, Replica};
 
-/// An epoch that this controller wants to lead.
+/// A claim of the leadership of a new epoch.
 pub(in crate::controller) struct EpochClaim {
-    /// What the epoch key will hold.
+    /// The record that the epoch key will hold.
     pub(in crate::controller) record: EpochRecord,
     /// The transaction that claims the epoch.
     pub(in crate::controller) txn: Txn,
 }
 
 impl ControllerState {
-    /// The claim of the next epoch under a leader lease; none if another controller leads.
+    /// Returns the claim of the next epoch under a leader lease, or `None` if another controller leads.
     pub(in crate::controller) fn claim_epoch(&mut self, lease: u64) -> Option<EpochClaim> {
         self.leadership_status.observe_previous_epoch(&self.replica);
         let identity = self.leadership_status.identity();
@@ -22,7 +22,7 @@
         Some(EpochClaim { record, txn })
     }
 
-    /// Builds the scheduler of a new epoch from the replica.
+    /// Starts an epoch that this controller leads: builds its scheduler from the replica.
     pub(in crate::controller) fn start_epoch(&mut self, epoch: Epoch) {
         let now = self.now();
         let mut scheduler = Scheduler::new(Params::new(&self.settings), epoch, now.as_millis());
@@ -44,7 +44,7 @@
             jobs = self.replica.live.len(),
             rentals = self.replica.rentals.len(),
             unsettled = scheduler.unreconciled_machines(),
-            "epoch started"
+            "epoch started: scheduler built from the records in the store"
         );
         self.scheduler = Some(scheduler);
     }
@@ -77,7 +77,7 @@
     }
 }
 
-/// The results of a job that are in the store: chunk and bits of each row.
+/// Returns the stored results of a job: the chunk number and the bitmap of each row.
 pub(super) fn stored_results(replica: &Replica, job: &str) -> Vec<(u32, Vec<u8>)> {
     let from = (job.to_string(), 0);
     let rows = replica
--- a/src/controller/state/leader_report.rs
+++ b/src/controller/state/leader_report.rs
@@ -1,4 +1,4 @@
-//! What the leader last reported of itself to this controller.
+//! The latest report that this controller has received from the leader: its rate of store changes and its task counts.
 
 use crate::coordination::peers::JobTaskCounts;
 use crate::scheduler::TaskCounts;
@@ -6,19 +6,19 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a reported rate of changes is valid.
+/// How long a reported rate of store changes is valid.
 const CHANGE_RATE_TTL: Duration = Duration::from_secs(3);
 
-/// A rate of changes of the store.
+/// The rate of the leader's changes of the store.
 struct ChangeRate {
     per_second: f64,
     received_at: Timestamp,
 }
 
-/// The leader's report, taken from its views.
+/// The latest report from the leader's views.
 #[derive(Default)]
 pub(super) struct LeaderReport {
-    /// Done and running tasks by job, for display.
+    /// Numbers of done and running tasks by job, which users are shown.
     task_counts: HashMap<String, TaskCounts>,
     change_rate: Option<ChangeRate>,
 }
@@ -32,7 +32,7 @@
         });
     }
 
-    /// The rate at which the leader changes the store, per second, if it was reported lately.
+    /// Returns the rate at which the leader changes the store, per second, if it was reported recently.
     pub(super) fn change_rate(&self, now: Timestamp) -> Option<f64> {
         self.change_rate
             .as_ref()
@@ -48,12 +48,12 @@
             .collect();
     }
 
-    /// The task counts of a job.
+    /// Returns the task counts of a job.
     pub(super) fn task_counts(&self, job: &str) -> Option<TaskCounts> {
         self.task_counts.get(job).copied()
     }
 
-    /// Drops the task counts of a job that is no longer unfinished.
+    /// Removes the task counts of a job that is no longer unfinished.
     pub(super) fn forget_job(&mut self, job: &str) {
         self.task_counts.remove(job);
     }
--- a/src/controller/state/leadership.rs
+++ b/src/controller/state/leadership.rs
@@ -1,4 +1,4 @@
-//! The leadership of this controller: what it may do, when it campaigns, and what ends with its term.
+//! The leadership of this controller: its authority, its campaigns, and the end of its term.
 
 use super::{ControllerState, StepDownReason};
 use crate::coordination::leadership::{Authority, Leadership, LeadershipEvent, Term};
@@ -7,56 +7,57 @@
 use std::time::Duration;
 
 impl ControllerState {
-    /// What this process writes into the leader key.
+    /// Returns the record that this process writes into the leader key.
     pub(in crate::controller) fn identity(&self) -> &LeaderRecord {
         self.leadership_status.identity()
     }
 
-    /// The state machine of the leadership.
+    /// Returns the state machine of the leadership.
     pub(in crate::controller) fn leadership(&self) -> &Leadership {
         self.leadership_status.leadership()
     }
 
-    /// What this controller may do now.
+    /// Returns the current authority of this controller.
     pub(in crate::controller) fn authority(&self) -> Authority {
         self.leadership_status.authority(self.now())
     }
 
-    /// The term, while this controller leads.
+    /// Returns the current term, while this controller leads.
     pub(in crate::controller) fn term(&self) -> Option<Term> {
         self.leadership_status.term()
     }
 
-    /// Number of the newest epoch that this controller has heard of.
+    /// Returns the number of the newest epoch that this controller has observed.
     pub(in crate::controller) fn newest_epoch(&self) -> Epoch {
         self.leadership_status.newest_epoch()
     }
 
-    /// When the scheduler of the present or latest term was built.
+    /// Returns the time at which the scheduler of the current or latest term was built.
     pub(in crate::controller) fn leading_since(&self) -> Timestamp {
         self.leadership_status.leading_since()
     }
 
-    /// Whether what was decided in a term may still be sent.
+    /// Reports whether a message that was decided on in a term may still be sent.
     ///
-    /// This is asked again right before each send. The process may have been paused since the decision, while a cancellation
-    /// was confirmed or another controller became the leader.
+    /// Callers check this again right before each send: the process may have been paused since the decision, while a
+    /// cancellation was confirmed or another controller became the leader.
     pub(in crate::controller) fn may_send(&self, term: Option<Term>) -> bool {
         term.is_some() && self.term() == term && self.authority() == Authority::Full
     }
 
-    /// Whether leadership is vacant, as far as the replica shows.
+    /// Reports whether this controller may claim leadership, because it is vacant according to the replica.
     pub(in crate::controller) fn may_claim_leadership(&self) -> bool {
         self.leadership_status.may_claim(&self.replica)
     }
 
-    /// Whether this controller may start a campaign.
+    /// Reports whether this controller may start a campaign.
     pub(in crate::controller) fn may_campaign(&self) -> bool {
         self.leadership_status
             .may_campaign(&self.replica, self.now())
     }
 
-    /// Applies an event to the leadership. What belongs to a term ends with it.
+    /// Applies an event to the leadership. When this controller no longer leads, the scheduler and the reconciliation state of
+    /// its term are dropped.
     pub(in crate::controller) fn apply_leadership_event(&mut self, event: LeadershipEvent) {
         if self.leadership_status.apply(event) {
             self.scheduler = None;
@@ -64,14 +65,14 @@
         }
     }
 
-    /// Records the number of an epoch. A later one ends this controller's term.
+    /// Records the number of an epoch. An epoch later than the current term's ends the term.
     pub(in crate::controller) fn observe_epoch(&mut self, epoch: Epoch) {
         if self.leadership_status.observe_epoch(epoch) {
             self.apply_leadership_event(LeadershipEvent::TermEnded);
         }
     }
 
-    /// Handles the result of a renewal of the leader lease. Returns why this controller should step down, if it should.
+    /// Handles the result of a renewal of the leader lease. Returns the reason to step down, if there is one.
     pub(in crate::controller) fn handle_lease_renewal(
         &mut self,
         requested_at: Timestamp,
@@ -87,25 +88,25 @@
             Err(_) if self.authority() == Authority::None => {
                 self.apply_leadership_event(LeadershipEvent::TermEnded);
             }
-            // The authority lasts for a while without renewals.
+            // The authority outlasts a failed renewal: it ends some time after the last successful one.
             Err(_) => {}
         }
         None
     }
 
-    /// Ends the leadership and starts no campaign for a time.
+    /// Ends the term of this controller, which starts no campaign during the backoff.
     pub(in crate::controller) fn step_down(&mut self, backoff: Duration) {
         self.back_off_campaigns(backoff);
         self.apply_leadership_event(LeadershipEvent::TermEnded);
     }
 
-    /// Starts no campaign for a time.
+    /// Keeps this controller from starting a campaign during the backoff.
     pub(in crate::controller) fn back_off_campaigns(&mut self, backoff: Duration) {
         let now = self.now();
         self.leadership_status.back_off_campaigns(backoff, now);
     }
 
-    /// Whether a read that was sent longer ago than a tolerance was answered with a revision that the replica still lacks.
+    /// Reports whether the replica still lacks the revision that a read sent longer ago than `tolerance` was answered with.
     pub(in crate::controller) fn replica_lags(&self, tolerance: Duration) -> bool {
         let sent_before = self.now().saturating_sub(tolerance);
         self.leadership().lags_behind_read_sent_before(sent_before)
