--- a/src/controller/state/round_timing.rs
+++ b/src/controller/state/round_timing.rs
@@ -1,4 +1,4 @@
-//! When the steps of a scheduling round are due, and whether the process was paused between two rounds.
+//! Deadlines of the steps of a scheduling round, and detection of process pauses between two rounds.
 
 #[cfg(test)]
 mod tests;
@@ -6,18 +6,18 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time between two runs of the scheduler's timers.
+/// Time between two ticks, which run the scheduler's timers.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two reviews of what cannot be placed and of the leader's own condition.
+/// Time between two reviews, which retry tasks that could not be placed and check whether the leader should step down.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
-/// Least time between two scheduling rounds.
+/// Minimum time between two scheduling rounds.
 pub(in crate::controller) const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
-/// A longer time between two rounds means that the process was paused.
+/// A longer time between two rounds counts as a pause of the process.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// Time between two rounds of a follower, which only detect process pauses; shorter than what counts as one.
+/// Time between two rounds of a follower, which only detect process pauses. It is shorter than [`PAUSE_THRESHOLD`].
 pub(super) const FOLLOWER_ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// When each step of the leader's scheduling round is due next.
+/// Times at which the steps of the leader's scheduling round are due next.
 #[derive(Default)]
 pub(super) struct RoundDeadlines {
     tick: Timestamp,
@@ -27,38 +27,43 @@
 }
 
 impl RoundDeadlines {
-    /// Whether the scheduler's timers are due. If so, the next time is set.
+    /// Reports whether a tick is due and, if so, sets the next deadline.
     pub(super) fn take_tick(&mut self, now: Timestamp) -> bool {
         take_if_due(&mut self.tick, TICK_INTERVAL, now)
     }
 
-    /// Whether a review is due. If so, the next time is set.
+    /// Reports whether a review is due and, if so, sets the next deadline.
     pub(super) fn take_review(&mut self, now: Timestamp) -> bool {
         take_if_due(&mut self.review, REVIEW_INTERVAL, now)
     }
 
-    /// Whether placement is due.
+    /// Reports whether placement is due.
     pub(super) fn placement_due(&self, now: Timestamp) -> bool {
         now >= self.placement
     }
 
-    /// Placement was done and took a time. It takes a fifth of the time at most, however long it takes on this machine.
+    /// Sets the next placement deadline, counted from `now`, after a placement that took `took`.
+    ///
+    /// The wait of at least four times `took` limits the share of time that placement takes, however slow the machine is: to a
+    /// fifth if `now` is the end of the placement, to a quarter if it is the beginning.
     pub(super) fn placement_done(&mut self, now: Timestamp, took: Duration) {
         self.placement = now + 2 * MIN_ROUND_INTERVAL.max(2 * took);
     }
 
-    /// The time until placement is due.
+    /// Returns the time until placement is due.
     pub(super) fn until_placement(&self, now: Timestamp) -> Duration {
         self.placement.saturating_duration_since(now)
     }
 
-    /// Whether a search for machines to probe is due.
+    /// Reports whether a search for machines to probe is due.
     pub(super) fn probes_due(&self, now: Timestamp) -> bool {
         now >= self.probes
     }
 
-    /// Machines to probe were searched. The search goes over all machines, and which are overdue depends on the time alone:
-    /// if it did not reach its limit, none is left until the next tick.
+    /// Sets the deadline of the next search for machines to probe, after one that was made at `now`.
+    ///
+    /// A search visits all machines, and whether a machine is overdue depends on the time alone. So a search that did not
+    /// reach its limit leaves no machine to probe before the next tick.
     pub(super) fn probes_done(&mut self, now: Timestamp, reached_limit: bool) {
         self.probes = if reached_limit {
             now
@@ -68,7 +73,7 @@
     }
 }
 
-/// Whether a deadline is reached; if so, it is set anew.
+/// Reports whether a deadline is reached and, if so, moves it to one interval after `now`.
 fn take_if_due(deadline: &mut Timestamp, interval: Duration, now: Timestamp) -> bool {
     let due = now >= *deadline;
     if due {
@@ -77,14 +82,14 @@
     due
 }
 
-/// Detects that the process was paused, or had no processor.
+/// Detects that the process was paused or got no processor time.
 #[derive(Default)]
 pub(super) struct PauseDetector {
     last_round_at: Timestamp,
 }
 
 impl PauseDetector {
-    /// A round starts. Returns for how long the process was paused since the last one, if it was.
+    /// Records the start of a round. Returns how long the process was paused since the last round, if it was.
     pub(super) fn start_round(&mut self, now: Timestamp) -> Option<Duration> {
         let gap = now.saturating_duration_since(self.last_round_at);
         let paused = self.last_round_at > Timestamp::ZERO && gap > PAUSE_THRESHOLD;
--- a/src/controller/state/round_timing/tests.rs
+++ b/src/controller/state/round_timing/tests.rs
@@ -9,17 +9,17 @@
 #[test]
 fn a_gap_of_more_than_a_second_between_two_rounds_is_a_process_pause() {
     let mut detector = PauseDetector::default();
-    // Before the first round nothing is known.
+    // There is no previous round to compare the first one with.
     assert_eq!(detector.start_round(START), None);
     assert_eq!(detector.start_round(after(1000)), None);
-    // The round was due one tick after the last one.
+    // The pause is the gap without the tick interval after which the round was due.
     let pause = detector.start_round(after(2001));
     assert_eq!(pause, Some(Duration::from_millis(901)));
     assert_eq!(detector.start_round(after(2101)), None);
 }
 
 #[test]
-fn placement_takes_a_fifth_of_the_time_at_most() {
+fn placement_waits_four_times_its_last_duration_and_at_least_40_ms() {
     let mut deadlines = RoundDeadlines::default();
     assert!(deadlines.placement_due(START));
     deadlines.placement_done(START, Duration::from_millis(3));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn probes_are_searched_again_at_once_only_if_the_limit_was_reached() {
+fn next_probe_search_is_due_at_once_only_if_the_last_one_reached_its_limit() {
     let mut deadlines = RoundDeadlines::default();
     deadlines.probes_done(START, true);
     assert!(deadlines.probes_due(START));
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -1,4 +1,4 @@
-//! One scheduling round: the scheduler's timers, placement, and the messages to workers.
+//! A scheduling round: the scheduler's timers, the review, placement, and the direct messages to workers.
 
 use super::round_timing::{FOLLOWER_ROUND_INTERVAL, TICK_INTERVAL};
 use super::ControllerState;
@@ -11,20 +11,20 @@
 
 /// The outcome of a scheduling round.
 pub(in crate::controller) enum RoundOutcome {
-    /// This controller may send nothing.
+    /// This controller does not schedule or lacks full authority, and sends nothing.
     Idle,
     /// Messages to send to workers.
     Send(Vec<DirectCommands>),
-    /// This controller should no longer lead.
+    /// This controller should step down as the leader.
     StepDown(StepDownReason),
 }
 
-/// Why a leader steps down.
+/// Reason for a leader to step down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::controller) enum StepDownReason {
-    /// No worker reports to this leader, which may be isolated from them.
+    /// No worker reports to this leader, which may be isolated from the workers.
     NoHeartbeats,
-    /// The epoch has no numbers left for further attempts of tasks.
+    /// The epoch has no numbers left for further task attempts.
     AttemptNumbersExhausted,
     /// The leader lease is renewed, but the replica did not catch up with the store within the grace period.
     ReplicaLags,
@@ -40,12 +40,12 @@
     }
 }
 
-/// How many messages a round may send.
+/// Limits on the number of messages that a round may send.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::controller) struct SendLimits {
-    /// Messages of all kinds.
+    /// Maximum number of messages, with or without commands.
     pub(in crate::controller) messages: usize,
-    /// Messages without commands, which probe a worker.
+    /// Maximum number of probes, which are messages without commands.
     pub(in crate::controller) probes: usize,
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Lets the scheduler reconsider what it could not place, and checks whether this leader should step down.
+    /// Lets the scheduler retry what it could not place. Returns the reason to step down, if there is one.
     fn review(&mut self, now: Timestamp) -> Option<StepDownReason> {
         let has_peers = !self.settings.platform.peers.is_empty();
         let scheduler = self.scheduler.as_mut()?;
@@ -109,7 +109,7 @@
         self.round_deadlines.placement_done(now, took);
     }
 
-    /// Commands for workers, where operators allow direct starts, and probes of workers that are overdue.
+    /// Returns direct commands for workers, if the operator settings allow direct starts, and probes of overdue workers.
     fn messages_to_send(&mut self, limits: SendLimits, now: Timestamp) -> Vec<DirectCommands> {
         let Some(scheduler) = self.scheduler.as_mut() else {
             return Vec::new();
@@ -120,8 +120,8 @@
             Vec::new()
         };
         if self.round_deadlines.probes_due(now) {
-            let left = limits.messages.saturating_sub(messages.len());
-            let limit = left.min(limits.probes);
+            let remaining = limits.messages.saturating_sub(messages.len());
+            let limit = remaining.min(limits.probes);
             let probes = scheduler.due_probes(limit);
             self.round_deadlines.probes_done(now, probes.len() >= limit);
             messages.extend(probes);
@@ -129,7 +129,7 @@
         messages
     }
 
-    /// The time until the next round: until the next tick, or until something may be placed.
+    /// Returns the time until the next round: the tick interval, or less if placement is due earlier.
     pub(in crate::controller) fn until_next_round(&self) -> Duration {
         let Some(scheduler) = &self.scheduler else {
             return FOLLOWER_ROUND_INTERVAL;
@@ -143,12 +143,12 @@
         }
     }
 
-    /// Whether a round should follow a heartbeat at once. A heartbeat without news needs none.
+    /// Reports whether a round should run at once after a heartbeat. A heartbeat that changed nothing needs no round.
     pub(in crate::controller) fn needs_round(&self) -> bool {
         self.scheduler.as_ref().is_some_and(Scheduler::needs_pass)
     }
 
-    /// Whether a message that was decided in a term may still be sent.
+    /// Reports whether a direct message that was decided on in a term may still be sent.
     pub(in crate::controller) fn may_send_direct(
         &self,
         term: Option<Term>,
@@ -161,7 +161,7 @@
                 .is_some_and(|scheduler| scheduler.is_still_valid(message))
     }
 
-    /// Handles a worker's answer to a message, or its absence. An answer to a message of an earlier term is ignored.
+    /// Handles a worker's response to a direct message, or the lack of one. Responses to messages of an earlier term are ignored.
     pub(in crate::controller) fn handle_direct_response(
         &mut self,
         term: Option<Term>,
@@ -176,16 +176,19 @@
         }
     }
 
-    /// Detects whether the process was paused, or had no processor, since the last round.
+    /// Detects whether the process was paused, or got no processor time, since the last round.
     ///
-    /// What was not heard during a pause says nothing about the store and the other controllers. A controller that woke up
-    /// once reported to the load balancer that it was isolated.
+    /// If so, the pause is not counted as time without contact to the store and the peers. Without this correction, a
+    /// controller that resumed after a pause reported to the load balancer that it was isolated.
     fn detect_process_pause(&mut self) {
         let now = self.now();
         let Some(pause) = self.pause_detector.start_round(now) else {
             return;
         };
-        tracing::info!(pause_ms = pause.as_millis(), "process paused");
+        tracing::info!(
+            pause_ms = pause.as_millis(),
+            "process was paused; store and peer timeouts exclude the pause"
+        );
         self.store_contact.excuse_pause(pause, now);
         self.peer_health.excuse_pause(pause, now);
     }
