--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -1,4 +1,4 @@
-//! The transactions that make the leader's decisions durable, and those that delete what is no longer needed.
+//! The transactions with which the leader stores its decisions and deletes records that are no longer needed.
 
 use super::ControllerState;
 use crate::coordination::leadership::Authority;
@@ -7,26 +7,26 @@
 use crate::store::{self, guard, put, FinalRecord, RentalRecord, Revision};
 use std::time::Duration;
 
-/// Time between two rounds of durable writes of the leader.
+/// Time between two rounds of the leader's durable writes.
 pub(in crate::controller) const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
-/// Share of the store's changes that each of the batches in a round may take.
+/// Share of the changes allowed by the store during one round that a single batch may use.
 const BATCH_CHANGE_SHARE: f64 = 0.25;
-/// The largest number of jobs that are made final in a round.
+/// Maximum number of jobs that are made final in a round.
 const MAX_COMPLETIONS_PER_ROUND: usize = 8;
 
-/// A job whose tasks are all done, to be made final.
+/// A complete job, all of whose tasks are done, to be made final.
 pub(in crate::controller) struct JobCompletion {
-    /// The job.
+    /// Id of the job.
     pub(in crate::controller) job: String,
-    /// The number of its tasks.
+    /// Number of its tasks.
     pub(in crate::controller) tasks: u32,
-    /// The transaction that makes it final.
+    /// The transaction that makes the job final.
     pub(in crate::controller) txn: Txn,
 }
 
-/// Results of tasks to be stored.
+/// Task results to be stored.
 pub(in crate::controller) struct ResultsWrite {
-    /// The results.
+    /// The results, one bitmap per chunk of tasks.
     pub(in crate::controller) chunks: Vec<DoneChunk>,
     /// The transaction that stores them.
     pub(in crate::controller) txn: Txn,
@@ -34,14 +34,14 @@
 
 /// Released machines to be removed from their rental records.
 pub(in crate::controller) struct RentalCleanup {
-    /// The machines.
+    /// Names of the machines.
     pub(in crate::controller) machines: Vec<String>,
     /// The transaction that removes them.
     pub(in crate::controller) txn: Txn,
 }
 
 impl ControllerState {
-    /// The guard of the leader's writes, while it may make any.
+    /// Returns the guard on the epoch that every write of the leader carries, while this controller may make such writes.
     pub(in crate::controller) fn write_guard(&self) -> Option<Guard> {
         let term = self
             .term()
@@ -49,8 +49,11 @@
         Some(guard(store::epoch_key(), term.epoch_version))
     }
 
-    /// The largest number of changes in one batch. Results wait on their machines until they are stored, so that they need not
-    /// be written at once: a quarter of the store's changes is theirs, the oldest first.
+    /// Returns the maximum number of changes in one batch: a quarter of the changes that the store allows per round, and at
+    /// most as many as fit into a transaction.
+    ///
+    /// Results get no larger share, since they remain on their machines until they are stored and need not be written at once.
+    /// The oldest are written first.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -62,7 +65,7 @@
         (per_round as usize).clamp(1, limits.txn_ops)
     }
 
-    /// Jobs whose tasks are all done, some at a time.
+    /// Returns complete jobs to be made final, at most [`MAX_COMPLETIONS_PER_ROUND`] of them.
     pub(in crate::controller) fn job_completions(&self, epoch: &Guard) -> Vec<JobCompletion> {
         let complete = self.scheduler.as_ref().map(Scheduler::complete_jobs);
         let complete = complete
@@ -78,9 +81,9 @@
             .collect()
     }
 
-    /// A job was made final.
+    /// Records that a complete job was made final, and drops it from the scheduler.
     pub(in crate::controller) fn finish_job(&mut self, job: &str, tasks: u32) {
-        tracing::info!(%job, tasks, "job done");
+        tracing::info!(%job, tasks, "job completed: all of its tasks are done");
         let final_state = FinalRecord {
             cancelled: false,
             tasks,
@@ -91,7 +94,7 @@
         }
     }
 
-    /// The results to be stored next.
+    /// Returns the next results to be stored.
     pub(in crate::controller) fn results_to_store(&self, epoch: &Guard) -> Option<ResultsWrite> {
         let chunks = self.scheduler.as_ref()?.unsaved(self.max_batch_changes());
         if chunks.is_empty() {
@@ -116,7 +119,8 @@
         Some(ResultsWrite { chunks, txn })
     }
 
-    /// Results were stored under an epoch's guard. What was written in an earlier term, this one has read from the store.
+    /// Records that results were stored under an epoch's guard. Results that were stored in an earlier term are ignored, since
+    /// the present term has read them from the store.
     pub(in crate::controller) fn record_stored_results(
         &mut self,
         epoch: &Guard,
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Removes released machines from their rental records. A record without machines is deleted.
+    /// Returns the transaction that removes released machines from their rental records and deletes records without machines.
     pub(in crate::controller) fn rental_cleanup(&self, epoch: &Guard) -> Option<RentalCleanup> {
         let reconciliation = &self.rental_reconciliation;
         if !reconciliation.has_pending_removals() {
@@ -170,17 +174,18 @@
         })
     }
 
-    /// Machines were removed from their rental records.
+    /// Records that released machines were removed from their rental records.
     pub(in crate::controller) fn finish_rental_cleanup(&mut self, machines: &[String]) {
         self.rental_reconciliation.mark_removed(machines);
     }
 
-    /// Deletes what jobs that are final have left in the store.
+    /// Returns the transaction that deletes the remaining records of final jobs: their stopping records, once none of their
+    /// tasks can run any more, and their stored results.
     pub(in crate::controller) fn final_job_cleanup(&mut self, epoch: &Guard) -> Option<Txn> {
         let max_changes = self.max_batch_changes();
         let scheduler = self.scheduler.as_mut()?;
         for job in scheduler.stopped_jobs() {
-            tracing::info!(%job, "job ended");
+            tracing::info!(%job, "job ended: none of its tasks can run any more");
         }
         let mut txn = Txn {
             guards: vec![epoch.clone()],
@@ -206,7 +211,7 @@
     }
 }
 
-/// Leaves a rental record with the machines that are kept, or deletes it.
+/// Returns the change that reduces a rental record to the machines in `kept`, or deletes it if there are none.
 fn rental_change(key: String, rental: &RentalRecord, kept: Vec<String>) -> Change {
     if kept.is_empty() {
         return Change::Delete { key };
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -1,4 +1,4 @@
-//! The writes of the start log: what the next one is, and what its outcome means.
+//! Writes of the start log: the transaction of the next write, and the handling of its outcome.
 
 use super::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
@@ -6,31 +6,32 @@
 use crate::scheduler::SlotWrite;
 use crate::store::{self, guard, StoreError, TxnOutcome, Versioned};
 
-/// The largest number of bytes of a request to the store.
+/// Maximum size of a request to the store, in bytes.
 const MAX_REQUEST_BYTES: usize = 60 << 10;
-/// A number of bytes that is enough for one condition of a transaction.
+/// Upper bound of the size of one guard of a transaction, in bytes.
 const BYTES_PER_GUARD: usize = 100;
-/// The largest number of conditions of one write.
+/// Maximum number of guards on jobs in one write.
 const MAX_JOB_GUARDS: usize = 100;
-/// Bytes for the quotes of the value, and for the rest of the transaction.
+/// Bytes reserved for the quotes around the value and for the remainder of the transaction.
 const VALUE_OVERHEAD_BYTES: usize = 64;
 
 /// A write of the start log.
 pub(in crate::controller) struct StartLogWrite {
-    /// What is written.
+    /// The slot and its new contents.
     pub(in crate::controller) slot_write: SlotWrite,
-    /// The term in which it was decided.
+    /// The term in which the write was decided on.
     pub(in crate::controller) term: Term,
-    /// The transaction.
+    /// The transaction that writes the slot.
     pub(in crate::controller) txn: Txn,
 }
 
 impl ControllerState {
-    /// The next write of the start log, while there is something to write and the authority to start tasks.
+    /// Returns the next write of the start log, if there are unwritten starts and this controller may start tasks.
     pub(in crate::controller) fn next_start_log_write(&mut self) -> Option<StartLogWrite> {
         let term = self.term_with_full_authority()?;
         let limits = &self.settings.platform.deployment.state;
-        // The store allows four conditions for each change; two of them are taken.
+        // The store allows four guards for each change that a transaction may have. Two guards are used for the epoch and the
+        // slot.
         let max_job_guards = (4 * limits.txn_ops - 2).min(MAX_JOB_GUARDS);
         let max_bytes = kib_to_bytes(limits.value_kb)
             .min(MAX_REQUEST_BYTES - BYTES_PER_GUARD * max_job_guards)
@@ -48,7 +49,8 @@
         })
     }
 
-    /// Handles the outcome of a write of the start log. `slot` is what its slot holds, where that had to be read.
+    /// Handles the outcome of a write of the start log. `stored` is the slot as it is in the store, if it had to be read because
+    /// the outcome did not tell.
     pub(in crate::controller) fn finish_start_log_write(
         &mut self,
         term: Term,
@@ -62,7 +64,7 @@
         let Some(scheduler) = self.scheduler_at_now() else {
             return;
         };
-        // The store knows that a job is final before the replica does.
+        // A failed guard on a job shows that the job is no longer unfinished, which the replica may not contain yet.
         if let Ok(TxnOutcome::Failed(keys)) = outcome {
             for job in keys.iter().filter_map(|key| store::live_job(key)) {
                 scheduler.drop_job(job);
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The term, while this controller has the authority to start tasks.
+    /// Returns the current term, while this controller has the authority to start tasks.
     fn term_with_full_authority(&self) -> Option<Term> {
         self.term().filter(|_| self.authority() == Authority::Full)
     }
