--- a/src/controller/state/adoption.rs
+++ b/src/controller/state/adoption.rs
@@ -1,4 +1,4 @@
-//! Adoption of unregistered machines.
+//! Adoption of unregistered machines: rented machines that no rental record names.
 
 use super::{ControllerState, UnregisteredMachine};
 use crate::coordination::leadership::Term;
@@ -6,21 +6,21 @@
 use crate::store::RentalRecord;
 
 impl ControllerState {
-    /// The next unregistered machine, which is no longer remembered then.
+    /// Removes and returns the next unregistered machine.
     pub(in crate::controller) fn pop_unregistered_machine(
         &mut self,
     ) -> Option<(String, UnregisteredMachine)> {
         self.rental_reconciliation.pop_unregistered()
     }
 
-    /// The number of unregistered machines that are remembered.
+    /// Returns the number of unregistered machines that wait for adoption.
     #[cfg(test)]
     pub(in crate::controller) fn unregistered_machine_count(&self) -> usize {
         self.rental_reconciliation.unregistered_count()
     }
 
-    /// The term in which a machine may be adopted, if it may: it is not known by now, and no rental without an answer can
-    /// have brought it.
+    /// Returns the term in which a machine may be adopted. There is none if the scheduler knows the machine by now, or if an
+    /// open rental request for the same machine type and zone may have rented it.
     pub(in crate::controller) fn adoption_term(
         &self,
         name: &str,
@@ -37,13 +37,16 @@
         (is_unknown && !may_belong_to_open_rental).then_some(term)
     }
 
-    /// Whether the replica holds a rental with this record.
+    /// Reports whether the replica holds a rental with this name and record.
     pub(in crate::controller) fn has_rental(&self, name: &str, record: &RentalRecord) -> bool {
         let rental = self.replica.rentals.get(name);
         rental.is_some_and(|rental| rental.record == *record)
     }
 
-    /// The rental record of an unregistered machine is in the store. The leader of a later epoch knows the machine from there.
+    /// Adds an adopted machine, whose rental record is now in the store, to the scheduler.
+    ///
+    /// Nothing is added after the epoch in which the adoption began: the leader of a later epoch reads the machine from the
+    /// store.
     pub(in crate::controller) fn finish_adoption(&mut self, record: &RentalRecord, term: Term) {
         let same_epoch = |present: Term| present.epoch_version == term.epoch_version;
         if self.term().is_some_and(same_epoch) {
--- a/src/controller/state/machine_list.rs
+++ b/src/controller/state/machine_list.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the scheduler's machines with the cloud's list.
+//! Reconciliation of the scheduler's machines with the cloud's list of rented machines.
 
 use super::{ControllerState, UnregisteredMachine};
 use crate::clients::cloud::MachinePage;
@@ -6,18 +6,18 @@
 use crate::time::duration;
 use std::time::Duration;
 
-/// Added to twice the lag of the list, after which it shows nothing that an earlier leader has released.
+/// Margin on top of twice the list's lag. After that time the list contains no machine that an earlier leader has released.
 const LIST_LAG_MARGIN: Duration = Duration::from_secs(2);
 
 impl ControllerState {
-    /// Compares a page with the scheduler's machines. Returns where the next page begins.
+    /// Reconciles the scheduler's machines with a page of the list. Returns the start of the next page, if there is one.
     pub(in crate::controller) fn reconcile_machine_page(
         &mut self,
         page: MachinePage,
     ) -> Option<String> {
         let now = self.now();
-        // The list may still show what an earlier leader has released: a new leader once adopted such machines and counted
-        // on them for a minute. Machines whose workers report are adopted at once.
+        // The list may still contain machines that an earlier leader has released. A new leader that adopted such machines
+        // relied on them for a minute. Machines whose workers send heartbeats are adopted without this delay.
         let lag =
             duration(2.0 * self.settings.platform.deployment.cloud.list_lag_s) + LIST_LAG_MARGIN;
         let list_is_current = now > self.leading_since() + lag;
--- a/src/controller/state/releases.rs
+++ b/src/controller/state/releases.rs
@@ -5,7 +5,7 @@
 use crate::coordination::leadership::Authority;
 
 impl ControllerState {
-    /// Machines that this node may release now.
+    /// Returns the machines that this controller may release now, at most as many as one call may name.
     pub(in crate::controller) fn releasable_machines(&self) -> Vec<String> {
         match &self.scheduler {
             Some(scheduler) if self.authority() == Authority::Full => {
@@ -15,7 +15,7 @@
         }
     }
 
-    /// The cloud has confirmed the release of machines: they and everything on them are gone.
+    /// Records that the cloud has confirmed the release of machines: the machines and all tasks on them are gone.
     pub(in crate::controller) fn record_releases(&mut self, names: Vec<String>) {
         let now = self.now();
         self.rental_reconciliation.expire_releases(now);
--- a/src/controller/state/rentals.rs
+++ b/src/controller/state/rentals.rs
@@ -1,4 +1,4 @@
-//! Rentals: what to rent, the requests in the store, and the machines that they bring.
+//! Rentals of machines: the decision what to rent, the rental requests in the store, and the machines that were rented.
 
 use super::request_limits::CLOUD_REQUEST_SHARE;
 use super::ControllerState;
@@ -8,19 +8,19 @@
 use crate::store::{RentalRecord, Revision};
 use crate::time::duration;
 
-/// For so many calls of the cloud an offer rests after a request while others are wanted.
+/// Cooldown of an offer after a request for it, in intervals between cloud calls: requests for other offers go first.
 const OFFER_COOLDOWN_CALLS: f64 = 2.9;
 
-/// A rental request in the store whose answer is unknown.
+/// A rental request that is stored before the cloud is called, and whose outcome is not stored yet.
 pub(in crate::controller) struct OpenRental {
     pub(in crate::controller) name: String,
     pub(in crate::controller) record: RentalRecord,
-    /// Version of the record in the store; 0 before it is stored.
+    /// Version of the record in the store, or 0 before it is stored.
     pub(in crate::controller) version: Revision,
 }
 
 impl ControllerState {
-    /// The rental requests in the store whose answer is unknown.
+    /// Returns the rental requests in the store whose outcome is unknown.
     pub(in crate::controller) fn open_rentals(&self) -> Vec<OpenRental> {
         let rentals = self.replica.rentals.iter();
         let open = rentals.filter(|(_, rental)| rental.record.machines.is_none());
@@ -32,15 +32,15 @@
         .collect()
     }
 
-    /// The term, if machines may be rented in it.
+    /// Returns the current term, if machines may be rented in it.
     pub(in crate::controller) fn rental_term(&self) -> Option<Term> {
         self.term().filter(|_| self.authority() == Authority::Full)
     }
 
-    /// Decides what to rent and what to return.
+    /// Lets the autoscaler decide on rentals and returns. Returns the rentals; the returns are recorded in the scheduler.
     pub(in crate::controller) fn decide_scaling(&mut self) -> Vec<RentalRequest> {
-        // The calls before this one may have taken seconds: a leader that was isolated meanwhile once gave up machines that
-        // its successor was using.
+        // Earlier calls of the cloud may have taken seconds. Without this check, a leader that became isolated during them
+        // gave up machines that its successor was using.
         if self.authority() != Authority::Full {
             return Vec::new();
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Decides what to rent, and chooses the request to carry out first.
+    /// Decides on rentals and returns like [`Self::decide_scaling`], and selects the rental to request next.
     pub(in crate::controller) fn next_rental_request(&mut self) -> Option<RentalRequest> {
         let requests = self.decide_scaling();
         let now = self.now();
@@ -61,7 +61,7 @@
         self.autoscaler.next_request(requests, offer_cooldown, now)
     }
 
-    /// A rental with a name that was never used before, and the term in which to store it.
+    /// Creates a rental request with a unique name. Returns it with the term in which to store it.
     pub(in crate::controller) fn new_rental(
         &mut self,
         request: &RentalRequest,
@@ -86,7 +86,7 @@
         Some((rental, term))
     }
 
-    /// The cloud has answered a rental request with a number of machines.
+    /// Records that the cloud has answered a rental request with `rented` machines.
     pub(in crate::controller) fn record_rental_response(
         &mut self,
         rental: &RentalRecord,
@@ -99,9 +99,9 @@
         }
     }
 
-    /// The machines of a rental are in the store.
+    /// Adds the machines of a rental, whose record is now in the store, to the replica and the scheduler.
     pub(in crate::controller) fn finish_rental(&mut self, rental: &OpenRental) {
-        // Until the watch brings it, the request would be taken for one whose answer is unknown, and called again.
+        // Until the watch delivers the record, the request would still seem open and be sent to the cloud again.
         self.replica
             .put_rental(&rental.name, rental.record.clone(), rental.version);
         self.add_machines(&rental.record, Origin::Rented);
@@ -117,7 +117,8 @@
         }
     }
 
-    /// The request that a rental was made for. None if its machine type or zone is not known, or nobody leads.
+    /// Returns the request that a rental was made for, or `None` if its machine type or zone is unknown or this controller does
+    /// not schedule.
     fn request_for(&self, rental: &RentalRecord) -> Option<RentalRequest> {
         let scheduler = self.scheduler.as_ref()?;
         let offer = Offer {
