--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -1,4 +1,4 @@
-//! What this controller learns of cancellations, and what follows from it.
+//! Handling of cancellations that this controller makes, reads from the store, or receives from its peers.
 
 use super::ControllerState;
 use crate::coordination::cancellations::{Notice, OtherLeader, ReplicaView};
@@ -7,7 +7,7 @@
 use crate::store::{FinalRecord, Revision, Versioned};
 
 impl ControllerState {
-    /// The cancellations that a peer has to be notified of, and the last notice among them.
+    /// Returns the next message of cancellations to a peer, and the last notice in it.
     pub(in crate::controller) fn cancellation_message_for(
         &self,
         peer: &str,
@@ -15,7 +15,7 @@
         self.cancellations.message_for(peer)
     }
 
-    /// A peer has acknowledged everything up to a notice and answered with the revision of its replica.
+    /// Records that a peer has acknowledged all notices up to `last` and that its replica has reached a revision.
     pub(in crate::controller) fn record_acknowledgement(
         &mut self,
         peer: &str,
@@ -27,8 +27,8 @@
             .peer_replica_reached(peer, replica_revision);
     }
 
-    /// Applies a cancellation that is durable, perhaps before the replica shows it: tasks of the job are stopped, and none is
-    /// started or counted as finished any more.
+    /// Applies a durable cancellation, possibly before the replica contains it: the tasks of the job are stopped, and none is
+    /// started or counted as done any more.
     fn apply_cancellation(&mut self, job: &str, tasks: u32) {
         let final_state = FinalRecord {
             cancelled: true,
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Applies a durable cancellation and records that the peers have to be notified of it.
+    /// Applies a durable cancellation and creates the notice of it for the peers.
     pub(in crate::controller) fn record_cancellation(&mut self, cancelled: CancelledJob) -> Notice {
         self.apply_cancellation(&cancelled.job, cancelled.tasks);
         self.cancellations.record(cancelled)
     }
 
-    /// Remembers a final state that was read from the store. If it is a cancellation that the leader may not know of, the
-    /// leader has to be notified.
+    /// Records the final state of a job that was read from the store. If it is a cancellation that the leader may not know of,
+    /// a notice of it is created.
     pub(in crate::controller) fn record_final_state(
         &mut self,
         id: &str,
@@ -66,8 +66,9 @@
 
     /// Applies the cancellations in a peer's message. Returns the revision that this controller's replica has reached.
     ///
-    /// Cancellations that the leader may not know of are passed on. The path from that peer to the leader may be cut, and a
-    /// user who repeats the request here is answered only when the leader knows.
+    /// Cancellations that the leader may not know of are forwarded. The connection between that peer and the leader may be
+    /// broken, and a user who repeats the request at this controller is answered only once the leader knows of the
+    /// cancellation.
     pub(in crate::controller) fn receive_cancellations(&mut self, message: &Cancelled) -> Revision {
         let valid = |cancelled: &&CancelledJob| wire::is_job_id(&cancelled.job);
         for cancelled in message.jobs.iter().filter(valid) {
@@ -80,23 +81,23 @@
         self.replica.revision
     }
 
-    /// The notice of a job's cancellation, while a leader may still start tasks of the job.
+    /// Returns the notice of a job's cancellation, while a leader may still start tasks of the job.
     pub(in crate::controller) fn unsettled_cancellation(&self, job: &str) -> Option<Notice> {
         self.cancellations.unsettled(self.replica_view(), job)
     }
 
-    /// Whether no leader can start a task any more of the job that was cancelled.
+    /// Reports whether no leader can start tasks of the cancelled job any more.
     pub(in crate::controller) fn is_cancellation_settled(&self, notice: Notice) -> bool {
         self.cancellations.is_settled(self.replica_view(), notice)
     }
 
-    /// Whether the leader may not know of a cancellation that became durable at a revision.
+    /// Reports whether the leader may not know of a cancellation that became durable at a revision.
     fn leader_may_not_know(&self, revision: Revision) -> bool {
         self.cancellations
             .leader_may_not_know(self.replica_view(), revision)
     }
 
-    /// What the replica says of the leader.
+    /// Returns the replica's revision and the leader that it contains, if that is another controller.
     fn replica_view(&self) -> ReplicaView<'_> {
         let leader = self.replica.leader.as_ref();
         ReplicaView {
--- a/src/controller/state/heartbeats.rs
+++ b/src/controller/state/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The answers to the heartbeats of workers.
+//! Handling of workers' heartbeats.
 
 use super::{ControllerState, UnregisteredMachine, WorkerContact};
 use crate::controller::messages::HeartbeatOutcome;
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 impl ControllerState {
-    /// Handles a worker's heartbeat.
+    /// Handles a worker's heartbeat and returns the response to it.
     pub(in crate::controller) fn handle_heartbeat(
         &mut self,
         report: &WorkerStatus,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Names the leader, if it is known and another controller.
+    /// Redirects the worker to the leader, if the replica contains one that is another controller.
     fn redirect_to_leader(&self) -> HeartbeatOutcome {
         let leader = self
             .replica
@@ -62,7 +62,7 @@
             });
     }
 
-    /// The moment at which an answer to a worker that is decided now becomes void.
+    /// Returns the time after which a response that is decided now must not be sent any more: the end of the current authority.
     pub(in crate::controller) fn response_valid_until(&self) -> Option<Instant> {
         let now = self.now();
         let authority_ends = self.leadership().authority_ends(now);
--- a/src/controller/state/peer_views.rs
+++ b/src/controller/state/peer_views.rs
@@ -1,4 +1,4 @@
-//! The views that controllers exchange: what this one says of itself, and what follows from the view of a peer.
+//! The views that controllers exchange: this controller's own view, and the handling of a peer's view.
 
 use super::ControllerState;
 use crate::admission::write_admission::users_share;
@@ -6,7 +6,7 @@
 use crate::coordination::peers::{JobTaskCounts, View};
 use crate::scheduler::{Scheduler, TaskCounts};
 
-/// The done and running tasks of every job, as views have them.
+/// Returns the numbers of done and running tasks of every job, in the form of a view.
 fn all_task_counts(scheduler: &Scheduler) -> Vec<JobTaskCounts> {
     scheduler
         .all_task_counts()
@@ -19,7 +19,7 @@
 }
 
 impl ControllerState {
-    /// The view of this controller.
+    /// Returns the view of this controller, with the task counts if it has authority as the leader.
     pub(in crate::controller) fn own_view(&self) -> View {
         let scheduler = self.scheduler.as_ref();
         View {
@@ -30,8 +30,8 @@
         }
     }
 
-    /// The view of this controller as it sends it unasked. A follower learns the leader's task counts from the answers to its
-    /// own views.
+    /// Returns the view that this controller sends to its peers on its own initiative. It needs no task counts: followers get
+    /// those from the leader's responses to their own views.
     pub(in crate::controller) fn view_without_task_counts(&self) -> View {
         let now = self.now();
         View {
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Handles the view of a peer. A later epoch ends this controller's term; a leader of an earlier epoch is ignored.
+    /// Handles the view of a peer. A later epoch ends this controller's term; a leader's report from an earlier epoch is
+    /// ignored.
     pub(in crate::controller) fn receive_view(&mut self, view: View) {
         let now = self.now();
         self.observe_epoch(view.epoch);
@@ -64,7 +65,7 @@
             .record_view(view.node, view.store_reachable, now);
     }
 
-    /// The task counts of a job as the leader reported them last.
+    /// Returns the task counts of a job that the leader reported last.
     pub(in crate::controller) fn reported_task_counts(&self, job: &str) -> Option<TaskCounts> {
         self.leader_report.task_counts(job)
     }
@@ -74,7 +75,7 @@
         self.peer_health.record_refusal(self.clock.now());
     }
 
-    /// The rate of changes of the store, per second, that the leader leaves to the users of this controller.
+    /// Returns the rate of store changes, per second, that the leader leaves to the users of this controller.
     pub(super) fn user_change_limit(&self) -> f64 {
         let now = self.now();
         let leader_changes_per_s = match self.term() {
