--- a/src/controller/state/read_barriers.rs
+++ b/src/controller/state/read_barriers.rs
@@ -1,4 +1,4 @@
-//! The reads that wait for a read barrier, and the barrier that is sent for them.
+//! Linearizable reads that wait for a read barrier, and the barrier that is sent for them.
 
 use super::ControllerState;
 use crate::coordination::linearizable_reads::ReadBatch;
@@ -9,21 +9,22 @@
 
 /// A read barrier to be sent.
 pub(in crate::controller) struct ReadBarrier {
-    /// When the reads were collected.
+    /// Time at which the batch of reads was closed.
     pub(in crate::controller) requested_at: Timestamp,
-    /// A transaction without changes, whose answer tells the revision of the store.
+    /// A transaction without changes. Its response contains the revision of the store.
     pub(in crate::controller) txn: Txn,
-    /// The reads that wait for it.
+    /// The reads that wait for the barrier.
     pub(in crate::controller) batch: ReadBatch,
 }
 
 impl ControllerState {
-    /// Registers a read. It is answered with the revision that the replica must have reached.
+    /// Registers a read. The receiver gets the revision that the replica must reach before the read.
     pub(in crate::controller) fn register_read(&mut self) -> oneshot::Receiver<Revision> {
         self.pending_reads.register()
     }
 
-    /// The barrier for the reads that wait; a leader sends one also when none waits.
+    /// Returns the barrier for the waiting reads. A leader gets one even if no read waits, since its authority depends on
+    /// barriers.
     pub(in crate::controller) fn next_read_barrier(&mut self) -> Option<ReadBarrier> {
         let batch = self.pending_reads.take_batch();
         if batch.is_empty() && self.term().is_none() {
--- a/src/controller/state/replica_changes.rs
+++ b/src/controller/state/replica_changes.rs
@@ -1,4 +1,4 @@
-//! What follows from changes of the replica of the store.
+//! Handling of changes of the replica of the store.
 
 use super::epoch_start::stored_results;
 use super::ControllerState;
@@ -7,24 +7,24 @@
 use crate::protocol::MachineType;
 use crate::store::{Epoch, Replica, ReplicaChange, Revision};
 
-/// What a change of the replica means for the leadership.
+/// Effect of changes of the replica on the leader key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub(in crate::controller) enum LeaderKeyChange {
-    /// The leader's key was deleted: leadership is vacant.
+    /// The leader key was deleted: leadership is vacant.
     Deleted,
-    /// The leader's key was not deleted.
+    /// The leader key was not deleted.
     NotDeleted,
 }
 
 impl ControllerState {
-    /// Replaces the replica by a fresh one.
+    /// Replaces the replica by one that was read anew from the store.
     pub(in crate::controller) fn replace_replica(&mut self, fresh: Replica) -> LeaderKeyChange {
         let changes = self.replica.replace(fresh);
         self.apply_replica_changes(changes)
     }
 
-    /// Applies the events of a watch to the replica.
+    /// Applies the events of a watch, which are complete up to a revision, to the replica.
     pub(in crate::controller) fn apply_watch_events(
         &mut self,
         revision: Revision,
@@ -34,15 +34,16 @@
         self.apply_replica_changes(changes)
     }
 
-    /// Applies what has changed in the replica. The scheduler knows of the changes before any authority follows from them.
+    /// Applies changes of the replica. The scheduler gets them before the leadership learns of the new revision, so that the
+    /// authority is never extended while the scheduler lacks a cancellation.
     fn apply_replica_changes(&mut self, changes: Vec<ReplicaChange>) -> LeaderKeyChange {
-        let mut leader_key = LeaderKeyChange::NotDeleted;
+        let mut leader_key_change = LeaderKeyChange::NotDeleted;
         let unix_millis = self.clock.unix_millis();
         for change in changes {
             match change {
                 ReplicaChange::JobAdded { job: id } => self.add_job(&id, unix_millis),
                 ReplicaChange::JobRemoved { job: id } => self.remove_job(&id),
-                ReplicaChange::LeaderRemoved => leader_key = LeaderKeyChange::Deleted,
+                ReplicaChange::LeaderRemoved => leader_key_change = LeaderKeyChange::Deleted,
                 ReplicaChange::CatalogueChanged => self.apply_stored_machine_types(),
             }
         }
@@ -51,11 +52,11 @@
         self.observe_epoch(number);
         let revision = self.replica.revision;
         self.apply_leadership_event(LeadershipEvent::ReplicaAdvanced { revision });
-        leader_key
+        leader_key_change
     }
 
-    /// An unfinished job has appeared. Its cancellation may be known already: a peer may have sent it before this replica
-    /// sees the job come and go.
+    /// Adds an unfinished job to the scheduler, unless its final state is known already: a peer may have sent the job's
+    /// cancellation before this replica contains the job.
     fn add_job(&mut self, id: &str, unix_millis: u64) {
         let now = self.now();
         let (Some(scheduler), Some(job)) = (self.scheduler.as_mut(), self.replica.live.get(id))
@@ -76,7 +77,7 @@
         );
     }
 
-    /// A job is no longer unfinished.
+    /// Drops a job that is no longer unfinished.
     fn remove_job(&mut self, id: &str) {
         self.leader_report.forget_job(id);
         if let Some(scheduler) = self.scheduler_at_now() {
--- a/src/controller/state/request_limits.rs
+++ b/src/controller/state/request_limits.rs
@@ -1,4 +1,4 @@
-//! How often this controller may use the store and the cloud, whose request rates all controllers share.
+//! Limits of this controller's requests to the store and the cloud, whose rate limits all controllers share.
 
 use super::ControllerState;
 use crate::admission::rate::{RateMeter, TokenBucket};
@@ -8,20 +8,20 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Share of the store's request rate that reads on behalf of users may take on all controllers together. The rest is for leader
-/// leases, watches, read barriers, changes, and the leader's writes.
+/// Share of the store's request rate that reads on behalf of users may take on all controllers together. The remainder is for
+/// leader leases, watches, read barriers, users' changes, and the leader's writes.
 const USER_READ_SHARE: f64 = 0.25;
-/// Share of the cloud's request rate that a leader uses; the rest is for a node that has yet to read the machine types, and
-/// for the previous leader, whose calls may still be under way.
+/// Share of the cloud's request rate that a leader uses. The remainder is for a controller that has yet to read the machine
+/// types, and for the previous leader, whose calls may still be in flight.
 pub(super) const CLOUD_REQUEST_SHARE: f64 = 0.9;
-/// The time over which the rate of the leader's changes is measured.
+/// Window over which the rate of this controller's own changes, made as the leader, is measured.
 const OWN_CHANGES_WINDOW: Duration = Duration::from_secs(2);
 
-/// The limits of one controller, and the rate of its own changes.
+/// The request limits of one controller, and the rate of the changes that it makes as the leader.
 pub(super) struct RequestLimits {
     /// Changes of the store by users.
     user_changes: WriteAdmission,
-    /// Reads of the store on behalf of users: polls of jobs that are neither unfinished nor known to be final or absent.
+    /// Reads of the store on behalf of users: polls of jobs that the replica knows neither as unfinished nor as final or absent.
     user_reads: TokenBucket,
     /// Calls of the cloud.
     cloud_calls: TokenBucket,
@@ -30,7 +30,7 @@
 }
 
 impl RequestLimits {
-    /// This controller's share of the rates in the settings.
+    /// Creates the limits of one controller from the rates in the settings.
     pub(super) fn new(settings: &Settings) -> RequestLimits {
         let deployment = &settings.platform.deployment;
         let controllers = settings.platform.peers.len() + 1;
@@ -45,17 +45,18 @@
         }
     }
 
-    /// Takes a read on behalf of a user, or tells when one will be allowed.
+    /// Admits a read on behalf of a user, or returns the time until one will be admitted.
     pub(super) fn take_user_read(&mut self, now: Timestamp) -> Result<(), Duration> {
         self.user_reads.try_take(now)
     }
 
-    /// Takes a call of the cloud, or tells when one will be allowed.
+    /// Admits a call of the cloud, or returns the time until one will be admitted.
     pub(super) fn take_cloud_call(&mut self, now: Timestamp) -> Result<(), Duration> {
         self.cloud_calls.try_take(now)
     }
 
-    /// Takes changes by a user, or tells when to repeat the request. `limit` is the rate that the leader leaves to users.
+    /// Admits changes by a user, or returns the time after which to repeat the request. `limit` is the rate that the leader
+    /// leaves to users.
     pub(super) fn take_user_changes(
         &mut self,
         changes: u32,
@@ -66,22 +67,22 @@
         self.user_changes.try_admit(changes, now)
     }
 
-    /// The store has decided on changes by a user.
+    /// Records that the store has accepted a transaction of a user, whether or not its guards held.
     pub(super) fn record_user_changes_accepted(&mut self) {
         self.user_changes.record_accepted();
     }
 
-    /// The store has refused changes by a user, since there were too many requests.
+    /// Records that the store has throttled a transaction of a user.
     pub(super) fn record_user_changes_throttled(&mut self) {
         self.user_changes.record_throttled();
     }
 
-    /// This controller makes changes as the leader.
+    /// Records changes that this controller makes as the leader.
     pub(super) fn record_own_changes(&mut self, changes: usize, now: Timestamp) {
         self.own_changes.record(changes, now);
     }
 
-    /// The rate per second at which this controller makes changes as the leader.
+    /// Returns the rate, per second, of the changes that this controller makes as the leader.
     pub(super) fn own_change_rate(&self, now: Timestamp) -> f64 {
         self.own_changes.per_s(now)
     }
@@ -94,17 +95,17 @@
             .record_own_changes(changes, self.clock.now());
     }
 
-    /// Takes a call of the cloud, or tells when one will be allowed.
+    /// Admits a call of the cloud, or returns the time until one will be admitted.
     pub(in crate::controller) fn take_cloud_call(&mut self) -> Result<(), Duration> {
         self.request_limits.take_cloud_call(self.clock.now())
     }
 
-    /// Takes a read of the store on behalf of a user, or tells when one will be allowed.
+    /// Admits a read of the store on behalf of a user, or returns the time until one will be admitted.
     pub(in crate::controller) fn take_user_read(&mut self) -> Result<(), Duration> {
         self.request_limits.take_user_read(self.clock.now())
     }
 
-    /// Takes changes of the store by a user, or tells when to repeat the request.
+    /// Admits changes of the store by a user, or returns the time after which to repeat the request.
     pub(in crate::controller) fn take_user_changes(
         &mut self,
         changes: u32,
@@ -114,7 +115,7 @@
             .take_user_changes(changes, limit, self.clock.now())
     }
 
-    /// Adapts the rate of users' changes to the store's answer to one of their transactions.
+    /// Adapts the rate of users' changes to the outcome of one of their transactions.
     pub(in crate::controller) fn record_user_transaction(
         &mut self,
         outcome: &Result<TxnOutcome, StoreError>,
@@ -122,7 +123,7 @@
         match outcome {
             Err(StoreError::RateLimited) => self.request_limits.record_user_changes_throttled(),
             Ok(_) => self.request_limits.record_user_changes_accepted(),
-            // Other failures say nothing about the rate.
+            // Other failures do not depend on the rate.
             Err(_) => {}
         }
     }
--- a/src/controller/state/test_access.rs
+++ b/src/controller/state/test_access.rs
@@ -1,4 +1,4 @@
-//! What tests read and change directly, to bring about a situation or to look into it.
+//! Access for tests to parts of the state, to set up a situation or to inspect it.
 
 use super::{Cancellations, Clock, ControllerState, Replica, Scheduler};
 
