--- a/src/controller/state/machine_list.rs
+++ b/src/controller/state/machine_list.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the scheduler's machines with the cloud's list.
+//! Reconciliation of the scheduler's machines with the cloud's list of rented machines.
 
 use super::{ControllerState, UnregisteredMachine};
 use crate::clients::cloud::MachinePage;
@@ -6,17 +6,21 @@
 use crate::time::duration;
 use std::time::Duration;
 
-/// Added to twice the lag of the list, after which it shows nothing that an earlier leader has released.
-const LAG_MARGIN: Duration = Duration::from_secs(2);
+/// Margin on top of twice the list's lag. After that time the list contains no machine that an earlier leader has released.
+const LIST_LAG_MARGIN: Duration = Duration::from_secs(2);
 
 impl ControllerState {
-    /// Compares a page with the scheduler's machines. Returns where the next page begins.
-    pub(in crate::controller) fn reconcile_page(&mut self, page: MachinePage) -> Option<String> {
+    /// Reconciles the scheduler's machines with a page of the list. Returns the start of the next page, if there is one.
+    pub(in crate::controller) fn reconcile_machine_page(
+        &mut self,
+        page: MachinePage,
+    ) -> Option<String> {
         let now = self.now();
-        // The list may still show what an earlier leader has released: a new leader once adopted such machines and counted
-        // on them for a minute. Machines whose workers report are adopted at once.
-        let lag = duration(2.0 * self.settings.platform.deployment.cloud.list_lag_s) + LAG_MARGIN;
-        let is_settled = now > self.leading_since() + lag;
+        // The list may still contain machines that an earlier leader has released. A new leader that adopted such machines
+        // relied on them for a minute. Machines whose workers send heartbeats are adopted without this delay.
+        let lag =
+            duration(2.0 * self.settings.platform.deployment.cloud.list_lag_s) + LIST_LAG_MARGIN;
+        let list_is_current = now > self.leading_since() + lag;
         let scheduler = self.scheduler.as_mut()?;
         for machine in page.machines {
             match scheduler.machine_index(&machine.id) {
@@ -32,7 +36,7 @@
                         duration(machine.age_s),
                     );
                 }
-                None if is_settled => {
+                None if list_is_current => {
                     self.rental_reconciliation
                         .add_unregistered(&machine.id, || UnregisteredMachine {
                             machine_type: machine.machine_type,
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -1,4 +1,4 @@
-//! The writes of the start log: what the next one is, and what its outcome means.
+//! Writes of the start log: the transaction of the next write, and the handling of its outcome.
 
 use super::ControllerState;
 use crate::coordination::leadership::{Authority, Term};
@@ -6,51 +6,57 @@
 use crate::scheduler::SlotWrite;
 use crate::store::{self, guard, StoreError, TxnOutcome, Versioned};
 
-/// The largest number of bytes of a request to the store.
+/// Maximum size of a request to the store, in bytes.
 const MAX_REQUEST_BYTES: usize = 60 << 10;
-/// A number of bytes that is enough for one condition of a transaction.
-const BYTES_PER_CONDITION: usize = 100;
-/// The largest number of conditions of one write.
-const MAX_CONDITIONS: usize = 100;
-/// Bytes for the quotes of the value, and for the rest of the transaction.
+/// Upper bound of the size of one guard of a transaction, in bytes.
+const BYTES_PER_GUARD: usize = 100;
+/// Maximum number of guards on jobs in one write.
+const MAX_JOB_GUARDS: usize = 100;
+/// Bytes reserved for the quotes around the value and for the remainder of the transaction.
 const VALUE_OVERHEAD_BYTES: usize = 64;
 
 /// A write of the start log.
 pub(in crate::controller) struct StartLogWrite {
-    /// What is written.
-    pub(in crate::controller) append: SlotWrite,
-    /// The term in which it was decided.
+    /// The slot and its new contents.
+    pub(in crate::controller) slot_write: SlotWrite,
+    /// The term in which the write was decided on.
     pub(in crate::controller) term: Term,
-    /// The transaction.
+    /// The transaction that writes the slot.
     pub(in crate::controller) txn: Txn,
 }
 
 impl ControllerState {
-    /// The next write of the start log, while there is something to write and the authority to start tasks.
+    /// Returns the next write of the start log, if there are unwritten starts and this controller may start tasks.
     pub(in crate::controller) fn next_start_log_write(&mut self) -> Option<StartLogWrite> {
         let term = self.term_with_full_authority()?;
         let limits = &self.settings.platform.deployment.state;
-        // The store allows four conditions for each change; two of them are taken.
-        let max_conditions = (4 * limits.txn_ops - 2).min(MAX_CONDITIONS);
+        // The store allows four guards for each change that a transaction may have. Two guards are used for the epoch and the
+        // slot.
+        let max_job_guards = (4 * limits.txn_ops - 2).min(MAX_JOB_GUARDS);
         let max_bytes = kib_to_bytes(limits.value_kb)
-            .min(MAX_REQUEST_BYTES - BYTES_PER_CONDITION * max_conditions)
+            .min(MAX_REQUEST_BYTES - BYTES_PER_GUARD * max_job_guards)
             .saturating_sub(VALUE_OVERHEAD_BYTES);
-        let append = self
+        let slot_write = self
             .scheduler
             .as_mut()?
-            .next_log_write(max_bytes, max_conditions)?;
+            .next_log_write(max_bytes, max_job_guards)?;
         let epoch = guard(store::epoch_key(), term.epoch_version);
-        let txn = store::log_txn(&epoch, append.start_log_write());
-        Some(StartLogWrite { append, term, txn })
+        let txn = store::log_txn(&epoch, slot_write.start_log_write());
+        Some(StartLogWrite {
+            slot_write,
+            term,
+            txn,
+        })
     }
 
-    /// Handles the outcome of a write of the start log. `slot` is what its slot holds, where that had to be read.
+    /// Handles the outcome of a write of the start log. `stored` is the slot as it is in the store, if it had to be read because
+    /// the outcome did not tell.
     pub(in crate::controller) fn finish_start_log_write(
         &mut self,
         term: Term,
-        append: SlotWrite,
+        write: SlotWrite,
         outcome: &Result<TxnOutcome, StoreError>,
-        slot: Option<&Versioned<String>>,
+        stored: Option<&Versioned<String>>,
     ) {
         if self.term() != Some(term) {
             return;
@@ -58,25 +64,25 @@
         let Some(scheduler) = self.scheduler_at_now() else {
             return;
         };
-        // The store knows that a job is final before the replica does.
+        // A failed guard on a job shows that the job is no longer unfinished, which the replica may not contain yet.
         if let Ok(TxnOutcome::Failed(keys)) = outcome {
             for job in keys.iter().filter_map(|key| store::live_job(key)) {
                 scheduler.drop_job(job);
             }
         }
-        match (outcome, slot) {
-            (Ok(TxnOutcome::Applied(version)), _) => scheduler.log_write_applied(append, *version),
-            (_, Some(slot)) if slot.record == append.text => {
-                scheduler.log_write_applied(append, slot.version);
+        match (outcome, stored) {
+            (Ok(TxnOutcome::Applied(version)), _) => scheduler.log_write_applied(write, *version),
+            (_, Some(stored)) if stored.record == write.text => {
+                scheduler.log_write_applied(write, stored.version);
             }
-            (_, slot) => {
-                let slot = slot.map(|slot| (slot.version, slot.record.as_str()));
-                scheduler.log_write_failed(append, slot);
+            (_, stored) => {
+                let stored = stored.map(|stored| (stored.version, stored.record.as_str()));
+                scheduler.log_write_failed(write, stored);
             }
         }
     }
 
-    /// The term, while this controller has the authority to start tasks.
+    /// Returns the current term, while this controller has the authority to start tasks.
     fn term_with_full_authority(&self) -> Option<Term> {
         self.term().filter(|_| self.authority() == Authority::Full)
     }
