--- a/src/scheduler/heartbeat/commands.rs
+++ b/src/scheduler/heartbeat/commands.rs
@@ -1,42 +1,44 @@
-//! Commands for a worker, in the answer to its heartbeat or sent straight to it.
+//! Assembly of commands for a worker, for the reply to its heartbeat or for direct commands.
 
 use crate::protocol::{Command, HeartbeatReply};
 use crate::scheduler::attempt::{Phase, Route, TaskEvent, TaskId};
 use crate::scheduler::index::MachineIndex;
 use crate::scheduler::Scheduler;
 
-/// Most commands in one message to a worker: keeps it far below 64 KiB. The rest follows in the next one.
-const COMMANDS_PER_MESSAGE: usize = 300;
+/// Maximum number of commands in one message to a worker, which keeps it far below 64 KiB. The rest follow in later messages.
+const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
 impl Scheduler {
-    /// Adds the starts of a machine to an answer. Nothing is pending for it any more unless something is left over or may
-    /// follow direct commands that are under way.
-    pub(super) fn answer_with_starts(&mut self, index: MachineIndex, commands: &mut Vec<Command>) {
+    /// Adds the starts of a machine to a reply. The machine has no more pending commands then, unless the reply is full or
+    /// direct commands are in flight, after which more may follow.
+    pub(super) fn add_starts_to_reply(&mut self, index: MachineIndex, commands: &mut Vec<Command>) {
         self.collect_starts(index, Route::HeartbeatReply, commands);
-        let is_complete = commands.len() < COMMANDS_PER_MESSAGE;
+        let is_complete = commands.len() < MAX_COMMANDS_PER_MESSAGE;
         if is_complete && !self.machine(index).commands.is_direct_in_flight() {
             self.pending_commands.remove(&index);
         }
     }
 
-    /// The answer to a heartbeat.
-    pub(super) fn answer(
+    /// Returns the reply to a heartbeat with the given commands.
+    pub(super) fn reply(
         &mut self,
         index: MachineIndex,
         mut commands: Vec<Command>,
     ) -> HeartbeatReply {
-        // Stops first: where there are more commands than fit, the rest is told next time.
+        // Stops come first. Commands beyond the limit are left to the next reply.
         commands.sort_by_key(|command| !matches!(command, Command::Stop { .. }));
-        commands.truncate(COMMANDS_PER_MESSAGE);
-        self.void_copies_of_forgotten_starts(index, &mut commands);
+        commands.truncate(MAX_COMMANDS_PER_MESSAGE);
+        self.void_duplicates_of_forgotten_starts(index, &mut commands);
         let token = self.token(self.machine(index));
         HeartbeatReply { token, commands }
     }
 
-    /// A copy of a direct start that was carried out may still come, and once its attempt is forgotten the worker would start
-    /// it anew. So what makes it forget also brings a higher token, which voids the copy; and nothing is forgotten while
-    /// direct commands are under way, which that would void as well.
-    fn void_copies_of_forgotten_starts(
+    /// Prevents a delayed duplicate of a direct start from running a forgotten attempt again. The duplicate may arrive after
+    /// the attempt has ended, and once the worker has forgotten the attempt, it would start it anew. If direct starts were
+    /// sent under the current token, a reply with a [`Command::Forget`] therefore carries a higher token, which voids
+    /// duplicates. While direct commands are in flight, [`Command::Forget`] is left out, because a higher token would void
+    /// those commands too.
+    fn void_duplicates_of_forgotten_starts(
         &mut self,
         index: MachineIndex,
         commands: &mut Vec<Command>,
@@ -50,12 +52,12 @@
         }
     }
 
-    /// The name of a task on the wire.
+    /// Returns the name of a task in messages to workers.
     fn task_name(&self, task: TaskId) -> String {
         format!("{}/{}", self.job(task.job).record.spec.id, task.number)
     }
 
-    /// Adds the starts of a machine whose lines in the start log are durable to a message.
+    /// Adds the starts of a machine to a message, as far as their entries in the start log are durable.
     pub(in crate::scheduler) fn collect_starts(
         &mut self,
         index: MachineIndex,
@@ -63,7 +65,7 @@
         commands: &mut Vec<Command>,
     ) {
         for task in self.machine(index).load.tasks().clone() {
-            if commands.len() >= COMMANDS_PER_MESSAGE {
+            if commands.len() >= MAX_COMMANDS_PER_MESSAGE {
                 self.pending_commands.insert(index);
                 return;
             }
@@ -76,7 +78,7 @@
             let machine = self.machine(index);
             let (token, epoch) = (self.token(machine), self.epoch);
             let direct = route == Route::Direct;
-            tracing::info!(job = %self.job(task.job).record.spec.id, task = task.number, machine = %machine.name(), %epoch, direct, "start");
+            tracing::info!(job = %self.job(task.job).record.spec.id, task = task.number, machine = %machine.name(), %epoch, direct, "sending task start to worker");
             commands.push(Command::Start {
                 task: self.task_name(task),
                 attempt: active.attempt,
@@ -85,25 +87,25 @@
         }
     }
 
-    /// Adds the stops of a machine that were not sent yet to a message. A late one does no harm: it names its attempt.
+    /// Adds the unsent stops of a machine to a message. A stop that arrives late is harmless, since it names its attempt.
     pub(in crate::scheduler) fn collect_stops(
         &mut self,
         index: MachineIndex,
         commands: &mut Vec<Command>,
     ) {
         for task in self.machine(index).load.tasks().clone() {
-            if commands.len() >= COMMANDS_PER_MESSAGE {
+            if commands.len() >= MAX_COMMANDS_PER_MESSAGE {
                 self.pending_commands.insert(index);
                 return;
             }
-            if let Some(stop) = self.unsent_stop(task) {
+            if let Some(stop) = self.take_unsent_stop(task) {
                 commands.push(stop);
             }
         }
     }
 
-    /// The stop of a task that is being stopped, unless it was sent; from now on it was.
-    fn unsent_stop(&mut self, task: TaskId) -> Option<Command> {
+    /// Returns the stop of a task that is being stopped and marks it as sent, unless it was sent before.
+    fn take_unsent_stop(&mut self, task: TaskId) -> Option<Command> {
         let job = self.job_mut(task.job);
         let active = job.active.get_mut(&task.number)?;
         let Phase::Stopping { save } = active.phase else {
--- a/src/scheduler/heartbeat/mod.rs
+++ b/src/scheduler/heartbeat/mod.rs
@@ -1,10 +1,10 @@
-//! Heartbeats: what workers say of their machines, and what follows from it.
+//! Processing of heartbeats, in which workers report the status of their machines and tasks.
 //!
-//! A heartbeat comes as a request of the worker, whose answer renews the worker's lease and carries commands, or as the
-//! response to direct commands. It is ordered by session and sequence number (`sequence`); only the newest one counts, and
-//! only one under the machine's current fencing token says what is on the machine. `session` processes contact and lease,
-//! `reconciliation` compares the worker's tasks with what is known of them, `adoption` adopts those that are unknown here,
-//! `outcomes` handles those that have ended, and `commands` writes the answer.
+//! A heartbeat arrives as a request of the worker, whose reply renews the worker's lease and carries commands, or as the
+//! response to direct commands. Heartbeats are ordered by session and sequence number (`sequence`). Only the newest one
+//! counts, and only one under the machine's current fencing token determines which tasks are on the machine. `session`
+//! processes contact and lease, `reconciliation` compares the listed tasks with the known ones, `adoption` adopts tasks that
+//! are unknown here, `outcomes` handles tasks that have ended, and `commands` assembles the reply.
 
 mod adoption;
 mod commands;
@@ -19,12 +19,12 @@
 use super::{Scheduler, TOKEN_BITS};
 use crate::protocol::{HeartbeatReply, WorkerStatus};
 
-/// How a heartbeat has come.
+/// How a heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// As a request of the worker: the answer renews its lease.
+    /// As a request of the worker, whose reply renews its lease.
     Request {
-        /// Whether this node has the authority to start tasks.
+        /// Whether this controller has the authority to start tasks.
         may_start: bool,
     },
     /// As the response to direct commands.
@@ -32,19 +32,20 @@
 }
 
 impl HeartbeatSource {
+    /// Reports whether the heartbeat is a request of the worker.
     fn is_request(self) -> bool {
         matches!(self, HeartbeatSource::Request { .. })
     }
 }
 
-/// What follows from a heartbeat.
+/// Decision of the scheduler on a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatDecision {
-    /// The heartbeat gets this answer.
+    /// The heartbeat gets this reply.
     Reply(HeartbeatReply),
-    /// The worker has seen the token of a later epoch: this leader's term is over.
+    /// The worker has seen a token of a later epoch, so the term of this leader is over.
     Superseded,
-    /// No rental names the machine.
+    /// The scheduler does not know the machine: no rental record names it.
     UnregisteredMachine,
 }
 
@@ -57,6 +58,7 @@
 }
 
 impl Heartbeat<'_> {
+    /// Returns the heartbeat's position in the order of its machine's heartbeats.
     fn sequence(&self) -> HeartbeatSequence {
         HeartbeatSequence {
             session: self.report.session,
@@ -66,7 +68,7 @@
 }
 
 impl Scheduler {
-    /// Processes a heartbeat.
+    /// Processes a heartbeat and returns the decision on it.
     pub fn handle_heartbeat(
         &mut self,
         report: &WorkerStatus,
@@ -96,22 +98,22 @@
         }
     }
 
-    /// Whether a heartbeat is newer than all before it, and under a token that this leader has given out.
+    /// Reports whether a heartbeat is newer than all earlier ones of its machine, under a token no higher than the current one.
     fn is_newest(&self, heartbeat: Heartbeat) -> bool {
         let machine = self.machine(heartbeat.machine);
         heartbeat.sequence() > machine.contact.latest_heartbeat()
             && heartbeat.report.token <= self.token(machine)
     }
 
-    /// Processes the newest heartbeat of a machine and returns its answer.
+    /// Processes the newest heartbeat of a machine and returns the reply.
     fn handle_newest_heartbeat(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
         let session_changed = self.record_contact(heartbeat);
         let mut commands = Vec::new();
         if heartbeat.report.token == self.token(self.machine(heartbeat.machine)) {
-            self.handle_confirmed_heartbeat(heartbeat, session_changed, &mut commands);
+            self.handle_current_token_heartbeat(heartbeat, session_changed, &mut commands);
         } else {
             self.stop_ended_jobs(heartbeat.report, &mut commands);
         }
-        self.answer(heartbeat.machine, commands)
+        self.reply(heartbeat.machine, commands)
     }
 }
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -1,4 +1,4 @@
-//! Tasks that have ended on a machine, and what their failures say of machines and jobs.
+//! Tasks that have ended on a machine: results, and the attribution of failures to machines or jobs.
 
 use crate::protocol::{ExitReason, JobKind};
 use crate::scheduler::attempt::{Phase, TaskAttempt, TaskEvent, TaskId};
@@ -7,15 +7,15 @@
 use crate::scheduler::Scheduler;
 use std::time::Duration;
 
-/// Pause of a job of which a task has ended for an unknown reason.
-const UNKNOWN_EXIT_DELAY: Duration = Duration::from_secs(2);
-/// A job that has failed on so many machines, and of which nothing has finished, says nothing of machines.
-const ACQUITTING_MACHINES: usize = 2;
+/// Backoff of a job after a worker has refused a start because it does not know the job or task.
+const UNKNOWN_TASK_BACKOFF: Duration = Duration::from_secs(2);
+/// Number of machines on which an unproven job must have failed before its failures no longer count against machines.
+const MIN_MACHINES_TO_DISCARD_FAILURES: usize = 2;
 
 impl Scheduler {
-    /// A task has ended on a machine; `active` is its attempt if that is the one that has ended. True if the worker may
-    /// forget it.
-    pub(super) fn task_exited(
+    /// Processes the end of a task on a machine. `active` is the task's active attempt, if that is the one that has ended.
+    /// Returns true if the worker may forget the ended attempt.
+    pub(super) fn handle_exit(
         &mut self,
         machine: MachineIndex,
         task: TaskId,
@@ -27,7 +27,7 @@
             && job.record.spec.kind != JobKind::Service
             && !job.cancelled;
         if has_result {
-            return self.take_result(machine, task, active);
+            return self.handle_result(machine, task, active);
         }
         let Some(active) = active else { return true };
         self.apply_event(task, TaskEvent::Gone);
@@ -37,8 +37,8 @@
         true
     }
 
-    /// A task has finished on a machine. True if the worker may forget it, since its result is stored.
-    fn take_result(
+    /// Processes the result of a task that has finished. Returns true if the worker may forget it, since its result is stored.
+    fn handle_result(
         &mut self,
         machine: MachineIndex,
         task: TaskId,
@@ -47,7 +47,7 @@
         let job = self.job(task.job);
         if !job.done.contains(task.number) {
             if job.active.contains_key(&task.number) && active.is_none() {
-                // Another attempt of the task is active elsewhere; this result is kept until that has ended.
+                // Another attempt of the task is active elsewhere, so the worker keeps this result until that one has ended.
                 return false;
             }
             self.finish_task(machine, task, active);
@@ -55,6 +55,7 @@
         self.job(task.job).saved.contains(task.number)
     }
 
+    /// Marks a task as done. Its result is still to be written to the store.
     fn finish_task(&mut self, machine: MachineIndex, task: TaskId, active: Option<TaskAttempt>) {
         let now = self.now();
         self.job_mut(task.job).record_result(task.number);
@@ -62,7 +63,7 @@
         if let Some(active) = active {
             if active.phase == Phase::Running {
                 let took = now.saturating_duration_since(active.since);
-                self.measure_task_time(machine, task.job, took);
+                self.record_run_time(machine, task.job, took);
             }
             self.machine_mut(machine).health.record_success();
             self.apply_event(task, TaskEvent::Finished);
@@ -70,9 +71,8 @@
         self.pass_requested = true;
     }
 
-    /// A task of a job has finished on a machine after this time: measures the job's mean, and the machine against
-    /// it.
-    fn measure_task_time(&mut self, machine: MachineIndex, job: JobIndex, took: Duration) {
+    /// Records the run time of a finished task in its job's mean, and updates the machine's speed from its ratio to that mean.
+    fn record_run_time(&mut self, machine: MachineIndex, job: JobIndex, took: Duration) {
         let job = self.job_mut(job);
         let class = job.class;
         if let Some(ratio) = job.run_times.record(took) {
@@ -81,51 +81,60 @@
         }
     }
 
-    /// A task of a job has ended on a machine without a result, and was not stopped.
+    /// Handles the end of a task that has no result and was not stopped.
     fn handle_failure(&mut self, machine: MachineIndex, job: JobIndex, reason: Option<ExitReason>) {
         match reason {
-            Some(ExitReason::Error) => self.task_failed(machine, job),
+            Some(ExitReason::Error) => self.attribute_failure(machine, job),
             Some(ExitReason::InsufficientResources) => {
                 let now = self.now();
                 self.machine_mut(machine).health.record_refused_start(now);
             }
             Some(ExitReason::Unknown) => {
-                self.job_mut(job).retry_at = self.now() + UNKNOWN_EXIT_DELAY;
+                self.job_mut(job).retry_at = self.now() + UNKNOWN_TASK_BACKOFF;
             }
             _ => {}
         }
     }
 
-    /// A task failed: its machine is faulty, or its job has a mistake. A machine that fails tasks of several jobs is
-    /// quarantined. A job of which nothing has finished and that fails elsewhere too says nothing of machines, and what was
-    /// held against them for its sake is taken back; once it has failed on several it is tried rarely, one task at a time.
-    fn task_failed(&mut self, machine: MachineIndex, j: JobIndex) {
+    /// Attributes the failure of a task to its machine or to its job. A machine on which tasks of several jobs fail is
+    /// quarantined. A job that fails on several machines, and of which no task has finished or run for a while, is itself at
+    /// fault: its failures are removed from all machines. If it goes on failing, it is tried rarely and one task at a time,
+    /// see [`Job::fails_everywhere`](crate::scheduler::job::Job::fails_everywhere).
+    fn attribute_failure(&mut self, machine: MachineIndex, job_index: JobIndex) {
         let now = self.now();
-        let job = self.job_mut(j);
+        let job = self.job_mut(job_index);
         job.record_failure(machine, now);
-        if !job.is_proven(now) && job.failures.machine_count() >= ACQUITTING_MACHINES {
-            self.acquit_machines(j);
+        if !job.is_proven(now) && job.failures.machine_count() >= MIN_MACHINES_TO_DISCARD_FAILURES {
+            self.discard_failures_of_job(job_index);
             return;
         }
-        if self.machine_mut(machine).health.record_failure(j, now) {
+        if self
+            .machine_mut(machine)
+            .health
+            .record_failure(job_index, now)
+        {
             self.quarantine(machine);
         }
     }
 
-    /// Drains a machine that fails tasks of several jobs, and stops what is there.
+    /// Drains a machine on which tasks of several jobs have failed, and stops its tasks.
     fn quarantine(&mut self, index: MachineIndex) {
         let machine = self.machine_mut(index);
         let was_up = machine.state() == MachineState::Up;
         machine.health.set_quarantined(was_up);
-        self.set_machine_state(index, MachineState::Draining, "fails tasks of several jobs");
+        self.set_machine_state(
+            index,
+            MachineState::Draining,
+            "tasks of several jobs failed",
+        );
         for task in self.machine(index).load.tasks().clone() {
             let save = self.job(task.job).record.spec.checkpoint_interval_s > 0.0;
             self.apply_event(task, TaskEvent::Stop { save });
         }
     }
 
-    /// The failures of a job say nothing of machines: those quarantined for its sake are used again.
-    fn acquit_machines(&mut self, job: JobIndex) {
+    /// Removes the failures of a job from all machines and ends the quarantines that are based on them.
+    fn discard_failures_of_job(&mut self, job: JobIndex) {
         for index in self.machines.indices() {
             let Some(machine) = self.machines.get_mut(index) else {
                 continue;
@@ -138,7 +147,7 @@
                 self.set_machine_state(
                     index,
                     MachineState::Up,
-                    "what failed there fails everywhere",
+                    "failures attributed to a job, quarantine ended",
                 );
             }
         }
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -1,9 +1,12 @@
-//! Reconciliation of the tasks that a machine lists with those that are known to be there.
+//! Reconciliation of the tasks that a machine lists with those that the scheduler has recorded for it.
 //!
-//! The newest heartbeat under the current token is the truth about its machine, but for starts in transit: direct ones whose
-//! response is still out, and, where the heartbeat is the response to direct commands, those in the answer to a request,
-//! which the worker may not have received yet. Only its next request tells of these, since it has one in flight at a time.
-//! (A direct stop that overtook such a start once made tasks run twice.)
+//! The newest heartbeat under the current token is authoritative for its machine, except for starts in transit:
+//!
+//! - direct starts whose response is pending, and
+//! - if the heartbeat is the response to direct commands, starts in the reply to a request, which the worker may not have
+//!   received yet. Only the worker's next request shows whether it has, since a worker has one request in flight at a time.
+//!   Otherwise the response to a direct stop that overtakes such a start would show the task as gone, and it would run
+//!   twice.
 
 use super::Heartbeat;
 use crate::protocol::{split_task, Command, TaskState, TaskStatus, WorkerStatus};
@@ -13,16 +16,16 @@
 use crate::time::whole_millis;
 use std::collections::HashSet;
 
-/// A command that stops a task that a worker lists.
-fn stop(line: &TaskStatus, grace_s: f64) -> Command {
+/// Returns the command that stops a listed task.
+fn stop_command(status: &TaskStatus, grace_s: f64) -> Command {
     Command::Stop {
-        task: line.task.clone(),
-        attempt: line.attempt,
+        task: status.task.clone(),
+        attempt: status.attempt,
         grace_s,
     }
 }
 
-/// The phase of a task that has not ended.
+/// Returns the phase for the reported state of a task that has not ended.
 fn live_phase(state: TaskState) -> Phase {
     match state {
         TaskState::Fetching | TaskState::Gathering => Phase::Fetching,
@@ -31,141 +34,145 @@
 }
 
 impl Scheduler {
-    /// Reconciles the tasks of a machine with its heartbeat, which is the newest one under the current token. True if a
-    /// start in an answer to a request was not executed.
+    /// Reconciles the tasks of a machine with its newest heartbeat, which is under the current token. Returns true if a start
+    /// in the reply to a request was not executed.
     pub(super) fn reconcile(&mut self, heartbeat: Heartbeat, commands: &mut Vec<Command>) -> bool {
         let report = heartbeat.report;
         self.drop_replaced_attempts(heartbeat);
         let mut listed = HashSet::with_capacity(report.tasks.len());
-        // What has ended first: a refused start of one attempt must not hide that another still runs here.
+        // Ended attempts come first: the refused start of one attempt must not hide that another one still runs here.
         let (ended, live): (Vec<_>, Vec<_>) = report
             .tasks
             .iter()
-            .partition(|line| line.state == TaskState::Exited);
-        for line in ended {
-            self.reconcile_ended(heartbeat.machine, line, &mut listed, commands);
+            .partition(|status| status.state == TaskState::Exited);
+        for status in ended {
+            self.reconcile_ended(heartbeat.machine, status, &mut listed, commands);
         }
-        for line in live {
-            self.reconcile_live(heartbeat.machine, line, &mut listed, commands);
+        for status in live {
+            self.reconcile_live(heartbeat.machine, status, &mut listed, commands);
         }
         self.drop_unlisted(heartbeat, &listed)
     }
 
-    /// Stops what a machine lists of jobs of which nothing may run any more, though the heartbeat is not under the current
-    /// token and nothing is concluded from it. Without this, a machine that hung or was isolated once it had its lease renewed
-    /// went on with it for another lease.
+    /// Adds stops for listed tasks of jobs that may no longer run, from a heartbeat that is not under the current token and
+    /// from which nothing else is concluded. Otherwise a machine that returns after a hang or an isolation would have its
+    /// lease renewed by the reply and run these tasks for another lease.
     pub(super) fn stop_ended_jobs(&self, report: &WorkerStatus, commands: &mut Vec<Command>) {
         let live = report
             .tasks
             .iter()
-            .filter(|line| line.state != TaskState::Exited);
+            .filter(|status| status.state != TaskState::Exited);
         commands.extend(
-            live.filter(|line| self.job_has_ended(line))
-                .map(|line| stop(line, 0.0)),
+            live.filter(|status| self.job_has_ended(status))
+                .map(|status| stop_command(status, 0.0)),
         );
     }
 
-    /// Whether a line belongs to a job of which nothing may run any more: one cancelled, or gone from the store before this
-    /// epoch began.
-    fn job_has_ended(&self, line: &TaskStatus) -> bool {
-        let job = split_task(&line.task).and_then(|(job, _)| self.jobs.index_of(job));
+    /// Reports whether a listed task belongs to a job that may no longer run, because it is cancelled or was removed from the
+    /// store before this epoch began.
+    fn job_has_ended(&self, status: &TaskStatus) -> bool {
+        let job = split_task(&status.task).and_then(|(job, _)| self.jobs.index_of(job));
         job.is_none_or(|job| self.job(job).cancelled)
     }
 
-    /// The task that a worker names, if its job is known here.
+    /// Returns the task with this name, if its job is known.
     pub(in crate::scheduler) fn find_task(&self, name: &str) -> Option<TaskId> {
         let (job, number) = split_task(name)?;
         let job = self.jobs.index_of(job)?;
         Some(TaskId { job, number })
     }
 
-    /// The same for a task that its job has.
-    fn known_task(&self, line: &TaskStatus) -> Option<TaskId> {
-        self.find_task(&line.task)
+    /// Returns the listed task, if its job is known and has a task with this number.
+    fn known_task(&self, status: &TaskStatus) -> Option<TaskId> {
+        self.find_task(&status.task)
             .filter(|task| task.number < self.job(task.job).tasks())
     }
 
-    /// The attempt that a line of a machine's heartbeat is about, if it is the one that is known to be there.
+    /// Returns the active attempt of a task, if it is the one that the machine lists.
     fn listed_attempt(
         &self,
         machine: MachineIndex,
         task: TaskId,
-        line: &TaskStatus,
+        status: &TaskStatus,
     ) -> Option<TaskAttempt> {
         let attempt = self.attempt(task).copied();
-        attempt.filter(|a| a.machine == machine && a.attempt == line.attempt)
+        attempt.filter(|a| a.machine == machine && a.attempt == status.attempt)
     }
 
-    /// A live line of another attempt than the one that was sent here, which is not in transit any more: that one is what is
-    /// here. Taken for a stray, it was once stopped and its task started elsewhere before it had ended.
+    /// Drops recorded attempts in whose place the machine lists another live attempt of the same task. An attempt that is
+    /// still in transit is kept. The listed attempt is then adopted as the active one. If it were stopped as unknown instead,
+    /// the task could be started elsewhere before this attempt has ended.
     fn drop_replaced_attempts(&mut self, heartbeat: Heartbeat) {
-        let lines = &heartbeat.report.tasks;
-        for line in lines.iter().filter(|line| line.state != TaskState::Exited) {
-            let Some(task) = self.find_task(&line.task) else {
+        let statuses = &heartbeat.report.tasks;
+        for status in statuses
+            .iter()
+            .filter(|status| status.state != TaskState::Exited)
+        {
+            let Some(task) = self.find_task(&status.task) else {
                 continue;
             };
             let Some(active) = self.attempt(task).copied() else {
                 continue;
             };
             if active.machine != heartbeat.machine
-                || active.attempt == line.attempt
+                || active.attempt == status.attempt
                 || self.start_in_transit(heartbeat, &active)
             {
                 continue;
             }
-            let is_listed = lines
+            let is_listed = statuses
                 .iter()
-                .any(|other| other.task == line.task && other.attempt == active.attempt);
+                .any(|other| other.task == status.task && other.attempt == active.attempt);
             if active.phase != Phase::Assigned && !is_listed {
                 self.apply_event(task, TaskEvent::Gone);
             }
         }
     }
 
-    /// A task that has ended on a machine.
+    /// Processes a listed task that has ended.
     fn reconcile_ended(
         &mut self,
         machine: MachineIndex,
-        line: &TaskStatus,
+        status: &TaskStatus,
         listed: &mut HashSet<TaskId>,
         commands: &mut Vec<Command>,
     ) {
         let forget = Command::Forget {
-            task: line.task.clone(),
-            attempt: line.attempt,
+            task: status.task.clone(),
+            attempt: status.attempt,
         };
-        let Some(task) = self.known_task(line) else {
+        let Some(task) = self.known_task(status) else {
             commands.push(forget);
             return;
         };
-        let attempt = self.listed_attempt(machine, task, line);
+        let attempt = self.listed_attempt(machine, task, status);
         if attempt.is_some_and(|a| a.phase == Phase::Assigned) {
             return;
         }
         if attempt.is_some() {
             listed.insert(task);
         }
-        if self.task_exited(machine, task, line.reason, attempt) {
+        if self.handle_exit(machine, task, status.reason, attempt) {
             commands.push(forget);
         }
     }
 
-    /// A task that is on a machine and has not ended.
+    /// Processes a listed task that has not ended: adopts it, updates its phase, or stops it.
     fn reconcile_live(
         &mut self,
         machine: MachineIndex,
-        line: &TaskStatus,
+        status: &TaskStatus,
         listed: &mut HashSet<TaskId>,
         commands: &mut Vec<Command>,
     ) {
-        let Some(task) = self.known_task(line) else {
-            commands.push(stop(line, 0.0));
+        let Some(task) = self.known_task(status) else {
+            commands.push(stop_command(status, 0.0));
             return;
         };
-        let phase = live_phase(line.state);
-        self.adopt_if_unknown(machine, task, line, phase);
-        let Some(active) = self.listed_attempt(machine, task, line) else {
-            commands.push(stop(line, 0.0));
+        let phase = live_phase(status.state);
+        self.adopt_if_unknown(machine, task, status, phase);
+        let Some(active) = self.listed_attempt(machine, task, status) else {
+            commands.push(stop_command(status, 0.0));
             return;
         };
         listed.insert(task);
@@ -173,17 +180,17 @@
             active.reported = true;
         }
         match active.phase {
-            Phase::Stopping { save: true } if line.state == TaskState::Saving => {}
+            Phase::Stopping { save: true } if status.state == TaskState::Saving => {}
             Phase::Stopping { save: true } => {
-                commands.push(stop(line, self.job(task.job).record.spec.save_s));
+                commands.push(stop_command(status, self.job(task.job).record.spec.save_s));
             }
-            Phase::Stopping { save: false } => commands.push(stop(line, 0.0)),
+            Phase::Stopping { save: false } => commands.push(stop_command(status, 0.0)),
             _ => self.update_phase(machine, task, active, phase),
         }
     }
 
-    /// What a machine does not list is not there, unless its start is still in transit. True if a start in an answer to a
-    /// request was not executed.
+    /// Marks recorded tasks that the machine does not list as gone, unless their start is still in transit. Returns true if a
+    /// start in the reply to a request was not executed.
     fn drop_unlisted(&mut self, heartbeat: Heartbeat, listed: &HashSet<TaskId>) -> bool {
         let tasks = self.machine(heartbeat.machine).load.tasks();
         let unlisted: Vec<_> = tasks
@@ -200,7 +207,7 @@
                 continue;
             }
             let (job, machine) = (self.job(task.job), self.machine(heartbeat.machine));
-            tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name(), "task gone");
+            tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name(), "task is not listed by its machine, marked as gone");
             start_lost |= !active.reported
                 && active.route == Route::HeartbeatReply
                 && active.token == heartbeat.report.token;
@@ -209,8 +216,8 @@
         start_lost
     }
 
-    /// Whether a start may still be on its way to a worker that has sent this heartbeat. One sent under an older token is
-    /// void: the worker has seen this one.
+    /// Reports whether a start may still be in transit to the worker that has sent this heartbeat. A start under an older
+    /// token is void, because the worker has seen the current one.
     fn start_in_transit(&self, heartbeat: Heartbeat, active: &TaskAttempt) -> bool {
         if active.reported || active.token != heartbeat.report.token {
             return false;
@@ -224,7 +231,7 @@
         }
     }
 
-    /// Takes over the phase of a live task that its worker tells.
+    /// Updates the phase of a live task to the one that its worker reports.
     fn update_phase(
         &mut self,
         machine: MachineIndex,
@@ -235,20 +242,20 @@
         let job = self.job(task.job);
         let image = job.image;
         if active.phase == Phase::Fetching && phase == Phase::Running {
-            self.measure_fetch(machine, task, active);
+            self.record_fetch_rate(machine, task, active);
         }
         if active.phase != phase {
             let (job, machine) = (self.job(task.job), self.machine(machine));
             let age_ms = whole_millis(self.elapsed_since(job.submitted_at));
             let held = machine.images().contains(&image);
-            tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name(), ?phase, held, age_ms, "task");
+            tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name(), ?phase, held, age_ms, "task changed phase");
         }
         self.hold_image(machine, image);
         self.apply_event(task, TaskEvent::Show(phase));
     }
 
-    /// A machine has fetched the image of a task: measures the fetch rate of its type.
-    fn measure_fetch(&mut self, machine: MachineIndex, task: TaskId, active: TaskAttempt) {
+    /// Records the fetch rate of a machine's type, after the machine has fetched the image of a task.
+    fn record_fetch_rate(&mut self, machine: MachineIndex, task: TaskId, active: TaskAttempt) {
         let size_gb = self.job(task.job).record.spec.image_gb;
         let took = self.elapsed_since(active.since);
         let machine_type = self.machine(machine).machine_type();
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat says of the contact with its worker: lease, session (agent incarnation) and fencing token.
+//! Lease, session (worker incarnation) and fencing token of a machine, as updated by its heartbeats.
 
 use super::{Heartbeat, HeartbeatSource};
 use crate::protocol::Command;
@@ -7,15 +7,15 @@
 use crate::time::duration;
 
 impl Scheduler {
-    /// Counts the lease of a machine from a request that is about to be answered.
+    /// Renews the lease of a machine for a request that is about to be answered.
     pub(super) fn renew_lease(&mut self, heartbeat: Heartbeat) {
         let now = self.now();
         let machine = self.machine_mut(heartbeat.machine);
         machine.lease.renew(heartbeat.sequence(), now);
     }
 
-    /// Records what the newest heartbeat tells of its machine, whatever its token. True if the worker is in another session
-    /// than before.
+    /// Records contact, session and termination notice from the newest heartbeat, under any token. Returns true if the worker
+    /// is in another session than at its previous heartbeat.
     pub(super) fn record_contact(&mut self, heartbeat: Heartbeat) -> bool {
         let now = self.now();
         let report = heartbeat.report;
@@ -35,33 +35,34 @@
         last_session != 0 && is_new_session
     }
 
-    /// Processes the newest heartbeat under the current token, which is the truth about its machine.
-    pub(super) fn handle_confirmed_heartbeat(
+    /// Processes the newest heartbeat under the current token, which is authoritative for the tasks on its machine.
+    pub(super) fn handle_current_token_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
         session_changed: bool,
         commands: &mut Vec<Command>,
     ) {
         let index = heartbeat.machine;
-        self.confirm_token(heartbeat);
+        self.record_token_acknowledgement(heartbeat);
         if self.machine(index).state() == MachineState::Waiting {
             self.machine_came_up(index);
         }
         let start_lost = self.reconcile(heartbeat, commands);
-        // A session that ended although its heartbeats were answered, or a start in an answer that was never executed,
-        // may mean that the worker hears nothing of us: it has to show a new token before it gets work again. Without
-        // this, such a machine took the same tasks again and again and lost them.
+        // A session that ended although its heartbeats were answered, or a start in a reply that was never executed, may
+        // mean that the worker receives nothing from this leader. It has to acknowledge a new token before it gets work
+        // again; otherwise such a machine would be given the same tasks and lose them again and again.
         if session_changed {
-            self.advance_fencing_token(index, "another session");
+            self.advance_fencing_token(index, "new worker session");
         } else if start_lost {
-            self.advance_fencing_token(index, "an answer was lost");
+            self.advance_fencing_token(index, "start in a heartbeat reply was not executed");
         } else if heartbeat.source == (HeartbeatSource::Request { may_start: true }) {
-            self.answer_with_starts(index, commands);
+            self.add_starts_to_reply(index, commands);
         }
     }
 
-    /// The machine shows its current token. If it had not done so, or not recently, tasks may be placed there from now on.
-    fn confirm_token(&mut self, heartbeat: Heartbeat) {
+    /// Records that the machine has acknowledged its current token. Requests a scheduling pass if it had not done so before,
+    /// or not recently, since tasks may be placed there from now on.
+    fn record_token_acknowledgement(&mut self, heartbeat: Heartbeat) {
         let now = self.now();
         let overdue = self.params.heartbeat_interval * 3;
         let contact = &mut self.machine_mut(heartbeat.machine).contact;
