--- a/src/scheduler/machines/boot_times.rs
+++ b/src/scheduler/machines/boot_times.rs
@@ -1,9 +1,9 @@
-//! How long machines take to come up, measured for each offer.
+//! Boot times of machines, measured for each offer.
 //!
-//! Two questions are answered from it: how long a machine that boots counts as capacity to come, and when one that has not
-//! come up is given up. Machines that never come up give no time to measure, so the second answer is stretched while
-//! nothing of an offer comes up at all: otherwise machines that are all merely late would be deleted and rented again
-//! without end.
+//! The measurements give the time within which a booting machine counts as future capacity, and the timeout after which a
+//! machine that has not come up is released. Machines that never come up provide no measurement, so the timeout of an offer
+//! is extended while none of its machines comes up. Otherwise machines that are merely slow would be released and rented
+//! again endlessly.
 
 #[cfg(test)]
 mod tests;
@@ -13,33 +13,33 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Weight of a measured time in the running mean. Small, as is the decay of the deviation: of machines rented together the
-/// fast ones report first, and must not make the others look late.
+/// Weight of a measured time in the moving average. This and [`DECAY_WEIGHT`] are small because the fast ones of a group of
+/// machines rented together come up first, and must not make the others seem late.
 const MEAN_WEIGHT: f64 = 1.0 / 32.0;
-/// Weight of a deviation above the running one.
+/// Weight of a deviation that is greater than the moving average of deviations.
 const RISE_WEIGHT: f64 = 1.0 / 8.0;
-/// Weight of a deviation below the running one.
+/// Weight of a deviation that is not greater than the moving average of deviations.
 const DECAY_WEIGHT: f64 = 1.0 / 64.0;
-/// Deviations above the mean within which machines are expected.
-const DEVIATIONS: f64 = 4.0;
-/// The deviation assumed at first, as a share of the nominal time.
-const FIRST_DEVIATION: f64 = 0.25;
-/// A machine is given up after so many times the time within which it was expected.
-const GIVE_UP_FACTOR: f64 = 1.5;
-/// Most by which the timeout of an offer of which nothing comes up is stretched.
+/// Machines are expected to come up within the mean boot time plus this many mean deviations.
+const DEVIATIONS_ABOVE_MEAN: f64 = 4.0;
+/// Initial deviation as a share of the nominal boot time.
+const INITIAL_DEVIATION: f64 = 0.25;
+/// Timeout of an offer as a multiple of its expected boot time, before any extension.
+const BASE_TIMEOUT_FACTOR: f64 = 1.5;
+/// Maximum factor by which the timeout of an offer is extended while none of its machines comes up.
 const MAX_TIMEOUT_FACTOR: u32 = 4;
 
-/// What is known of one offer. Times are in milliseconds, as means need fractions.
+/// Measurements of one offer. Times are fractional milliseconds, as needed for moving averages.
 #[derive(Debug, Clone)]
 struct BootTime {
     mean_ms: f64,
     deviation_ms: f64,
-    /// When the machine that was rented last of those that have come up was rented.
-    newest_up: Option<Timestamp>,
-    /// By how much the timeout is stretched.
+    /// Rental time of the most recently rented machine that has come up.
+    newest_booted_rental: Option<Timestamp>,
+    /// Factor by which the timeout is extended; 1 without extension.
     timeout_factor: u32,
-    /// When the timeout was last stretched.
-    stretched_at: Timestamp,
+    /// When the timeout was last extended.
+    extended_at: Timestamp,
 }
 
 /// Boot times by offer.
@@ -49,25 +49,27 @@
 }
 
 impl BootTime {
+    /// Returns the estimate before anything is measured, from the catalogue's nominal boot time.
     fn new(nominal_ms: f64) -> BootTime {
         BootTime {
             mean_ms: nominal_ms,
-            deviation_ms: nominal_ms * FIRST_DEVIATION,
-            newest_up: None,
+            deviation_ms: nominal_ms * INITIAL_DEVIATION,
+            newest_booted_rental: None,
             timeout_factor: 1,
-            stretched_at: Timestamp::ZERO,
+            extended_at: Timestamp::ZERO,
         }
     }
 
+    /// Returns the time within which machines are expected to come up, in milliseconds.
     fn expected_ms(&self) -> u64 {
         whole_millis(duration_from_millis(
-            self.mean_ms + DEVIATIONS * self.deviation_ms,
+            self.mean_ms + DEVIATIONS_ABOVE_MEAN * self.deviation_ms,
         ))
     }
 }
 
 impl BootTimes {
-    /// The time within which machines of an offer are expected up.
+    /// Returns the time within which machines of an offer are expected to come up.
     pub(super) fn expected(&self, offer: Offer, nominal_ms: f64) -> Duration {
         Duration::from_millis(self.expected_ms(offer, nominal_ms))
     }
@@ -79,20 +81,20 @@
         )
     }
 
-    /// The time after which a machine of an offer is given up.
+    /// Returns the time after which a machine of an offer that has not come up is released.
     pub(super) fn timeout(&self, offer: Offer, nominal_ms: f64) -> Duration {
         let factor = self
             .by_offer
             .get(&offer)
             .map_or(1, |boot| boot.timeout_factor);
-        // The nominal time is the least: a burst of quick boots says nothing of a slow one.
+        // Never shorter than without measurements: many fast boots do not rule out a slow one.
         let expected_ms = self
             .expected_ms(offer, nominal_ms)
             .max(BootTime::new(nominal_ms).expected_ms());
-        duration_from_millis(expected_ms as f64 * GIVE_UP_FACTOR) * factor
+        duration_from_millis(expected_ms as f64 * BASE_TIMEOUT_FACTOR) * factor
     }
 
-    /// A machine that was rented at a time has come up.
+    /// Records the boot time of a machine that was rented at `rented_at`, and ends any extension of the timeout.
     pub(super) fn record_boot(
         &mut self,
         offer: Offer,
@@ -110,12 +112,13 @@
         };
         boot.deviation_ms += weight * (deviation - boot.deviation_ms);
         boot.mean_ms += MEAN_WEIGHT * (took_ms - boot.mean_ms);
-        boot.newest_up = boot.newest_up.max(Some(rented_at));
+        boot.newest_booted_rental = boot.newest_booted_rental.max(Some(rented_at));
         boot.timeout_factor = 1;
     }
 
-    /// A machine that was rented at a time is given up. True if the offer is in doubt: of its machines that were rented as
-    /// late none has come up.
+    /// Records that a machine that was rented at `rented_at` has timed out. Returns true if the offer is doubtful: no machine
+    /// of it that was rented at the same time or later has come up. The timeout is then extended, unless that has been done
+    /// since the machine was rented: other timeouts of the same request provide no new information.
     pub(super) fn record_timeout(
         &mut self,
         offer: Offer,
@@ -124,16 +127,17 @@
         now: Timestamp,
     ) -> bool {
         let boot = self.entry(offer, nominal_ms);
-        if boot.newest_up.is_some_and(|up| up >= rented_at) {
+        if boot.newest_booted_rental.is_some_and(|up| up >= rented_at) {
             return false;
         }
-        if rented_at >= boot.stretched_at {
+        if rented_at >= boot.extended_at {
             boot.timeout_factor = (boot.timeout_factor * 2).min(MAX_TIMEOUT_FACTOR);
-            boot.stretched_at = now;
+            boot.extended_at = now;
         }
         true
     }
 
+    /// Returns the measurements of an offer, creating them on first use.
     fn entry(&mut self, offer: Offer, nominal_ms: f64) -> &mut BootTime {
         self.by_offer
             .entry(offer)
--- a/src/scheduler/machines/boot_times/tests.rs
+++ b/src/scheduler/machines/boot_times/tests.rs
@@ -1,4 +1,4 @@
-//! Measured boot times.
+//! Tests of expected boot times and boot timeouts.
 
 use super::*;
 use crate::scheduler::{DenseIndex, MachineTypeIndex, ZoneIndex};
@@ -22,16 +22,16 @@
 }
 
 #[test]
-fn nothing_measured_means_twice_the_nominal_time_and_half_as_much_again() {
+fn an_unmeasured_offer_uses_multiples_of_the_nominal_boot_time() {
     let boots = BootTimes::default();
     assert_eq!(boots.expected_ms(offer(), NOMINAL), 80_000);
     assert_eq!(boots.timeout(offer(), NOMINAL), ms(120_000));
 }
 
 #[test]
-fn the_fast_ones_of_a_group_do_not_make_the_others_look_late() {
+fn fast_boots_of_a_group_do_not_make_slower_ones_late() {
     let mut boots = BootTimes::default();
-    // Evenly from 0.6 to 1.5 of the nominal time, as they come up.
+    // Boot times are spread evenly from 0.6 to 1.5 times the nominal time and are recorded in this order.
     for n in 0..50u64 {
         let took = 24_000 + 36_000 * n / 49;
         assert!(took < boots.expected_ms(offer(), NOMINAL), "{n}");
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn many_that_come_up_close_together_do_not_make_ordinary_ones_look_late() {
+fn many_similar_fast_boots_do_not_make_ordinary_ones_late() {
     let mut boots = BootTimes::default();
     (0..40u64).for_each(|n| boots.record_boot(offer(), NOMINAL, at(1000), ms(24_000 + 100 * n)));
-    // The rest of the same request takes a little more than the nominal time.
+    // The other machines of the same request take a little more than the nominal time.
     assert!(
         boots.expected_ms(offer(), NOMINAL) > 45_000,
         "{}",
@@ -52,11 +52,11 @@
 }
 
 #[test]
-fn quick_boots_shorten_what_counts_as_room_to_come_and_slow_ones_lengthen_it() {
+fn expected_boot_time_follows_measurements_and_timeout_has_a_minimum() {
     let mut boots = BootTimes::default();
     (0..300).for_each(|n| boots.record_boot(offer(), NOMINAL, at(n), ms(2000)));
     assert!(boots.expected_ms(offer(), NOMINAL) < 10_000);
-    // Giving up costs what was paid, so that the nominal time stays the least there.
+    // Releasing a machine wastes what was paid for it, so the timeout never falls below the one without measurements.
     assert_eq!(boots.timeout(offer(), NOMINAL), ms(120_000));
     (0..50).for_each(|n| boots.record_boot(offer(), NOMINAL, at(n), ms(150_000)));
     assert!(boots.expected_ms(offer(), NOMINAL) > 150_000);
@@ -64,15 +64,15 @@
 }
 
 #[test]
-fn an_offer_is_in_doubt_only_if_nothing_rented_as_late_has_come_up() {
+fn an_offer_is_doubtful_only_if_no_machine_rented_as_recently_has_come_up() {
     let mut boots = BootTimes::default();
     boots.record_boot(offer(), NOMINAL, at(5000), ms(40_000));
-    // One of the same request, or of an earlier one.
+    // A machine of the same request as the one that came up.
     assert!(!boots.record_timeout(offer(), NOMINAL, at(5000), at(125_000)));
     assert_eq!(boots.timeout(offer(), NOMINAL).as_secs(), 120);
     assert!(boots.record_timeout(offer(), NOMINAL, at(6000), at(126_000)));
     assert_eq!(boots.timeout(offer(), NOMINAL).as_secs(), 240);
-    // PeerHealth of that request tell nothing new.
+    // A second timeout of the same request provides no new information.
     assert!(boots.record_timeout(offer(), NOMINAL, at(6000), at(127_000)));
     assert_eq!(boots.timeout(offer(), NOMINAL).as_secs(), 240);
     (0..9).for_each(|n| {
@@ -84,7 +84,7 @@
         ));
     });
     assert_eq!(boots.timeout(offer(), NOMINAL).as_secs(), 480);
-    // They were late, not dead: measured at last.
+    // A machine comes up after all: it was late, and its boot time is measured.
     boots.record_boot(offer(), NOMINAL, at(1_900_000), ms(300_000));
     assert!(boots.timeout(offer(), NOMINAL) < ms(400_000));
 }
