--- a/src/controller/state/adoption.rs
+++ b/src/controller/state/adoption.rs
@@ -47,7 +47,7 @@
     pub(in crate::controller) fn finish_adoption(&mut self, record: &RentalRecord, term: Term) {
         let same_epoch = |present: Term| present.epoch_version == term.epoch_version;
         if self.term().is_some_and(same_epoch) {
-            self.add_machines(record, Origin::Found);
+            self.add_machines(record, Origin::Adopted);
         }
     }
 }
--- a/src/scheduler/machines/eviction.rs
+++ b/src/scheduler/machines/eviction.rs
@@ -1,38 +1,38 @@
-//! Why a machine is to be left by its tasks.
+//! Reasons other than failures for which a machine is drained.
 
 use crate::time::Timestamp;
 
-/// What makes a machine drain, beside failures.
+/// A machine's termination notice, and whether it is surplus.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Eviction {
-    /// When the cloud will take the machine, as its termination notice says.
+    /// When the cloud will terminate the machine, according to its termination notice.
     terminates_at: Option<Timestamp>,
-    /// Whether it drains only because there is more capacity than is needed.
+    /// Whether the machine drains only because there is more capacity than needed.
     surplus: bool,
 }
 
 impl Eviction {
-    /// When the cloud will take the machine, as its termination notice says.
+    /// Returns when the cloud will terminate the machine, or `None` without a termination notice.
     pub(in crate::scheduler) fn terminates_at(&self) -> Option<Timestamp> {
         self.terminates_at
     }
 
-    /// Whether the cloud has announced to take the machine.
+    /// Reports whether the machine has a termination notice.
     pub(in crate::scheduler) fn has_notice(&self) -> bool {
         self.terminates_at.is_some()
     }
 
-    /// Sets the termination notice, or that there is none.
+    /// Sets or removes the termination notice.
     pub(in crate::scheduler) fn set_notice(&mut self, terminates_at: Option<Timestamp>) {
         self.terminates_at = terminates_at;
     }
 
-    /// Whether the machine drains only because there is more capacity than is needed.
+    /// Reports whether the machine drains only because there is more capacity than needed.
     pub(in crate::scheduler) fn is_surplus(&self) -> bool {
         self.surplus
     }
 
-    /// Sets whether there is more capacity than is needed.
+    /// Sets whether the machine drains only because there is more capacity than needed.
     pub(in crate::scheduler) fn set_surplus(&mut self, surplus: bool) {
         self.surplus = surplus;
     }
--- a/src/scheduler/machines/health.rs
+++ b/src/scheduler/machines/health.rs
@@ -1,66 +1,68 @@
-//! Failures of tasks on a machine, and what they say of it.
+//! Task failures on a machine, and the backoff and quarantine that follow from them.
 
 use crate::scheduler::index::JobIndex;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// A machine on which tasks of so many jobs have failed is faulty.
+/// A machine is considered faulty when tasks of this many jobs have failed on it.
 const FAULTY_MACHINE_JOBS: usize = 2;
-/// First pause after a failed task; it doubles with every job whose tasks fail there.
-const FIRST_BACKOFF: Duration = Duration::from_secs(2);
-/// Most doublings of the pause.
-const BACKOFF_DOUBLINGS: usize = 4;
-/// Pause after a start that the machine refused for lack of capacity.
+/// Base of the backoff after a failed task. It is doubled for every job with failures on the machine, also for the
+/// first, so the shortest backoff is twice this.
+const BASE_BACKOFF: Duration = Duration::from_secs(2);
+/// Maximum number of doublings of the backoff.
+const MAX_BACKOFF_DOUBLINGS: usize = 4;
+/// Backoff after the machine has refused a start for lack of capacity.
 const REFUSED_START_BACKOFF: Duration = Duration::from_secs(3);
 
-/// The failures of tasks on a machine.
+/// Failure record of a machine.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct Health {
-    /// Jobs whose tasks have failed there since a task last finished.
+    /// Jobs of which tasks have failed on the machine since a task last finished there.
     failed_jobs: Vec<JobIndex>,
-    /// Whether the machine is draining because of its failures.
+    /// Whether the machine was up before its failures drained it, so that it is to be used again when they no longer count.
     quarantined: bool,
-    /// It gets no task before.
+    /// The machine gets no new task before this time.
     backoff_until: Timestamp,
 }
 
 impl Health {
-    /// A task of a job has failed. True if the machine is now taken to be faulty.
+    /// Records that a task of a job has failed, and reports whether the machine is now considered faulty.
     pub(in crate::scheduler) fn record_failure(&mut self, job: JobIndex, now: Timestamp) -> bool {
         if !self.failed_jobs.contains(&job) {
             self.failed_jobs.push(job);
         }
-        let doublings = self.failed_jobs.len().min(BACKOFF_DOUBLINGS);
-        self.backoff_until = now + FIRST_BACKOFF * (1 << doublings);
+        let doublings = self.failed_jobs.len().min(MAX_BACKOFF_DOUBLINGS);
+        self.backoff_until = now + BASE_BACKOFF * (1 << doublings);
         self.is_faulty()
     }
 
-    /// The machine has refused a start for lack of capacity.
+    /// Records that the machine has refused a start for lack of capacity.
     pub(in crate::scheduler) fn record_refused_start(&mut self, now: Timestamp) {
         self.backoff_until = now + REFUSED_START_BACKOFF;
     }
 
-    /// A task has finished.
+    /// Records that a task has finished, which clears all failures.
     pub(in crate::scheduler) fn record_success(&mut self) {
         self.failed_jobs.clear();
     }
 
+    /// Reports whether tasks of enough jobs have failed to consider the machine faulty.
     fn is_faulty(&self) -> bool {
         self.failed_jobs.len() >= FAULTY_MACHINE_JOBS
     }
 
-    /// Whether tasks of a job have failed there.
+    /// Reports whether tasks of a job have failed on the machine.
     pub(in crate::scheduler) fn has_failed(&self, job: JobIndex) -> bool {
         self.failed_jobs.contains(&job)
     }
 
-    /// Whether no failure counts against the machine.
+    /// Reports whether no failures are recorded.
     #[cfg(test)]
-    pub(in crate::scheduler) fn is_unblemished(&self) -> bool {
+    pub(in crate::scheduler) fn has_no_failures(&self) -> bool {
         self.failed_jobs.is_empty()
     }
 
-    /// The failures of a job no longer count.
+    /// Removes the failures of a job.
     pub(in crate::scheduler) fn forget_job(&mut self, job: JobIndex) {
         self.failed_jobs.retain(|failed| *failed != job);
     }
@@ -70,18 +72,18 @@
         self.quarantined = quarantined;
     }
 
-    /// Ends the quarantine if too few failures are left for it. True if it is ended.
+    /// Ends the quarantine if the machine is no longer faulty, and reports whether it ended.
     pub(in crate::scheduler) fn end_quarantine(&mut self) -> bool {
         !self.is_faulty() && std::mem::take(&mut self.quarantined)
     }
 
-    /// Until when the machine pauses after a failure.
+    /// Returns the end of the backoff.
     #[cfg(test)]
     pub(in crate::scheduler) fn backoff_until(&self) -> Timestamp {
         self.backoff_until
     }
 
-    /// Whether the machine pauses after a failure.
+    /// Reports whether the machine is backing off after a failure or a refused start.
     pub(in crate::scheduler) fn is_backing_off(&self, now: Timestamp) -> bool {
         now < self.backoff_until
     }
--- a/src/scheduler/machines/offer.rs
+++ b/src/scheduler/machines/offer.rs
@@ -1,20 +1,20 @@
-//! What a machine is in the terms of the cloud.
+//! Machine type, zone and purchase model of machines, and how a machine became known.
 
 use crate::scheduler::index::{MachineTypeIndex, ZoneIndex};
 use crate::store::RentalRecord;
 
-/// What the cloud offers: machines of a type in a zone, spot or on demand.
+/// An offer of the cloud: machines of one type in one zone, spot or on demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Offer {
     /// Machine type.
     pub machine_type: MachineTypeIndex,
     /// Zone.
     pub zone: ZoneIndex,
-    /// Whether these are spot machines.
+    /// Whether the offer is for spot machines.
     pub spot: bool,
 }
 
-/// What a machine is, by the names of the cloud.
+/// Type, zone and purchase model of a machine, by the cloud's names.
 #[derive(Debug, Clone, Copy)]
 pub struct Hardware<'a> {
     /// Name of the machine type.
@@ -38,10 +38,10 @@
 /// How a machine became known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// Rented just now.
+    /// Rented in this epoch.
     Rented,
-    /// Unregistered, but known to be there.
-    Found,
-    /// Recorded in the store: rented in an earlier epoch, and perhaps released or preempted since.
+    /// Known to exist, but without a rental record until this leader wrote one.
+    Adopted,
+    /// Read from a rental record of an earlier epoch; possibly released or preempted since.
     Inherited,
 }
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -119,7 +119,7 @@
     assert!(cluster
         .scheduler
         .machines()
-        .all(|(_, m)| m.state() == MachineState::Up && m.health.is_unblemished()));
+        .all(|(_, m)| m.state() == MachineState::Up && m.health.has_no_failures()));
     assert!(
         cluster
             .scheduler
