--- a/src/scheduler/image_holders.rs
+++ b/src/scheduler/image_holders.rs
@@ -39,7 +39,7 @@
         if holder.images().back() == Some(&image) {
             return;
         }
-        let forgotten = holder.use_image(image);
+        let forgotten = holder.record_image_use(image);
         self.image_holders.insert(image, machine);
         if let Some(forgotten) = forgotten {
             self.image_holders.remove(forgotten, machine);
--- a/src/scheduler/machines/boot_progress.rs
+++ b/src/scheduler/machines/boot_progress.rs
@@ -1,17 +1,17 @@
-//! How far a machine has come since it was rented.
+//! The progress of a machine from its rental until it comes up.
 
 use super::offer::Origin;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How and when a machine became known, and what the cloud's list says of it until it is up.
+/// How and when a machine became known, and what the cloud's list says about it while it boots.
 #[derive(Debug)]
 pub(in crate::scheduler) struct BootProgress {
     origin: Origin,
     known_since: Timestamp,
-    /// How long before `known_since` it was rented, as far as the cloud's list tells while it boots.
-    rented_earlier: Duration,
-    /// Whether the cloud has listed it in this epoch.
+    /// Age of the machine at `known_since`, as far as the cloud's list has shown it while booting.
+    age_when_known: Duration,
+    /// Whether the cloud's list has contained the machine in this epoch.
     listed: bool,
 }
 
@@ -20,46 +20,46 @@
         BootProgress {
             origin,
             known_since,
-            rented_earlier: Duration::ZERO,
+            age_when_known: Duration::ZERO,
             listed: false,
         }
     }
 
-    /// When the machine became known here.
+    /// Returns when the machine became known to this leader.
     pub(in crate::scheduler) fn known_since(&self) -> Timestamp {
         self.known_since
     }
 
-    /// When it was rented, as far as that is known.
+    /// Returns when the machine was rented, as far as that is known.
     pub(super) fn rented_at(&self) -> Timestamp {
-        self.known_since.saturating_sub(self.rented_earlier)
+        self.known_since.saturating_sub(self.age_when_known)
     }
 
-    /// The time since it was rented, as far as that is known.
+    /// Returns the time since the machine was rented, as far as that is known.
     pub(super) fn age(&self, now: Timestamp) -> Duration {
-        now.saturating_duration_since(self.known_since) + self.rented_earlier
+        now.saturating_duration_since(self.known_since) + self.age_when_known
     }
 
-    /// Whether it was rented in this epoch, so that its boot time can be measured.
-    pub(super) fn is_measured(&self) -> bool {
+    /// Reports whether the machine was rented in this epoch, so that its boot time can be measured.
+    pub(super) fn rented_this_epoch(&self) -> bool {
         self.origin == Origin::Rented
     }
 
-    /// Whether it surely exists. A machine of an earlier epoch may have been released or preempted meanwhile: a new leader
-    /// once counted on the capacity of such machines for most of a minute.
-    pub(super) fn surely_exists(&self) -> bool {
+    /// Reports whether the machine is known to exist. A machine of an earlier epoch may have been released or preempted in
+    /// the meantime; a new leader that assumes it exists would count on its capacity for most of a minute.
+    pub(super) fn is_known_to_exist(&self) -> bool {
         self.origin != Origin::Inherited || self.listed
     }
 
-    /// The cloud lists it.
+    /// Records that the cloud's list contains the machine.
     pub(super) fn set_listed(&mut self) {
         self.listed = true;
     }
 
-    /// The cloud lists it as booting for some time. Of several lists the greatest age counts, since a list may be older than
-    /// the one before it.
+    /// Records the age that the cloud's list shows while the machine is booting. The greatest age of all lists counts, since
+    /// a list may be older than the one received before it.
     pub(super) fn set_age(&mut self, age: Duration, now: Timestamp) {
         let known_for = now.saturating_duration_since(self.known_since);
-        self.rented_earlier = self.rented_earlier.max(age.saturating_sub(known_for));
+        self.age_when_known = self.age_when_known.max(age.saturating_sub(known_for));
     }
 }
--- a/src/scheduler/machines/command_channel.rs
+++ b/src/scheduler/machines/command_channel.rs
@@ -1,39 +1,39 @@
-//! The order of what is sent to a machine: its fencing token, and the direct commands under way.
+//! State that orders the messages to a machine: its fencing token, and whether direct commands are in flight.
 
-/// What is known of the commands sent to a machine.
+/// Fencing token and direct commands of a machine.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct CommandChannel {
-    /// How often the fencing token was advanced in this epoch.
+    /// Number of times the fencing token was advanced in this epoch.
     token_counter: u64,
-    /// Whether direct commands are under way whose response is still out.
+    /// Whether direct commands were sent whose response is pending.
     direct_in_flight: bool,
-    /// Whether direct starts were sent under the present token.
+    /// Whether direct starts were sent under the current token.
     direct_starts_sent: bool,
 }
 
 impl CommandChannel {
-    /// How often the fencing token was advanced in this epoch.
+    /// Returns how often the fencing token was advanced in this epoch.
     pub(in crate::scheduler) fn token_counter(&self) -> u64 {
         self.token_counter
     }
 
-    /// Whether direct commands are under way whose response is still out.
+    /// Reports whether direct commands were sent whose response is pending.
     pub(in crate::scheduler) fn is_direct_in_flight(&self) -> bool {
         self.direct_in_flight
     }
 
-    /// Whether direct starts were sent under the present token.
+    /// Reports whether direct starts were sent under the current token.
     pub(in crate::scheduler) fn has_sent_direct_starts(&self) -> bool {
         self.direct_starts_sent
     }
 
-    /// Direct commands are sent.
-    pub(super) fn send_direct(&mut self, with_starts: bool) {
+    /// Records that direct commands are sent.
+    pub(super) fn begin_direct(&mut self, with_starts: bool) {
         self.direct_in_flight = true;
         self.direct_starts_sent |= with_starts;
     }
 
-    /// The response to direct commands has arrived, or will not any more.
+    /// Records that direct commands are no longer in flight: their response has arrived or the request has failed.
     pub(super) fn finish_direct(&mut self) {
         self.direct_in_flight = false;
     }
--- a/src/scheduler/machines/direct_commands.rs
+++ b/src/scheduler/machines/direct_commands.rs
@@ -1,4 +1,4 @@
-//! Commands and probes that are sent straight to workers, and the order in which machines are released.
+//! Commands and probes that are sent directly to workers, and the order in which machines are released.
 
 use super::machine::{Machine, MachineState};
 use crate::protocol::{Command, DirectCommandRequest, FencingToken, WorkerStatus};
@@ -9,28 +9,28 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Beside the time in which a machine surely reports, before it is probed.
+/// Added to the heartbeat timeout before a machine is probed.
 const PROBE_MARGIN: Duration = Duration::from_millis(500);
-/// Least time between two probes of a machine.
+/// Minimum time between two probes of a machine.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Commands to be sent straight to a worker; without any they are a probe.
+/// Commands to be sent directly to a worker. A message without commands is a probe: the worker responds with its status.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DirectCommands {
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: String,
-    /// The worker's address.
+    /// Address of the worker.
     pub address: String,
-    /// The machine's fencing token.
+    /// Fencing token of the machine.
     pub token: FencingToken,
-    /// The worker's session.
+    /// Session of the worker for which the commands are meant.
     pub session: u64,
-    /// The commands.
+    /// Commands, in the order in which the worker executes them.
     pub commands: Vec<Command>,
 }
 
 impl DirectCommands {
-    /// The message to the worker.
+    /// Returns the request to be sent to the worker.
     #[must_use]
     pub fn request(&self) -> DirectCommandRequest {
         DirectCommandRequest {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether a task is started.
+    /// Reports whether the commands start a task.
     fn has_starts(&self) -> bool {
         self.commands
             .iter()
@@ -48,8 +48,9 @@
     }
 }
 
-/// How much waits for a machine to be heard or proven gone, the most first: replicas of services, other tasks, nothing.
-fn urgency(machine: &Machine) -> (Reverse<u64>, Reverse<usize>) {
+/// Returns a sort key that orders machines by the work that cannot be restarted elsewhere until they send a heartbeat or are
+/// confirmed gone, most work first: by CPUs of services, then by number of tasks.
+fn blocked_work_key(machine: &Machine) -> (Reverse<u64>, Reverse<usize>) {
     (
         Reverse(machine.load.service_cpu_milli()),
         Reverse(machine.load.tasks().len()),
@@ -57,7 +58,8 @@
 }
 
 impl Scheduler {
-    /// Starts and stops to be sent straight to workers, at most one message a machine at a time, up to a number of messages.
+    /// Returns up to `limit` messages with the pending starts and stops, at most one for each machine. A machine is skipped
+    /// while an earlier message to it is in flight.
     pub fn direct_commands(&mut self, limit: usize) -> Vec<DirectCommands> {
         let mut messages = Vec::new();
         for index in self.pending_commands.clone() {
@@ -68,7 +70,7 @@
                 self.pending_commands.remove(&index);
                 continue;
             };
-            // Stays pending until it can be told, by direct commands or in the answer to its heartbeat.
+            // The machine stays pending until its commands can be sent, directly or in the reply to its heartbeat.
             if !machine.contact.acknowledges_token() || machine.commands.is_direct_in_flight() {
                 continue;
             }
@@ -77,26 +79,27 @@
             if !message.commands.is_empty() {
                 self.machine_mut(index)
                     .commands
-                    .send_direct(message.has_starts());
+                    .begin_direct(message.has_starts());
                 messages.push(message);
             }
         }
         messages
     }
 
-    /// What is to be sent to a machine.
+    /// Returns a message with the unsent stops and starts of a machine.
     fn collect_commands(&mut self, index: MachineIndex) -> DirectCommands {
-        let mut message = self.message_to(index);
+        let mut message = self.message_without_commands(index);
         self.collect_stops(index, &mut message.commands);
-        // A release may take long where the cloud does not answer: what is cancelled there is stopped meanwhile.
+        // A release may take long if the cloud does not respond, so cancelled tasks are stopped in the meantime. Starts are
+        // not sent to a machine that is to be released.
         if self.machine(index).state() != MachineState::Releasing {
             self.collect_starts(index, Route::Direct, &mut message.commands);
         }
         message
     }
 
-    /// A message to a machine without commands.
-    fn message_to(&self, index: MachineIndex) -> DirectCommands {
+    /// Returns a message to a machine that contains no commands.
+    fn message_without_commands(&self, index: MachineIndex) -> DirectCommands {
         let machine = self.machine(index);
         DirectCommands {
             machine: machine.name().to_string(),
@@ -107,31 +110,33 @@
         }
     }
 
-    /// Whether direct commands may still be sent: every start in them is of an attempt that is to run. A connection may take
-    /// seconds, in which the job is cancelled and that is confirmed to its user.
+    /// Reports whether direct commands may still be sent: every start in them is of an active attempt that is not being
+    /// stopped. Opening a connection may take seconds, in which a job may be cancelled and the cancellation confirmed to its
+    /// user.
     #[must_use]
     pub fn is_still_valid(&self, direct: &DirectCommands) -> bool {
         direct.commands.iter().all(|command| match command {
-            Command::Start { task, attempt } => self.is_to_run(task, *attempt),
+            Command::Start { task, attempt } => self.is_attempt_current(task, *attempt),
             _ => true,
         })
     }
 
-    fn is_to_run(&self, task: &str, attempt: u64) -> bool {
+    /// Reports whether this attempt of a task is the active one and is not being stopped.
+    fn is_attempt_current(&self, task: &str, attempt: u64) -> bool {
         self.find_task(task)
             .and_then(|task| self.attempt(task))
             .is_some_and(|active| active.attempt == attempt && !active.is_stopping())
     }
 
-    /// Machines to be released, up to a number, those first of which most waits for the proof that they are gone: when many
-    /// fall together, a call takes only some of them.
+    /// Returns the names of up to `limit` machines to be released. Machines that block most work come first, because one
+    /// release call takes only some of the machines when many fail together.
     #[must_use]
     pub fn machines_to_release(&self, limit: usize) -> Vec<String> {
         let mut releasing: Vec<_> = self
             .machines()
             .filter(|(_, machine)| machine.state() == MachineState::Releasing)
             .collect();
-        releasing.sort_by_key(|(index, machine)| (urgency(machine), *index));
+        releasing.sort_by_key(|(index, machine)| (blocked_work_key(machine), *index));
         releasing
             .into_iter()
             .take(limit)
@@ -139,39 +144,41 @@
             .collect()
     }
 
-    /// Probes, up to a number, for machines that are overdue or have not shown the current token yet: the response is a
-    /// heartbeat under it, much sooner than the worker's next one. Those that may hold replicas come first, then those with
-    /// other tasks.
+    /// Returns up to `limit` probes for machines whose heartbeat is overdue or that have not acknowledged the current token:
+    /// the response is a heartbeat under that token and arrives much sooner than the worker's next one. Machines that may
+    /// hold replicas of services come first, then those with other tasks.
     pub fn due_probes(&mut self, limit: usize) -> Vec<DirectCommands> {
         let mut due: Vec<_> = self
             .machines()
             .filter(|(_, machine)| self.is_probe_due(machine))
-            .map(|(index, machine)| (urgency(machine), index))
+            .map(|(index, machine)| (blocked_work_key(machine), index))
             .collect();
         due.sort_unstable();
         let next_at = self.now() + MIN_PROBE_INTERVAL.max(self.params.heartbeat_interval / 2);
         let mut probes = Vec::new();
         for (_, index) in due.into_iter().take(limit) {
-            probes.push(self.message_to(index));
+            probes.push(self.message_without_commands(index));
             let machine = self.machine_mut(index);
-            machine.commands.send_direct(false);
+            machine.commands.begin_direct(false);
             machine.contact.record_probe(next_at);
         }
         probes
     }
 
+    /// Reports whether a machine should be probed now.
     fn is_probe_due(&self, machine: &Machine) -> bool {
         let now = self.now();
-        let overdue = self.params.quiet_time() + PROBE_MARGIN;
+        let overdue = self.params.heartbeat_timeout() + PROBE_MARGIN;
         let contact = &machine.contact;
-        machine.is_expected()
+        machine.is_heartbeat_expected()
             && (!contact.acknowledges_token() || contact.is_silent_for(overdue, now))
             && !machine.commands.is_direct_in_flight()
             && contact.may_be_probed(now)
     }
 
-    /// The response to direct commands, or none. Without one they may execute minutes later: the fencing token is advanced,
-    /// so that they are void once the worker has seen it, and until then nothing is concluded from its heartbeats.
+    /// Processes the response to direct commands, or its absence. Without a response the commands may execute minutes later,
+    /// so the fencing token is advanced: the worker ignores them once it has seen the new token, and until it acknowledges
+    /// that token, its heartbeats say nothing about the tasks on the machine.
     pub fn handle_direct_response(
         &mut self,
         sent: &DirectCommands,
@@ -186,12 +193,13 @@
                 self.handle_heartbeat(report, HeartbeatSource::DirectResponse);
             }
             None if sent.commands.is_empty() => {}
-            None => self.advance_fencing_token(index, "no answer to direct commands"),
+            None => self.advance_fencing_token(index, "no response to direct commands"),
         }
     }
 
-    /// Advances a machine's fencing token: what was sent under the old one is void once the worker has seen the new one.
-    /// Until it shows it, it gets no work; if it never does, though it reports, it is replaced like a silent one.
+    /// Advances a machine's fencing token: commands under the old token are void once the worker has seen the new one. The
+    /// machine gets no work until it acknowledges the new token. If it never does, it is replaced like a silent machine, even
+    /// if its heartbeats arrive.
     pub(in crate::scheduler) fn advance_fencing_token(
         &mut self,
         index: MachineIndex,
@@ -199,7 +207,7 @@
     ) {
         let machine = self.machine_mut(index);
         machine.commands.advance_token();
-        machine.contact.await_token();
-        tracing::info!(machine = %machine.name(), reason, "fencing token advanced");
+        machine.contact.reset_acknowledgement();
+        tracing::info!(machine = %machine.name(), reason, "fencing token advanced, no new work until the worker acknowledges it");
     }
 }
--- a/src/scheduler/machines/expiry.rs
+++ b/src/scheduler/machines/expiry.rs
@@ -1,4 +1,4 @@
-//! What time alone brings: leases that have surely expired, and termination notices.
+//! Time-driven changes on each tick: expired leases and termination notices.
 
 use super::machine::{Machine, MachineState};
 use crate::protocol::{JobKind, JobSpec};
@@ -8,17 +8,17 @@
 use crate::time::{duration, Timestamp};
 use std::time::Duration;
 
-/// Most time between two ticks of a process that has its processor.
-const TICK_GAP: Duration = Duration::from_secs(1);
-/// Beside two heartbeats, for the way of a stop to a worker before its machine is taken.
+/// Maximum time between two ticks of a process that runs without interruption. A longer gap counts as a pause.
+const MAX_TICK_GAP: Duration = Duration::from_secs(1);
+/// Added to two heartbeat intervals as the time for a stop to reach the worker before its machine terminates.
 const STOP_MARGIN: Duration = Duration::from_secs(2);
 
 impl Scheduler {
-    /// Moves the clock, and does what time alone brings for each machine.
+    /// Advances the clock, compensates for a pause of this process, and handles expired leases and termination notices.
     pub fn tick(&mut self, now: u64) {
         let now_at = Timestamp::from_millis(now);
         let gap = now_at.saturating_duration_since(self.last_tick_at);
-        let pause = gap.saturating_sub(TICK_GAP);
+        let pause = gap.saturating_sub(MAX_TICK_GAP);
         if self.last_tick_at > Timestamp::ZERO && pause > Duration::ZERO {
             self.compensate_process_pause(pause);
         }
@@ -32,31 +32,31 @@
         }
     }
 
-    /// Whether a machine's lease has surely expired.
+    /// Reports whether a machine's lease has certainly expired.
     fn lease_has_expired(&self, machine: &Machine) -> bool {
         machine.lease.has_expired(self.params.lease, self.now())
     }
 
-    /// Nothing is left on a machine whose lease has surely expired.
+    /// Marks all tasks of a machine as gone if its lease has certainly expired, since its worker has then stopped them.
     fn expire_lease(&mut self, index: MachineIndex) {
         let machine = self.machine(index);
         if machine.load.tasks().is_empty() || !self.lease_has_expired(machine) {
             return;
         }
         let tasks = machine.load.tasks().len();
-        tracing::info!(machine = %machine.name(), tasks, "lease expired");
+        tracing::info!(machine = %machine.name(), tasks, "worker lease expired, tasks are gone");
         self.drop_all_tasks(index);
-        // A worker that comes back is in its next session; nothing meant for the last one may reach it.
+        // A worker that returns is in a new session, and no command meant for the previous one may take effect there.
         self.advance_fencing_token(index, "lease expired");
     }
 
-    /// Drains a machine with a termination notice. Services are stopped at once, work that saves just in time to save; the
-    /// rest may still finish.
+    /// Drains a machine with a termination notice. Services are stopped at once, and tasks that save checkpoints just in time
+    /// to save; other tasks run on, as they may still finish.
     fn evict_before_termination(&mut self, index: MachineIndex, now: Timestamp) {
         let Some(terminates_at) = self.machine(index).eviction.terminates_at() else {
             return;
         };
-        self.set_machine_state(index, MachineState::Draining, "notice");
+        self.set_machine_state(index, MachineState::Draining, "termination notice");
         for task in self.machine(index).load.tasks().clone() {
             let spec = &self.job(task.job).record.spec;
             let save = spec.checkpoint_interval_s > 0.0;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The time that a task needs to save its progress, with the way of the stop to its worker.
+    /// Returns the time that a task needs to save its progress, including the delivery of the stop to its worker.
     fn time_to_save(&self, spec: &JobSpec) -> Duration {
         duration(spec.save_s) + self.params.heartbeat_interval * 2 + STOP_MARGIN
     }
--- a/src/scheduler/machines/lease.rs
+++ b/src/scheduler/machines/lease.rs
@@ -1,79 +1,80 @@
-//! The lease under which a machine's worker runs tasks, as its leader counts it.
+//! The lease under which a machine's worker runs tasks, as the leader tracks it.
 
 use crate::scheduler::heartbeat::HeartbeatSequence;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Share of a lease by which clocks may drift apart, as a divisor.
+/// The clocks of leader and worker drift apart by at most the length of a lease divided by this number.
 const DRIFT_DIVISOR: u32 = 500;
-/// A margin beside the drift of clocks.
+/// Safety margin added to the clock drift.
 const LEASE_MARGIN: Duration = Duration::from_millis(500);
 
-/// The lease of a machine. Once it has surely expired, its worker has stopped every task.
+/// The lease of a machine's worker. Once it has certainly expired, the worker has stopped all of its tasks.
 #[derive(Debug)]
 pub(in crate::scheduler) struct Lease {
-    /// When a heartbeat of the machine was last answered, or until when an earlier leader may have answered one.
-    answered_at: Timestamp,
-    /// The newest heartbeat that awaited an answer.
+    /// When the reply to a heartbeat last renewed the lease, or until when an earlier leader may have renewed it.
+    renewed_at: Timestamp,
+    /// Sequence of the newest heartbeat that was sent as a request.
     latest_request: HeartbeatSequence,
-    /// When its present session became known here: it may have begun only just before, with its full lease.
+    /// When the worker's current session became known here. It may have begun just before that, with a full lease.
     session_seen_at: Timestamp,
 }
 
 impl Lease {
     pub(super) fn new(now: Timestamp) -> Self {
         Lease {
-            answered_at: now,
+            renewed_at: now,
             latest_request: HeartbeatSequence::default(),
             session_seen_at: Timestamp::ZERO,
         }
     }
 
-    /// When the lease was last renewed by an answer.
+    /// Returns when the lease was last renewed.
     #[cfg(test)]
-    pub(in crate::scheduler) fn answered_at(&self) -> Timestamp {
-        self.answered_at
+    pub(in crate::scheduler) fn renewed_at(&self) -> Timestamp {
+        self.renewed_at
     }
 
-    /// The newest heartbeat whose answer renewed the lease.
+    /// Returns the sequence of the newest heartbeat whose reply renewed the lease.
     #[cfg(test)]
     pub(in crate::scheduler) fn latest_request(&self) -> HeartbeatSequence {
         self.latest_request
     }
 
-    /// A heartbeat is about to be answered, which renews the lease.
+    /// Renews the lease for a heartbeat request that is about to be answered, if it is the newest request.
     ///
-    /// Held back by the network or a late copy, an old heartbeat is as old as its task list: nothing follows from it for
-    /// its tasks. A worker has one request in flight, so that of one older than the last it awaits no answer either. One
-    /// that was overtaken by the response to direct commands counts, since its worker still waits for the answer.
+    /// A request that is older than the last one was delayed or duplicated by the network. Its task list is out of date, so
+    /// it changes nothing for tasks, and since a worker has one request in flight at a time, it no longer waits for the reply
+    /// either. Requests are compared with requests only: one that was overtaken by the response to direct commands counts,
+    /// because its worker still waits for the reply.
     pub(in crate::scheduler) fn renew(&mut self, request: HeartbeatSequence, now: Timestamp) {
         if request > self.latest_request {
             self.latest_request = request;
-            self.answered_at = self.answered_at.max(now);
+            self.renewed_at = self.renewed_at.max(now);
         }
     }
 
-    /// The worker is in a new session. Its lease runs from its beginning, answered or not: a machine that reached no
-    /// controller once got work in its next session by direct commands, and was taken to be past the lease of the session
-    /// before.
+    /// Records a new session of the worker. Its lease runs from the beginning of the session, even if no heartbeat was
+    /// answered in it. Otherwise a machine that reaches no controller, but is given work in its new session by direct
+    /// commands, would be judged by the expired lease of its previous session.
     pub(in crate::scheduler) fn begin_session(&mut self, now: Timestamp) {
         self.session_seen_at = now;
     }
 
-    /// An earlier leader may have renewed the lease until then.
+    /// Sets the time until which an earlier leader may have renewed the lease.
     pub(in crate::scheduler) fn assume_renewed_until(&mut self, until: Timestamp) {
-        self.answered_at = until;
+        self.renewed_at = until;
     }
 
-    /// Whether the lease has surely expired, whatever the drift of clocks.
+    /// Reports whether the lease has certainly expired, with allowance for clock drift.
     pub(super) fn has_expired(&self, lease: Duration, now: Timestamp) -> bool {
-        let began_at = self.answered_at.max(self.session_seen_at);
+        let began_at = self.renewed_at.max(self.session_seen_at);
         now > began_at + lease + lease / DRIFT_DIVISOR + LEASE_MARGIN
     }
 
-    /// Whether so much of the lease is over that the machine should get no more work: one that only direct commands reach
-    /// is about to lose what it has.
+    /// Reports whether more than half of the lease has passed, after which the machine should get no more work: a machine
+    /// that only direct commands reach is about to lose its tasks.
     pub(in crate::scheduler) fn is_half_over(&self, lease: Duration, now: Timestamp) -> bool {
-        now > self.answered_at + lease / 2
+        now > self.renewed_at + lease / 2
     }
 }
--- a/src/scheduler/machines/lifecycle.rs
+++ b/src/scheduler/machines/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How machines come, change their state, and go.
+//! The life cycle of machines: addition, state changes, boot and removal.
 
 use super::machine::{Machine, MachineState};
 use super::offer::{Hardware, Offer, Origin};
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// Adds a machine that the store records. One of an earlier epoch may have been released or preempted meanwhile.
+    /// Adds a machine that has a rental record in the store. A machine of an earlier epoch may have been released or
+    /// preempted in the meantime. Does nothing if the machine is already known or its name cannot be written to the start
+    /// log.
     pub fn add_machine(&mut self, name: &str, hardware: Hardware, origin: Origin) {
         if self.knows(name) || !is_loggable_name(name) {
             return;
@@ -29,19 +31,21 @@
         self.pass_requested = true;
     }
 
-    /// The one function that changes a machine's state.
+    /// Changes a machine's state. All state changes go through this function, so that starts which were not sent yet are
+    /// cancelled whenever a machine stops accepting tasks.
     pub fn set_machine_state(&mut self, index: MachineIndex, next: MachineState, reason: &str) {
         if !self.machine_mut(index).transition(next, reason) {
             return;
         }
-        // A release executes late or not at all: what of ours has not been sent yet must not be any more.
+        // A release call may execute at any later time or not at all, so tasks that were assigned to the machine but not
+        // sent must not be sent any more.
         if next != MachineState::Up {
             self.cancel_unsent_starts(index);
         }
         self.pass_requested = true;
     }
 
-    /// Takes tasks that were assigned to a machine, but not sent, off it.
+    /// Removes the tasks that were assigned to a machine but not sent to it.
     fn cancel_unsent_starts(&mut self, index: MachineIndex) {
         let tasks: Vec<_> = self.machine(index).load.tasks().iter().copied().collect();
         for task in tasks {
@@ -52,7 +56,7 @@
         }
     }
 
-    /// The cloud has confirmed that a machine is gone, and everything on it.
+    /// Removes a machine after the cloud has confirmed that it no longer exists, together with all tasks on it.
     pub fn machine_gone(&mut self, name: &str) {
         let Some(index) = self.machines.index_of(name) else {
             return;
@@ -69,15 +73,16 @@
         self.pass_requested = true;
     }
 
-    /// Nothing that was on a machine is there any more.
+    /// Marks all tasks of a machine as gone.
     pub(super) fn drop_all_tasks(&mut self, index: MachineIndex) {
         for task in self.machine(index).load.tasks().clone() {
             self.apply_event(task, TaskEvent::Gone);
         }
     }
 
-    /// The cloud lists a machine. If it is running, heartbeats are expected from now on. If it boots, its age tells when it
-    /// was rented: without that, each new leader would wait anew for machines that never come up.
+    /// Records that the cloud's list contains a machine. If it is running, heartbeats are expected from now on. If it is
+    /// booting, its age tells when it was rented: without it, each new leader would restart the boot timeout of machines that
+    /// never come up.
     pub fn record_listing(
         &mut self,
         index: MachineIndex,
@@ -90,50 +95,50 @@
         machine.boot.set_listed();
         if running {
             machine.contact.set_address_if_unknown(address);
-            machine.contact.expect_from(now);
+            machine.contact.expect_heartbeats_from(now);
         } else {
             machine.boot.set_age(age, now);
         }
     }
 
-    /// Whether a machine has been booting for too long to be worth its price any more. One that was heard, or is listed as
-    /// running, is judged by its silence instead.
+    /// Reports whether a machine has exceeded its boot timeout. A machine that has sent a heartbeat or is listed as running
+    /// is judged by its silence instead, see [`Scheduler::unresponsive_machines`].
     #[must_use]
     pub fn boot_timed_out(&self, machine: &Machine) -> bool {
         let offer = machine.offer();
         let nominal_ms = self.machine_types.nominal_boot_ms(offer.machine_type);
         machine.state() == MachineState::Waiting
-            && !machine.contact.is_expected()
+            && !machine.contact.is_heartbeat_expected()
             && machine.boot.age(self.now()) > self.boot_times.timeout(offer, nominal_ms)
     }
 
-    /// Gives up a machine that has not come up. If its offer is in doubt, returns for how long to ask others: as long as it
-    /// took to learn this.
+    /// Marks a machine that has not come up for release. If its offer has become doubtful, returns the offer and for how long
+    /// to avoid it: the age of the machine, which is the time that it took to find out.
     pub fn abandon_boot(&mut self, index: MachineIndex) -> Option<(Offer, Duration)> {
         let now = self.now();
         let machine = &self.machines[index];
         let (offer, age) = (machine.offer(), machine.boot.age(now));
         let nominal_ms = self.machine_types.nominal_boot_ms(offer.machine_type);
-        let in_doubt =
+        let is_doubtful =
             self.boot_times
                 .record_timeout(offer, nominal_ms, machine.boot.rented_at(), now);
-        self.set_machine_state(index, MachineState::Releasing, "never came up");
-        in_doubt.then_some((offer, age))
+        self.set_machine_state(index, MachineState::Releasing, "boot timed out");
+        is_doubtful.then_some((offer, age))
     }
 
-    /// A machine has sent its first heartbeat under the current token: it is up.
+    /// Marks a machine as up when its first heartbeat under the current token arrives.
     pub(in crate::scheduler) fn machine_came_up(&mut self, index: MachineIndex) {
         let now = self.now();
-        self.machine_mut(index).load.come_up(now);
-        self.measure_boot(index);
-        self.set_machine_state(index, MachineState::Up, "reported");
+        self.machine_mut(index).load.mark_up(now);
+        self.record_boot_time(index);
+        self.set_machine_state(index, MachineState::Up, "first heartbeat");
     }
 
-    /// Measures how long a machine that was rented in this epoch has taken to come up.
-    fn measure_boot(&mut self, index: MachineIndex) {
+    /// Records the boot time of a machine that was rented in this epoch.
+    fn record_boot_time(&mut self, index: MachineIndex) {
         let now = self.now();
         let machine = &self.machines[index];
-        if !machine.boot.is_measured() {
+        if !machine.boot.rented_this_epoch() {
             return;
         }
         let (offer, since) = (machine.offer(), machine.boot.known_since());
@@ -142,12 +147,12 @@
         self.boot_times.record_boot(offer, nominal_ms, since, took);
     }
 
-    /// Whether a machine boots and is not late, so that its capacity may be counted on.
+    /// Reports whether a machine is booting within its expected boot time, so that its capacity counts as available soon.
     pub(in crate::scheduler) fn is_booting(&self, machine: &Machine) -> bool {
         let offer = machine.offer();
         let nominal_ms = self.machine_types.nominal_boot_ms(offer.machine_type);
         machine.state() == MachineState::Waiting
-            && machine.boot.surely_exists()
+            && machine.boot.is_known_to_exist()
             && machine.load.tasks().is_empty()
             && machine.boot.age(self.now()) <= self.boot_times.expected(offer, nominal_ms)
     }
--- a/src/scheduler/machines/load.rs
+++ b/src/scheduler/machines/load.rs
@@ -1,20 +1,20 @@
-//! What runs on a machine, and what is free.
+//! The tasks on a machine and its free resources.
 
 use crate::resources::Resources;
 use crate::scheduler::attempt::TaskId;
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// The tasks that are or may be on a machine, and the resources that they leave.
+/// The tasks that are or may be on a machine, and the resources that they leave free.
 #[derive(Debug)]
 pub(in crate::scheduler) struct Load {
     free: Resources,
     tasks: BTreeSet<TaskId>,
-    /// CPUs that services use, in thousandths.
+    /// CPUs that tasks of services use, in thousandths.
     service_cpu_milli: u64,
     /// Number of tasks that are being stopped.
     stopping: u32,
-    /// Since when there is no task; none before the machine has come up.
+    /// Since when the machine has no task; `None` while it has tasks or has not come up.
     idle_since: Option<Timestamp>,
 }
 
@@ -29,32 +29,32 @@
         }
     }
 
-    /// The resources that no task uses.
+    /// Returns the resources that no task uses.
     pub(in crate::scheduler) fn free(&self) -> Resources {
         self.free
     }
 
-    /// The tasks that are or may be there.
+    /// Returns the tasks that are or may be on the machine.
     pub(in crate::scheduler) fn tasks(&self) -> &BTreeSet<TaskId> {
         &self.tasks
     }
 
-    /// CPUs that services use, in thousandths.
+    /// Returns the CPUs that tasks of services use, in thousandths.
     pub(in crate::scheduler) fn service_cpu_milli(&self) -> u64 {
         self.service_cpu_milli
     }
 
-    /// Whether tasks are being stopped.
+    /// Reports whether tasks are being stopped.
     pub(in crate::scheduler) fn has_stopping_tasks(&self) -> bool {
         self.stopping > 0
     }
 
-    /// Since when there is no task; none before the machine has come up.
+    /// Returns since when the machine has no task, or `None` if it has tasks or has not come up.
     pub(in crate::scheduler) fn idle_since(&self) -> Option<Timestamp> {
         self.idle_since
     }
 
-    /// Adds a task.
+    /// Adds a task and takes its resources from the free ones.
     pub(in crate::scheduler) fn add(
         &mut self,
         task: TaskId,
@@ -67,7 +67,7 @@
         self.idle_since = None;
     }
 
-    /// Removes a task. What is free then has to be set by [`Load::set_free`].
+    /// Removes a task. The caller then sets the free resources with [`Load::set_free`].
     pub(in crate::scheduler) fn remove(
         &mut self,
         task: TaskId,
@@ -81,18 +81,18 @@
         }
     }
 
-    /// Sets what is free.
+    /// Sets the free resources.
     pub(in crate::scheduler) fn set_free(&mut self, free: Resources) {
         self.free = free;
     }
 
-    /// Changes the number of tasks that are being stopped.
-    pub(in crate::scheduler) fn count_stopping(&mut self, stopped_before: bool, stops: bool) {
-        self.stopping = self.stopping + u32::from(stops) - u32::from(stopped_before);
+    /// Updates the number of tasks that are being stopped after the change of one task.
+    pub(in crate::scheduler) fn update_stopping(&mut self, was_stopping: bool, is_stopping: bool) {
+        self.stopping = self.stopping + u32::from(is_stopping) - u32::from(was_stopping);
     }
 
-    /// The machine has come up: from now on it is idle unless it has tasks.
-    pub(in crate::scheduler) fn come_up(&mut self, now: Timestamp) {
+    /// Records that the machine has come up: it is idle from `now` on unless it has tasks.
+    pub(in crate::scheduler) fn mark_up(&mut self, now: Timestamp) {
         self.idle_since = self.tasks.is_empty().then_some(now);
     }
 }
--- a/src/scheduler/machines/machine.rs
+++ b/src/scheduler/machines/machine.rs
@@ -1,4 +1,4 @@
-//! What is known of one machine.
+//! The record of one machine.
 
 use super::boot_progress::BootProgress;
 use super::command_channel::CommandChannel;
@@ -15,23 +15,23 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Images remembered for a machine.
-const IMAGES_PER_MACHINE: usize = 24;
+/// Maximum number of images remembered per machine.
+const MAX_IMAGES_PER_MACHINE: usize = 24;
 
-/// The state of a machine.
+/// State of a machine in its life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Known from a rental; not heard in this epoch.
+    /// Rented, but no heartbeat under the current fencing token has arrived in this epoch.
     Waiting,
-    /// Takes tasks.
+    /// Accepts new tasks.
     Up,
-    /// Takes no new tasks.
+    /// Accepts no new tasks; present tasks finish or are stopped.
     Draining,
-    /// To be released; nothing may be started there any more, since the call may execute late.
+    /// To be released. This is final: the cloud may execute a release call late, so no task may be started there any more.
     Releasing,
 }
 
-/// A machine of the scheduler.
+/// A machine as the scheduler knows it.
 #[derive(Debug)]
 pub struct Machine {
     name: String,
@@ -44,14 +44,14 @@
     pub(in crate::scheduler) load: Load,
     pub(in crate::scheduler) health: Health,
     pub(in crate::scheduler) eviction: Eviction,
-    /// Measured speed, by class of jobs.
+    /// Measured speed by job class.
     pub(in crate::scheduler) capability: Capability,
-    /// Images that it holds or is fetching, the latest used last.
+    /// Images that the machine holds or is fetching, the most recently used last.
     images: VecDeque<ImageIndex>,
 }
 
 impl Machine {
-    /// A machine that became known just now.
+    /// Creates the record of a machine that became known at `now`.
     pub(super) fn new(
         name: &str,
         offer: Offer,
@@ -75,65 +75,65 @@
         }
     }
 
-    /// Its name.
+    /// Returns the machine's name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its state.
+    /// Returns the machine's state.
     #[must_use]
     pub fn state(&self) -> MachineState {
         self.state
     }
 
-    /// The offer that it was rented from.
+    /// Returns the offer from which the machine was rented.
     #[must_use]
     pub fn offer(&self) -> Offer {
         self.offer
     }
 
-    /// Its type.
+    /// Returns the machine type.
     #[must_use]
     pub fn machine_type(&self) -> MachineTypeIndex {
         self.offer.machine_type
     }
 
-    /// Its zone.
+    /// Returns the machine's zone.
     #[must_use]
     pub fn zone(&self) -> ZoneIndex {
         self.offer.zone
     }
 
-    /// Whether it is a spot machine.
+    /// Reports whether this is a spot machine.
     #[must_use]
     pub fn is_spot(&self) -> bool {
         self.offer.spot
     }
 
-    /// Since when no task is there; none before it has come up.
+    /// Returns the time since which the machine has had no task, or `None` if it has tasks or has not come up yet.
     #[must_use]
     pub fn idle_since(&self) -> Option<Timestamp> {
         self.load.idle_since()
     }
 
-    /// Changes its state. False if nothing changes: a release may have been sent, which may execute at any later time, so
-    /// that there is no way back from it.
+    /// Changes the state and reports whether it changed. [`MachineState::Releasing`] is never left, because the release call
+    /// may already be on its way and may execute at any later time.
     pub(super) fn transition(&mut self, next: MachineState, reason: &str) -> bool {
         if self.state == next || self.state == MachineState::Releasing {
             return false;
         }
-        tracing::info!(machine = %self.name, from = ?self.state, to = ?next, reason, "machine");
+        tracing::info!(machine = %self.name, from = ?self.state, to = ?next, reason, "machine state changed");
         self.state = next;
         true
     }
 
-    /// Whether it is up and not about to be taken by the cloud.
+    /// Reports whether the machine is up and has no termination notice.
     pub(in crate::scheduler) fn is_available(&self) -> bool {
         self.state == MachineState::Up && !self.eviction.has_notice()
     }
 
-    /// Whether tasks may be placed on it.
+    /// Reports whether tasks may be placed on the machine.
     pub(in crate::scheduler) fn accepts_tasks(
         &self,
         lease: Duration,
@@ -145,33 +145,37 @@
             && self.is_responsive(lease, heartbeat_interval, now)
     }
 
-    /// Whether its worker shows the current token and has done so recently, with a lease that lasts.
+    /// Reports whether the worker has acknowledged the current token, has sent a heartbeat within three intervals, and has
+    /// more than half of its lease left.
     fn is_responsive(&self, lease: Duration, heartbeat_interval: Duration, now: Timestamp) -> bool {
         self.contact.acknowledges_token()
             && !self.contact.is_silent_for(heartbeat_interval * 3, now)
             && !self.lease.is_half_over(lease, now)
     }
 
-    /// Whether it is drained only as surplus, so that it may be used again.
+    /// Reports whether the machine drains only because it is surplus, so that it may be returned to use.
     pub(in crate::scheduler) fn drains_as_surplus(&self) -> bool {
         self.eviction.is_surplus() && self.state == MachineState::Draining
     }
 
-    /// Whether it should send heartbeats. One that is being released already is left out.
-    pub(super) fn is_expected(&self) -> bool {
-        self.contact.is_expected() && self.state != MachineState::Releasing
+    /// Reports whether heartbeats of the machine are expected, which is not the case once it is to be released.
+    pub(super) fn is_heartbeat_expected(&self) -> bool {
+        self.contact.is_heartbeat_expected() && self.state != MachineState::Releasing
     }
 
-    /// The images that it holds or is fetching, the latest used last.
+    /// Returns the images that the machine holds or is fetching, the most recently used last.
     pub(in crate::scheduler) fn images(&self) -> &VecDeque<ImageIndex> {
         &self.images
     }
 
-    /// Notes the use of an image. Returns the image that is no longer remembered for it.
-    pub(in crate::scheduler) fn use_image(&mut self, image: ImageIndex) -> Option<ImageIndex> {
+    /// Marks an image as the most recently used. Returns the image that is forgotten because the limit was exceeded.
+    pub(in crate::scheduler) fn record_image_use(
+        &mut self,
+        image: ImageIndex,
+    ) -> Option<ImageIndex> {
         self.images.retain(|other| *other != image);
         self.images.push_back(image);
-        if self.images.len() > IMAGES_PER_MACHINE {
+        if self.images.len() > MAX_IMAGES_PER_MACHINE {
             self.images.pop_front()
         } else {
             None
--- a/src/scheduler/machines/mod.rs
+++ b/src/scheduler/machines/mod.rs
@@ -1,10 +1,10 @@
-//! Machines: what is known of each, how their state changes, what is sent to them, and what time alone brings.
+//! The scheduler's view of machines: their records, state changes, direct commands and timeouts.
 //!
-//! `registry` owns the machines that are present; `machine` and the modules of its parts (`boot_progress`, `contact`,
-//! `lease`, `command_channel`, `load`, `health`, `eviction`) say what is known of one. `lifecycle` adds and removes machines
-//! and has the one function that changes a machine's state; `responsiveness` judges silence, with the help of
-//! `zone_health`; `direct_commands` sends commands and probes; `expiry` does what time alone brings. `boot_times` measures
-//! how long machines take to come up. Heartbeats are processed by `super::heartbeat`.
+//! `registry` owns the records of present machines. `machine` defines the record, and `boot_progress`, `contact`, `lease`,
+//! `command_channel`, `load`, `health` and `eviction` define its parts. `lifecycle` adds and removes machines and contains
+//! the only function that changes a machine's state. `responsiveness` detects silent machines, using `zone_health`.
+//! `direct_commands` prepares commands and probes for workers. `expiry` handles expired leases and termination notices on
+//! each tick. `boot_times` estimates boot times from measurements. Heartbeats are processed by `super::heartbeat`.
 
 mod boot_progress;
 mod boot_times;
--- a/src/scheduler/machines/registry.rs
+++ b/src/scheduler/machines/registry.rs
@@ -1,12 +1,12 @@
-//! The machines that are present, by index and by name.
+//! The registry of present machines, by index and by name.
 
 use super::machine::Machine;
 use crate::scheduler::index::{MachineIndex, Table};
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
-/// The machines that are present. Indices of machines that are gone are used again: otherwise what is gone over at each
-/// tick would grow with every machine ever rented.
+/// The machines that are present. Indices of removed machines are reused, since otherwise the indices visited at each tick
+/// would grow with every machine ever rented.
 #[derive(Default)]
 pub(in crate::scheduler) struct MachineRegistry {
     machines: Table<MachineIndex, Option<Machine>>,
@@ -26,7 +26,7 @@
         self.by_name.insert(name, index);
     }
 
-    /// Removes a machine. Its index may be used again at once.
+    /// Removes a machine. Its index may be reused at once.
     pub(super) fn remove(&mut self, index: MachineIndex) {
         if let Some(machine) = self.machines[index].take() {
             self.by_name.remove(machine.name());
@@ -34,55 +34,56 @@
         }
     }
 
-    /// The index of a machine that is present.
+    /// Returns the index of the machine with a name, if it is present.
     pub(in crate::scheduler) fn index_of(&self, name: &str) -> Option<MachineIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// Whether a machine is present.
+    /// Reports whether a machine with this name is present.
     pub(in crate::scheduler) fn contains(&self, name: &str) -> bool {
         self.by_name.contains_key(name)
     }
 
-    /// The machine with an index, if one is present.
+    /// Returns the machine with an index, if one is present.
     pub(in crate::scheduler) fn get(&self, index: MachineIndex) -> Option<&Machine> {
         self.machines[index].as_ref()
     }
 
-    /// The machine with an index, to be changed, if one is present.
+    /// Returns a mutable reference to the machine with an index, if one is present.
     pub(in crate::scheduler) fn get_mut(&mut self, index: MachineIndex) -> Option<&mut Machine> {
         self.machines[index].as_mut()
     }
 
-    /// All indices in ascending order, also those that are free. The registry may be changed meanwhile.
+    /// Iterates over all indices in ascending order, including free ones. The registry may change during the iteration.
     pub(in crate::scheduler) fn indices(&self) -> impl Iterator<Item = MachineIndex> {
         self.machines.indices()
     }
 
-    /// The number of indices, also of those that are free.
+    /// Returns the number of indices, including free ones.
     pub(in crate::scheduler) fn index_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// The machines that are present, in the order of their indices.
+    /// Iterates over the present machines in the order of their indices.
     pub(in crate::scheduler) fn iter(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
         self.machines
             .iter()
             .filter_map(|(index, machine)| Some((index, machine.as_ref()?)))
     }
 
-    /// The machines that should send heartbeats. Those being released already are left out.
-    pub(super) fn expected(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
-        self.iter().filter(|(_, machine)| machine.is_expected())
+    /// Iterates over the machines that should send heartbeats. Machines to be released are left out.
+    pub(super) fn expected_to_report(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
+        self.iter()
+            .filter(|(_, machine)| machine.is_heartbeat_expected())
     }
 
-    /// The machines that are present, to be changed, in the order of their indices.
+    /// Iterates mutably over the present machines in the order of their indices.
     pub(in crate::scheduler) fn values_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
         self.machines.values_mut().flatten()
     }
 }
 
-/// Indices of machines are only kept while the machine is present.
+/// Panic message for the index of a machine that was removed.
 const PRESENT: &str = "indices of machines are only kept while the machine is present";
 
 impl Index<MachineIndex> for MachineRegistry {
--- a/src/scheduler/machines/responsiveness.rs
+++ b/src/scheduler/machines/responsiveness.rs
@@ -1,4 +1,4 @@
-//! Which machines are silent, and whether it is they, their zone or this process that is isolated.
+//! Detection of silent machines, and of whether the machines, their zone or this process is isolated.
 
 use super::machine::Machine;
 use super::zone_health::silent_zones;
@@ -7,15 +7,15 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// Beside the time in which every machine reports, before a leader considers itself isolated.
+/// Added to the heartbeat timeout before a leader considers itself isolated.
 const ISOLATION_MARGIN: Duration = Duration::from_millis(500);
-/// Two probes that all go unanswered, and their way.
-const UNANSWERED_PROBES: Duration = Duration::from_secs(5);
-/// Of fewer silent machines nothing is concluded for this process.
+/// Time after which two probes of every machine have gone unanswered, including their transmission.
+const UNANSWERED_PROBES_TIMEOUT: Duration = Duration::from_secs(5);
+/// Minimum number of silent machines from which this process concludes that it is isolated.
 const MIN_SILENT_MACHINES: usize = 3;
 
 impl Scheduler {
-    /// Whether a machine takes tasks now.
+    /// Reports whether tasks may be placed on a machine now.
     pub(in crate::scheduler) fn accepts_tasks(&self, machine: &Machine) -> bool {
         machine.accepts_tasks(
             self.params.lease,
@@ -24,83 +24,92 @@
         )
     }
 
-    /// Machines that should send heartbeats and have not shown the current token for the time `silence`, less those of
-    /// zones with an outage: a zone of which most machines are quiet is isolated rather than dead, and what is up there will
-    /// be of use as soon as it is back. Those are given up after the time `lost` only.
+    /// Returns the machines that should send heartbeats and have not acknowledged the current token for longer than
+    /// `silence_limit`. Machines of a zone with an outage are returned only after `zone_silence_limit`: if most machines of a
+    /// zone are overdue, the zone is probably isolated, and its machines can be used again as soon as it recovers.
     ///
-    /// Whether most are quiet is asked of a shorter time, in which a machine surely reports: a leader that heard nobody any
-    /// more once released hundreds of healthy machines in the seconds in which the silence had reached some of them and
-    /// not yet the others.
+    /// An outage is judged by the shorter heartbeat timeout. Otherwise a leader that receives no heartbeats at all would
+    /// release healthy machines, possibly hundreds, in the seconds in which some have reached the silence limit and the
+    /// others have not.
     ///
-    /// Machines of a zone that is back have the time of a silence from then on: those not heard in its first moments were
-    /// once given up at once.
+    /// After an outage the machines of the zone have `silence_limit` to report again. Otherwise those that send no heartbeat
+    /// in the first moments after the recovery would be released at once.
     pub fn unresponsive_machines(
         &mut self,
-        silence: Duration,
-        lost: Duration,
+        silence_limit: Duration,
+        zone_silence_limit: Duration,
     ) -> Vec<MachineIndex> {
         let now = self.now();
-        let expected = self.machines.expected().map(|(_, machine)| machine);
+        let expected = self
+            .machines
+            .expected_to_report()
+            .map(|(_, machine)| machine);
         self.zone_health
-            .record_outages(expected, self.params.quiet_time(), now);
+            .record_outages(expected, self.params.heartbeat_timeout(), now);
         let is_unresponsive = |machine: &Machine| {
-            machine.contact.is_silent_for(silence, now)
-                && (self.zone_health.is_stable_for(machine.zone(), silence, now)
-                    || machine.contact.is_silent_for(lost, now))
+            machine.contact.is_silent_for(silence_limit, now)
+                && (self
+                    .zone_health
+                    .is_stable_for(machine.zone(), silence_limit, now)
+                    || machine.contact.is_silent_for(zone_silence_limit, now))
         };
         self.machines
-            .expected()
+            .expected_to_report()
             .filter(|(_, machine)| is_unresponsive(machine))
             .map(|(index, _)| index)
             .collect()
     }
 
-    /// Zones of which nothing is heard: what came up there would be out of reach.
+    /// Returns the zones in which all expected machines are silent: new machines there would be unreachable too.
     #[must_use]
     pub fn unreachable_zones(&self) -> HashSet<ZoneIndex> {
-        let expected = self.machines.expected().map(|(_, machine)| machine);
-        silent_zones(expected, self.params.quiet_time(), self.now())
+        let expected = self
+            .machines
+            .expected_to_report()
+            .map(|(_, machine)| machine);
+        silent_zones(expected, self.params.heartbeat_timeout(), self.now())
     }
 
-    /// Whether none of the machines that should send heartbeats has done so recently, under whichever token: then it is this
-    /// process that is isolated. A new leader that nobody has answered yet knows sooner, since it probes all machines when it
-    /// begins: a new leader isolated like its predecessor once held the leadership until the leases had expired.
+    /// Reports whether this process is isolated: none of the machines that should send heartbeats has sent one recently,
+    /// under any token. A new leader that has received no heartbeat yet decides sooner, since it probes all machines at its
+    /// start. Otherwise a new leader that is isolated like its predecessor would hold the leadership until the leases have
+    /// expired.
     #[must_use]
     pub fn is_isolated_from_workers(&self) -> bool {
         let now = self.now();
-        let quiet = self.params.quiet_time();
-        let nobody_answered = self
+        let timeout = self.params.heartbeat_timeout();
+        let no_heartbeat_yet = self
             .machines
-            .expected()
-            .all(|(_, machine)| machine.contact.was_never_heard());
-        let known_for = if nobody_answered {
-            UNANSWERED_PROBES
+            .expected_to_report()
+            .all(|(_, machine)| machine.contact.has_no_heartbeat());
+        let min_known_time = if no_heartbeat_yet {
+            UNANSWERED_PROBES_TIMEOUT
         } else {
-            quiet * 2 + ISOLATION_MARGIN
+            timeout * 2 + ISOLATION_MARGIN
         };
-        let due = self
+        let machines_due = self
             .machines
-            .expected()
-            .filter(|(_, machine)| now > machine.boot.known_since() + known_for)
+            .expected_to_report()
+            .filter(|(_, machine)| now > machine.boot.known_since() + min_known_time)
             .count();
-        let reported_within = quiet + ISOLATION_MARGIN;
-        due >= MIN_SILENT_MACHINES
+        let reported_within = timeout + ISOLATION_MARGIN;
+        machines_due >= MIN_SILENT_MACHINES
             && !self
                 .machines
-                .expected()
-                .any(|(_, machine)| machine.contact.has_reported_within(reported_within, now))
+                .expected_to_report()
+                .any(|(_, machine)| machine.contact.has_heartbeat_within(reported_within, now))
     }
 
-    /// This process was paused for a time, or had no processor: what it has not heard meanwhile says nothing of the
-    /// machines.
+    /// Moves the contact times of all machines forward by a pause of this process, because heartbeats that it did not
+    /// receive while it was not running say nothing about the machines.
     pub(super) fn compensate_process_pause(&mut self, pause: Duration) {
         for machine in self.machines.values_mut() {
-            machine.contact.skip(pause);
+            machine.contact.exclude_pause(pause);
         }
     }
 
-    /// The number of machines that may hold tasks of earlier epochs: they were not heard, their leases have not expired,
-    /// and they were not released.
+    /// Returns the number of machines that may hold tasks of earlier epochs: they have not acknowledged the current token,
+    /// their leases have not expired, and they were not confirmed gone.
     #[must_use]
     pub fn unreconciled_machines(&self) -> usize {
         self.machines
--- a/src/scheduler/machines/zone_health.rs
+++ b/src/scheduler/machines/zone_health.rs
@@ -1,4 +1,4 @@
-//! Which zones are isolated, judged by how many of their machines are quiet.
+//! Detection of zone outages from the share of machines with overdue heartbeats.
 
 use super::machine::Machine;
 use crate::scheduler::index::ZoneIndex;
@@ -6,76 +6,78 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Of fewer machines nothing is concluded for their zone.
+/// Minimum number of expected machines in a zone from which an outage is concluded.
 const MIN_MACHINES: usize = 3;
 
-/// How many machines of a zone are quiet.
+/// Number of machines of a zone with overdue heartbeats, and of all machines that should send heartbeats.
 #[derive(Debug, Default, Clone, Copy)]
-struct QuietMachines {
-    quiet: usize,
+struct OverdueMachines {
+    overdue: usize,
     total: usize,
 }
 
-impl QuietMachines {
-    fn are_most(self) -> bool {
-        self.total >= MIN_MACHINES && self.quiet * 2 > self.total
+impl OverdueMachines {
+    /// Reports whether most machines are overdue. False for fewer than [`MIN_MACHINES`] machines.
+    fn is_majority(self) -> bool {
+        self.total >= MIN_MACHINES && self.overdue * 2 > self.total
     }
 
-    fn are_all(self) -> bool {
-        self.total >= MIN_MACHINES && self.quiet == self.total
+    /// Reports whether all machines are overdue. False for fewer than [`MIN_MACHINES`] machines.
+    fn is_all(self) -> bool {
+        self.total >= MIN_MACHINES && self.overdue == self.total
     }
 }
 
-/// Counts the quiet machines of each zone: those not heard for longer than a time.
-fn quiet_by_zone<'a>(
+/// Counts the overdue machines of each zone: those that have been silent for longer than `timeout`.
+fn overdue_by_zone<'a>(
     expected: impl Iterator<Item = &'a Machine>,
-    quiet_after: Duration,
+    timeout: Duration,
     now: Timestamp,
-) -> HashMap<ZoneIndex, QuietMachines> {
-    let mut zones: HashMap<ZoneIndex, QuietMachines> = HashMap::new();
+) -> HashMap<ZoneIndex, OverdueMachines> {
+    let mut zones: HashMap<ZoneIndex, OverdueMachines> = HashMap::new();
     for machine in expected {
         let zone = zones.entry(machine.zone()).or_default();
-        zone.quiet += usize::from(machine.contact.is_silent_for(quiet_after, now));
+        zone.overdue += usize::from(machine.contact.is_silent_for(timeout, now));
         zone.total += 1;
     }
     zones
 }
 
-/// The zones of which no expected machine is heard.
+/// Returns the zones in which all expected machines are overdue.
 pub(super) fn silent_zones<'a>(
     expected: impl Iterator<Item = &'a Machine>,
-    quiet_after: Duration,
+    timeout: Duration,
     now: Timestamp,
 ) -> HashSet<ZoneIndex> {
-    quiet_by_zone(expected, quiet_after, now)
+    overdue_by_zone(expected, timeout, now)
         .into_iter()
-        .filter(|(_, machines)| machines.are_all())
+        .filter(|(_, machines)| machines.is_all())
         .map(|(zone, _)| zone)
         .collect()
 }
 
-/// When most machines of each zone were last quiet.
+/// When each zone was last observed to have an outage, that is when most of its machines were overdue.
 #[derive(Debug, Default)]
 pub(in crate::scheduler) struct ZoneHealth {
     last_outage: HashMap<ZoneIndex, Timestamp>,
 }
 
 impl ZoneHealth {
-    /// Notes the zones of which most expected machines are quiet now.
+    /// Records an outage for each zone in which most expected machines are overdue now.
     pub(super) fn record_outages<'a>(
         &mut self,
         expected: impl Iterator<Item = &'a Machine>,
-        quiet_after: Duration,
+        timeout: Duration,
         now: Timestamp,
     ) {
-        for (zone, machines) in quiet_by_zone(expected, quiet_after, now) {
-            if machines.are_most() {
+        for (zone, machines) in overdue_by_zone(expected, timeout, now) {
+            if machines.is_majority() {
                 self.last_outage.insert(zone, now);
             }
         }
     }
 
-    /// Whether a zone has been without an outage for longer than a time.
+    /// Reports whether a zone has been without an outage for longer than `time`.
     pub(super) fn is_stable_for(&self, zone: ZoneIndex, time: Duration, now: Timestamp) -> bool {
         let last_outage = self.last_outage.get(&zone).copied();
         now > last_outage.unwrap_or(Timestamp::ZERO) + time
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -138,7 +138,7 @@
         let grace_period = self.params.grace_period;
         let until = self.now() + grace_period + grace_period / GRACE_CLOCK_TOLERANCE;
         let machine = self.machine_mut(machine);
-        machine.contact.expect();
+        machine.contact.expect_heartbeats();
         machine.lease.assume_renewed_until(until);
     }
 
--- a/src/scheduler/task_events.rs
+++ b/src/scheduler/task_events.rs
@@ -85,7 +85,7 @@
             let machine = self.machine_mut(attempt.machine);
             machine
                 .load
-                .count_stopping(is_stopping(old), is_stopping(new));
+                .update_stopping(is_stopping(old), is_stopping(new));
         }
     }
 
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -146,7 +146,7 @@
     // Nor does a copy renew what is assumed of the lease or pass for a sign of life.
     let m = cluster.scheduler.machines().next().unwrap().1;
     assert_eq!(
-        (m.lease.answered_at(), m.contact.heard_at()),
+        (m.lease.renewed_at(), m.contact.acknowledged_at()),
         (at(5000), at(5000))
     );
 }
