--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -22,9 +22,9 @@
         last: Notice,
         replica_revision: Revision,
     ) {
-        self.cancellations.acknowledged(peer, last);
+        self.cancellations.record_acknowledgement(peer, last);
         self.cancellations
-            .peer_replica_reached(peer, replica_revision);
+            .record_peer_revision(peer, replica_revision);
     }
 
     /// Applies a cancellation that is durable, perhaps before the replica shows it: tasks of the job are stopped, and none is
@@ -93,7 +93,7 @@
     /// Whether the leader may not know of a cancellation that became durable at a revision.
     fn leader_may_not_know(&self, revision: Revision) -> bool {
         self.cancellations
-            .leader_may_not_know(self.replica_view(), revision)
+            .leader_may_be_behind(self.replica_view(), revision)
     }
 
     /// What the replica says of the leader.
--- a/src/controller/state/leadership.rs
+++ b/src/controller/state/leadership.rs
@@ -108,6 +108,6 @@
     /// Whether a read that was sent longer ago than a tolerance was answered with a revision that the replica still lacks.
     pub(in crate::controller) fn replica_lags(&self, tolerance: Duration) -> bool {
         let sent_before = self.now().saturating_sub(tolerance);
-        self.leadership().lags_behind_read_sent_before(sent_before)
+        self.leadership().has_pending_read_sent_before(sent_before)
     }
 }
--- a/src/controller/state/peer_views.rs
+++ b/src/controller/state/peer_views.rs
@@ -59,7 +59,7 @@
             self.leader_report.replace_task_counts(task_counts);
         }
         self.cancellations
-            .peer_replica_reached(&view.node, view.revision);
+            .record_peer_revision(&view.node, view.revision);
         self.peer_health
             .record_view(view.node, view.store_reachable, now);
     }
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -187,6 +187,6 @@
         };
         tracing::info!(pause_ms = pause.as_millis(), "process paused");
         self.store_contact.excuse_pause(pause, now);
-        self.peer_health.excuse_pause(pause, now);
+        self.peer_health.exclude_pause(pause, now);
     }
 }
--- a/src/controller/tests/cancellation_broadcast.rs
+++ b/src/controller/tests/cancellation_broadcast.rs
@@ -74,7 +74,9 @@
     let leader = node_name(leader);
     let (Cancelled { jobs }, last) = controller.cancellation_message_for(&leader).unwrap();
     assert_eq!(jobs[0].job, "wk-1");
-    controller.cancellations_mut().acknowledged(&leader, last);
+    controller
+        .cancellations_mut()
+        .record_acknowledgement(&leader, last);
     assert!(controller.unsettled_cancellation("wk-1").is_none());
 }
 
@@ -97,7 +99,7 @@
     let revision = controller.replica().revision;
     controller
         .cancellations_mut()
-        .peer_replica_reached(&leader, revision);
+        .record_peer_revision(&leader, revision);
     controller.learn_final_state("wk-8", &cancelled(revision));
     assert!(controller.cancellation_message_for(&leader).is_none());
     controller.learn_final_state("wk-9", &cancelled(revision.next()));
--- a/src/controller/tests/simulation/cluster/mod.rs
+++ b/src/controller/tests/simulation/cluster/mod.rs
@@ -149,7 +149,7 @@
             let lags = now >= open.opened_at + WATCH_LAG
                 && controller
                     .leadership()
-                    .lags_behind_read_sent_before(now.saturating_sub(WATCH_LAG));
+                    .has_pending_read_sent_before(now.saturating_sub(WATCH_LAG));
             let is_over = now > open.opened_at + WATCH || (lags && answers);
             if is_over && !(stays_stalled && open.stalled) {
                 *watch = None;
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -1,11 +1,11 @@
-//! Cancellations that the other controllers have to know of: who is still to be notified, and who knows.
+//! Notices of cancellations: delivery to the other controllers, and the record of which controller knows of which one.
 //!
-//! Users are answered once no leader can start a task of their job any more. So a controller that makes a cancellation durable,
-//! hears of one from a peer, or reads one from the store keeps a notice of it and repeats the notice to every peer until the
-//! peer knows of the cancellation: because it acknowledged the notice, or because its replica of the store has reached the
-//! cancellation's revision.
+//! A user's cancellation is confirmed once no leader can start a task of the job any more. A controller that makes a
+//! cancellation durable, or learns from a peer or the store of one that the leader may not know of, therefore keeps a notice
+//! of it. It resends the notice to every peer until that peer knows of the cancellation: because it acknowledged the notice,
+//! or because its replica of the store has reached the revision of the cancellation.
 //!
-//! A notice can only stop tasks, never start any, and losing one costs nothing but time.
+//! A notice can only stop tasks, never start any, and a lost notice costs nothing but time.
 
 #[cfg(test)]
 mod tests;
@@ -14,32 +14,32 @@
 use crate::store::Revision;
 use std::collections::{HashMap, VecDeque};
 
-/// The largest number of notices kept for peers that do not acknowledge them: more than users may cancel in the time for which
-/// a leader that learns nothing can still start tasks. Of the rest peers learn from the store.
+/// Maximum number of notices kept for peers that do not acknowledge them. It exceeds the number of jobs that users can cancel
+/// while a leader that receives no updates can still start tasks. Peers learn of dropped ones from the store.
 const NOTICE_LIMIT: usize = 10_000;
-/// The largest number of notices in one message.
+/// Maximum number of notices in one message.
 const MESSAGE_LIMIT: usize = 1000;
 
-/// Identifies a notice.
+/// Identifies a notice by its sequence number and the revision of its cancellation.
 ///
-/// The order of notices is not that of the cancellations' revisions: of two concurrent transactions, the earlier one's answer
-/// may arrive later. A peer that had acknowledged the later cancellation was once taken to know of both.
+/// Notices are not ordered by revision: of two concurrent transactions, the earlier one may be answered later. Ordering
+/// acknowledgements by revision would take a peer that acknowledged only the later cancellation to know of both.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Notice {
-    /// Position among all notices of this controller.
+    /// Sequence number among all notices of this controller.
     sequence: u64,
     revision: Revision,
 }
 
 impl Notice {
-    /// Revision at which the cancellation became durable.
+    /// Returns the revision at which the cancellation became durable.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 }
 
-/// A notice that is kept.
+/// A kept notice with the cancellation that it carries.
 #[derive(Debug)]
 struct Entry {
     cancelled: CancelledJob,
@@ -55,48 +55,48 @@
     }
 }
 
-/// What a peer knows.
+/// How far a peer is known to have received cancellations.
 #[derive(Debug, Default, Clone, Copy)]
-struct PeerKnowledge {
-    /// It acknowledged every notice that is still kept, up to this position.
+struct PeerProgress {
+    /// Sequence number up to which the peer knows of every notice that is still kept.
     acknowledged: u64,
-    /// Its replica of the store holds every change up to this revision.
+    /// Revision up to which the peer's replica of the store holds every change.
     replica_revision: Revision,
 }
 
-/// What the replica of this controller says of the leader.
+/// The revision and the leader that this controller's replica shows.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaView<'a> {
-    /// The revision that the replica has reached.
+    /// Revision that the replica has reached.
     pub revision: Revision,
     /// The leader, if it is another controller.
     pub other_leader: Option<OtherLeader<'a>>,
 }
 
-/// Another controller that leads.
+/// A leader that is not this controller.
 #[derive(Debug, Clone, Copy)]
 pub struct OtherLeader<'a> {
-    /// Its name.
+    /// Name of the controller.
     pub node: &'a str,
-    /// The revision at which it became the leader.
+    /// Revision at which it became the leader.
     pub elected_at: Revision,
 }
 
-/// The notices of this controller, and what its peers know.
+/// The notices of this controller, and the progress of its peers.
 #[derive(Debug, Default)]
 pub struct Cancellations {
-    /// The oldest first.
+    /// Kept notices, oldest first.
     entries: VecDeque<Entry>,
-    /// Position of the newest notice.
+    /// Sequence number of the newest notice.
     newest: u64,
-    /// Position of the newest notice that is no longer kept. Whether a peer acknowledged it is not known any more.
+    /// Sequence number of the newest dropped notice. Whether a peer acknowledged it or an older one is no longer known.
     dropped: u64,
-    peers: HashMap<String, PeerKnowledge>,
+    peers: HashMap<String, PeerProgress>,
 }
 
 impl Cancellations {
-    /// Records a durable cancellation, of which the peers have to be notified. If there is a notice of it, that one is
-    /// returned.
+    /// Records a durable cancellation that the peers have to be notified of. Returns the existing notice if the job already
+    /// has one.
     pub fn record(&mut self, cancelled: CancelledJob) -> Notice {
         self.find(&cancelled.job)
             .unwrap_or_else(|| self.add(cancelled))
@@ -119,7 +119,7 @@
         notice
     }
 
-    /// The notice of a job's cancellation, while it is kept.
+    /// Returns the notice of a job's cancellation, while it is kept.
     fn find(&self, job: &str) -> Option<Notice> {
         self.entries
             .iter()
@@ -128,17 +128,17 @@
             .map(Entry::notice)
     }
 
-    /// The next message to a peer: what it does not know yet, the oldest first, and the last notice in it.
+    /// Returns the next message to a peer, with the oldest cancellations that it does not know of, and the last notice in it.
     #[must_use]
     pub fn message_for(&self, peer: &str) -> Option<(Cancelled, Notice)> {
-        let knowledge = self.knowledge(peer);
+        let progress = self.progress(peer);
         let first = self
             .entries
-            .partition_point(|entry| entry.sequence <= knowledge.acknowledged);
+            .partition_point(|entry| entry.sequence <= progress.acknowledged);
         let unknown: Vec<&Entry> = self
             .entries
             .range(first..)
-            .filter(|entry| entry.cancelled.revision > knowledge.replica_revision)
+            .filter(|entry| entry.cancelled.revision > progress.replica_revision)
             .take(MESSAGE_LIMIT)
             .collect();
         let last = unknown.last()?.notice();
@@ -149,65 +149,66 @@
         Some((Cancelled { jobs }, last))
     }
 
-    /// A peer acknowledged a message that ended with a notice.
-    pub fn acknowledged(&mut self, peer: &str, last: Notice) {
-        let knowledge = self.knowledge_mut(peer);
-        knowledge.acknowledged = knowledge.acknowledged.max(last.sequence);
+    /// Records that a peer acknowledged a message whose last notice is `last`.
+    pub fn record_acknowledgement(&mut self, peer: &str, last: Notice) {
+        let progress = self.progress_mut(peer);
+        progress.acknowledged = progress.acknowledged.max(last.sequence);
     }
 
-    /// A peer's replica holds every change up to a revision.
-    pub fn peer_replica_reached(&mut self, peer: &str, revision: Revision) {
-        let knowledge = self.knowledge_mut(peer);
-        knowledge.replica_revision = knowledge.replica_revision.max(revision);
+    /// Records that a peer's replica holds every change up to a revision. A lower revision than before has no effect.
+    pub fn record_peer_revision(&mut self, peer: &str, revision: Revision) {
+        let progress = self.progress_mut(peer);
+        progress.replica_revision = progress.replica_revision.max(revision);
     }
 
-    /// Whether a leader may start tasks of a job whose cancellation became durable at a revision, as far as is known from the
-    /// replicas: the leader of that time may not know of it. A later leader has read the store since.
+    /// Reports whether, judging by the replicas alone, a leader may still start tasks of a job whose cancellation became durable
+    /// at a revision: this controller's replica has not reached that revision, or the leader was elected before the
+    /// cancellation and its replica is not known to have reached it. A leader elected later has read the store since.
     #[must_use]
-    pub fn leader_may_not_know(&self, view: ReplicaView, revision: Revision) -> bool {
+    pub fn leader_may_be_behind(&self, view: ReplicaView, revision: Revision) -> bool {
         let leader_lags = view.other_leader.is_some_and(|leader| {
-            leader.elected_at <= revision && self.knowledge(leader.node).replica_revision < revision
+            leader.elected_at <= revision && self.progress(leader.node).replica_revision < revision
         });
         view.revision < revision || leader_lags
     }
 
-    /// Whether no leader can start a task of a job any more whose cancellation is durable: the leader of that time knows of the
-    /// cancellation, or its leader lease has ended.
+    /// Reports whether a cancellation is settled: no leader can start a task of the job any more, because the leader at the time
+    /// of the cancellation knows of it or its leader lease has ended.
     #[must_use]
     pub fn is_settled(&self, view: ReplicaView, notice: Notice) -> bool {
         let acknowledged_by_leader = || {
             view.other_leader
                 .is_some_and(|leader| self.was_acknowledged(leader.node, notice))
         };
-        // Who leads is only known from a replica that has reached the cancellation.
+        // Only a replica that has reached the cancellation shows the leader of that time or a later one.
         view.revision >= notice.revision
-            && (!self.leader_may_not_know(view, notice.revision) || acknowledged_by_leader())
+            && (!self.leader_may_be_behind(view, notice.revision) || acknowledged_by_leader())
     }
 
-    /// The notice of a job's cancellation that is not settled yet.
+    /// Returns the notice of a job's cancellation, unless it is settled or no longer kept.
     #[must_use]
     pub fn unsettled(&self, view: ReplicaView, job: &str) -> Option<Notice> {
         self.find(job)
             .filter(|notice| !self.is_settled(view, *notice))
     }
 
-    /// Whether a peer acknowledged a notice.
+    /// Reports whether a peer is known to have acknowledged a notice; false for dropped notices.
     fn was_acknowledged(&self, peer: &str, notice: Notice) -> bool {
-        notice.sequence > self.dropped && notice.sequence <= self.knowledge(peer).acknowledged
+        notice.sequence > self.dropped && notice.sequence <= self.progress(peer).acknowledged
     }
 
-    /// Whether a peer knows of a cancellation, by a notice or through the store.
+    /// Reports whether a peer knows of a cancellation, from a notice or from the store.
     #[cfg(test)]
     fn is_known_by(&self, peer: &str, notice: Notice) -> bool {
         self.was_acknowledged(peer, notice)
-            || notice.revision <= self.knowledge(peer).replica_revision
+            || notice.revision <= self.progress(peer).replica_revision
     }
 
-    fn knowledge(&self, peer: &str) -> PeerKnowledge {
+    fn progress(&self, peer: &str) -> PeerProgress {
         self.peers.get(peer).copied().unwrap_or_default()
     }
 
-    fn knowledge_mut(&mut self, peer: &str) -> &mut PeerKnowledge {
+    fn progress_mut(&mut self, peer: &str) -> &mut PeerProgress {
         self.peers.entry(peer.to_string()).or_default()
     }
 }
--- a/src/coordination/cancellations/tests.rs
+++ b/src/coordination/cancellations/tests.rs
@@ -1,4 +1,4 @@
-//! Whom a controller notifies of cancellations, and who knows of them.
+//! Tests of the delivery of cancellation notices and of the recorded progress of peers.
 
 use super::*;
 
@@ -11,32 +11,32 @@
 }
 
 #[test]
-fn a_peer_is_notified_until_it_knows() {
+fn a_peer_is_notified_until_it_acknowledges_or_its_replica_catches_up() {
     let mut cancellations = Cancellations::default();
     assert!(cancellations.message_for("b").is_none());
     let first = cancellations.add(cancelled("wk-1", 40));
     let second = cancellations.add(cancelled("wk-2", 42));
     let (Cancelled { jobs }, last) = cancellations.message_for("b").unwrap();
     assert_eq!((jobs.len(), last), (2, second));
-    // Its replica has reached the first; a message that says less takes nothing back.
-    cancellations.peer_replica_reached("b", Revision::new(41));
-    cancellations.peer_replica_reached("b", Revision::new(7));
+    // The peer's replica has reached the first cancellation. A lower revision that arrives later has no effect.
+    cancellations.record_peer_revision("b", Revision::new(41));
+    cancellations.record_peer_revision("b", Revision::new(7));
     assert_eq!(
         cancellations.message_for("b").unwrap().0.jobs,
         vec![cancelled("wk-2", 42)]
     );
     assert!(cancellations.is_known_by("b", first) && !cancellations.is_known_by("b", second));
-    cancellations.acknowledged("b", last);
+    cancellations.record_acknowledgement("b", last);
     assert!(cancellations.message_for("b").is_none() && cancellations.is_known_by("b", second));
     assert_eq!(cancellations.message_for("c").unwrap().0.jobs.len(), 2);
-    // Memory for a peer that is never reached is bounded, and so are messages.
+    // The number of notices kept for an unreachable peer is bounded, and so is the size of messages.
     (0..NOTICE_LIMIT as u64 * 2).for_each(|n| {
         cancellations.add(cancelled("wk-3", 100 + n));
     });
     let mut messages = 0;
     while let Some((Cancelled { jobs }, last)) = cancellations.message_for("c") {
         assert!(jobs.len() <= MESSAGE_LIMIT);
-        cancellations.acknowledged("c", last);
+        cancellations.record_acknowledgement("c", last);
         messages += 1;
     }
     assert_eq!(messages, NOTICE_LIMIT / MESSAGE_LIMIT);
@@ -45,10 +45,10 @@
 #[test]
 fn a_peer_that_acknowledged_a_later_cancellation_does_not_know_of_an_earlier_one() {
     let mut cancellations = Cancellations::default();
-    // Of two concurrent transactions the later one was answered first.
+    // Two concurrent transactions: the one with the higher revision is answered first.
     let later = cancellations.add(cancelled("wk-2", 42));
     let (_, last) = cancellations.message_for("b").unwrap();
-    cancellations.acknowledged("b", last);
+    cancellations.record_acknowledgement("b", last);
     let earlier = cancellations.add(cancelled("wk-1", 40));
     assert!(cancellations.is_known_by("b", later) && !cancellations.is_known_by("b", earlier));
     assert_eq!(
@@ -58,16 +58,16 @@
 }
 
 #[test]
-fn a_notice_that_was_dropped_is_known_only_through_the_store() {
+fn a_dropped_notice_is_known_only_from_the_replica_revision() {
     let mut cancellations = Cancellations::default();
     let lost = cancellations.add(cancelled("wk-1", 40));
     for n in 0..NOTICE_LIMIT as u64 {
         cancellations.add(cancelled("wk-2", 41 + n));
     }
     while let Some((_, last)) = cancellations.message_for("b") {
-        cancellations.acknowledged("b", last);
+        cancellations.record_acknowledgement("b", last);
     }
     assert!(!cancellations.is_known_by("b", lost));
-    cancellations.peer_replica_reached("b", Revision::new(40));
+    cancellations.record_peer_revision("b", Revision::new(40));
     assert!(cancellations.is_known_by("b", lost));
 }
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -1,19 +1,19 @@
-//! Leadership of one epoch: whether this controller leads, what it may do as the leader, and until when.
+//! The state machine of leadership: whether this controller leads an epoch, what it may do as the leader, and until when.
 //!
 //! # Why authority needs both a renewed lease and a recent read
 //!
 //! A renewed leader lease proves that no other controller leads. It does not prove that this controller knows of every
-//! cancellation that the other controllers have confirmed to users: it learns of those from the watch of its replica, which
-//! may lag. So authority is counted from the *sending* of the older of two requests:
+//! cancellation that other controllers have confirmed to users: it learns of those from the watch that feeds its replica, and
+//! the watch may lag. Authority is therefore counted from the time at which the older of two requests was *sent*:
 //!
 //! - the last successful renewal of the leader lease, and
 //! - the last linearizable read of the store whose revision the replica has reached.
 //!
-//! A cancellation that is missing in the replica became durable after that read was sent. The controller that confirms a
-//! cancellation waits until the leader knows of it or for [`longest_authority`], so that no task of the job is started after
-//! the confirmation.
+//! A cancellation that is missing from the replica became durable after that read was sent. The controller that confirms a
+//! cancellation waits until the leader knows of it or until [`longest_authority`] has passed, so that no task of the job is
+//! started after the confirmation.
 //!
-//! The module does no I/O and reads no clock: moments are passed in as [`Timestamp`]s of the steady clock.
+//! The module does no I/O and reads no clock: callers pass in [`Timestamp`]s of the monotonic clock.
 
 #[cfg(test)]
 mod tests;
@@ -22,28 +22,28 @@
 use crate::time::{duration_from_millis, whole_millis, Timestamp};
 use std::time::Duration;
 
-/// The largest relative error assumed of a steady clock. The protocol promises 0.05%; this is twice as much.
+/// Assumed maximum drift rate of a monotonic clock. The protocol guarantees 0.05%; this is twice as much.
 const MAX_CLOCK_DRIFT: f64 = 0.001;
-/// Safety margin by which the authority to start tasks ends early.
+/// Safety margin by which the authority to start tasks ends before the leader lease can expire.
 const AUTHORITY_MARGIN: Duration = Duration::from_millis(150);
-/// The largest number of reads that wait for the replica. Beyond it the oldest is dropped, which can only delay authority.
+/// Maximum number of reads that wait for the replica. Beyond it, the oldest is dropped, which can only delay authority.
 const PENDING_READS_LIMIT: usize = 64;
 
 /// The role of this controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
-    /// Another controller leads, or none.
+    /// This controller does not lead: another one does, or leadership is vacant.
     Follower,
-    /// This controller tries to become the leader.
+    /// This controller is trying to become the leader.
     Campaigning,
     /// This controller leads an epoch under a leader lease.
     Leading(Term),
 }
 
-/// The term of a leader: one epoch under one leader lease.
+/// A term of leadership: one epoch under one leader lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Term {
-    /// Number of the epoch.
+    /// The epoch number.
     pub epoch: Epoch,
     /// Version of the epoch key in the store. Every write of the leader is conditional on it.
     pub epoch_version: Revision,
@@ -51,84 +51,84 @@
     pub lease: u64,
 }
 
-/// What this controller may do as the leader at a given moment.
+/// The actions that this controller may take as the leader at a given time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Authority {
-    /// Nothing.
+    /// No actions.
     None,
-    /// It may renew worker leases and stop tasks, but start nothing: another controller may lead by now, or a job may have
+    /// Renewing worker leases and stopping tasks, but not starting any: another controller may lead by now, or a job may have
     /// been cancelled without this controller knowing.
     Renew,
-    /// Everything.
+    /// All actions.
     Full,
 }
 
-/// An event that may change the role or extend the authority.
+/// An event that may change the role or extend the authority of this controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeadershipEvent {
-    /// This controller starts to campaign.
+    /// This controller started to campaign.
     CampaignStarted,
-    /// The campaign failed.
+    /// The campaign failed, and this controller follows again.
     CampaignLost,
-    /// The campaign succeeded.
+    /// The campaign succeeded, and a term begins.
     CampaignWon {
-        /// The term that begins.
+        /// The new term.
         term: Term,
-        /// When the request that opened the leader lease was sent.
+        /// When the request to open the leader lease was sent.
         lease_requested_at: Timestamp,
     },
     /// The leader lease was renewed.
     LeaseRenewed {
-        /// When the request was sent.
+        /// When the renewal request was sent.
         requested_at: Timestamp,
     },
-    /// A linearizable read of the store was answered.
+    /// The store answered a linearizable read.
     RevisionRead {
-        /// When the request was sent.
+        /// When the read request was sent.
         requested_at: Timestamp,
-        /// The revision that the store had reached when it answered.
+        /// The revision of the store that the read returned.
         revision: Revision,
     },
-    /// The replica holds every change up to a revision.
+    /// The replica of the store reached a revision.
     ReplicaAdvanced {
-        /// That revision.
+        /// The revision up to which the replica holds every change.
         revision: Revision,
     },
-    /// The term is over: the leader lease ended, a later epoch was seen, this controller steps down, or its grace period
+    /// The term ended: the leader lease ended, a later epoch was seen, this controller stepped down, or its grace period
     /// without the store is over.
     TermEnded,
 }
 
-/// A linearizable read whose revision the replica has yet to reach.
+/// A linearizable read whose revision the replica has not reached yet.
 #[derive(Debug, Clone, Copy)]
 struct PendingRead {
     requested_at: Timestamp,
     revision: Revision,
 }
 
-/// The state machine of this controller's leadership.
+/// State machine of the leadership of this controller.
 pub struct Leadership {
     role: Role,
-    /// How long a renewal or a read gives the authority to start tasks.
-    full_authority: Duration,
-    /// How much longer worker leases may be renewed.
+    /// Time after the sending of a renewal or a read during which tasks may be started.
+    full_authority_ttl: Duration,
+    /// Additional time during which worker leases may be renewed.
     grace_period: Duration,
     /// When the newest successful renewal of the leader lease was sent.
     lease_renewed_at: Timestamp,
-    /// When the newest read was sent whose revision the replica has reached.
+    /// When the newest read whose revision the replica has reached was sent.
     up_to_date_at: Timestamp,
     replica_revision: Revision,
     pending_reads: Vec<PendingRead>,
 }
 
 impl Leadership {
-    /// A follower. Its leader leases will have the given time to live; without renewals it may go on renewing worker leases
-    /// for the grace period after its authority to start tasks has ended.
+    /// Creates the state of a follower. `lease_ttl` is the time to live of its future leader leases. A leader whose authority
+    /// to start tasks has expired may go on renewing worker leases for `grace_period`.
     #[must_use]
     pub fn new(lease_ttl: Duration, grace_period: Duration) -> Self {
         Leadership {
             role: Role::Follower,
-            full_authority: scaled(lease_ttl, 1.0 - MAX_CLOCK_DRIFT)
+            full_authority_ttl: scaled(lease_ttl, 1.0 - MAX_CLOCK_DRIFT)
                 .saturating_sub(AUTHORITY_MARGIN),
             grace_period,
             lease_renewed_at: Timestamp::ZERO,
@@ -138,13 +138,13 @@
         }
     }
 
-    /// The role.
+    /// Returns the role of this controller.
     #[must_use]
     pub fn role(&self) -> &Role {
         &self.role
     }
 
-    /// The term, while this controller leads.
+    /// Returns the term, while this controller leads.
     #[must_use]
     pub fn term(&self) -> Option<Term> {
         match self.role {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Applies an event and returns whether the role changed. The role changes nowhere else.
+    /// Applies an event and reports whether the role changed. This is the only function that changes the role.
     pub fn apply(&mut self, event: LeadershipEvent) -> bool {
         use LeadershipEvent as Event;
         let next = match (&self.role, event) {
@@ -172,7 +172,7 @@
             }
             (_, Event::ReplicaAdvanced { revision }) => {
                 self.replica_revision = self.replica_revision.max(revision);
-                self.settle_pending_reads();
+                self.resolve_pending_reads();
                 return false;
             }
             (Role::Leading(_), Event::LeaseRenewed { requested_at }) => {
@@ -205,11 +205,11 @@
         if self.pending_reads.len() > PENDING_READS_LIMIT {
             self.pending_reads.remove(0);
         }
-        self.settle_pending_reads();
+        self.resolve_pending_reads();
     }
 
-    /// Removes the reads whose revision the replica has reached; the replica is up to date as of their sending.
-    fn settle_pending_reads(&mut self) {
+    /// Removes the reads whose revision the replica has reached. The replica is up to date as of the time they were sent.
+    fn resolve_pending_reads(&mut self) {
         let replica_revision = self.replica_revision;
         let up_to_date_at = &mut self.up_to_date_at;
         self.pending_reads.retain(|read| {
@@ -221,17 +221,17 @@
         });
     }
 
-    /// When the authority to start tasks ends, if this controller leads.
+    /// Returns when the authority to start tasks ends, provided that this controller leads.
     fn full_authority_ends(&self) -> Timestamp {
-        self.lease_renewed_at.min(self.up_to_date_at) + self.full_authority
+        self.lease_renewed_at.min(self.up_to_date_at) + self.full_authority_ttl
     }
 
-    /// What this controller may do now.
+    /// Returns the authority of this controller at `now`.
     ///
-    /// A renewal of the leader lease alone must not restore the full authority. After a refusal or an outage of the store, open
-    /// watches may stay silent and leader leases have their full time again. When a renewal was enough, a leader in that state
-    /// started tasks of jobs that other controllers had confirmed as cancelled meanwhile, and short refusals in a row prolonged
-    /// the time for which such tasks were kept alive.
+    /// Renewing the leader lease is not enough to restore full authority. After the store refused this controller or was down,
+    /// open watches may stay silent, while leader leases get their full time to live again. If a renewal were enough, a leader
+    /// in that state would start tasks of jobs whose cancellation other controllers have already confirmed, and a series of
+    /// short refusals would extend the time for which such tasks are kept alive.
     #[must_use]
     pub fn authority(&self, now: Timestamp) -> Authority {
         if !matches!(self.role, Role::Leading(_)) {
@@ -247,7 +247,7 @@
         }
     }
 
-    /// When the present authority ends, unless a renewal or a read that is under way extends it; `now` if there is none.
+    /// Returns when the current authority ends unless a renewal or read in flight extends it; `now` if there is none.
     #[must_use]
     pub fn authority_ends(&self, now: Timestamp) -> Timestamp {
         let full_until = self.full_authority_ends();
@@ -258,35 +258,35 @@
         }
     }
 
-    /// Whether the replica has yet to reach the revision of a read that was sent before a moment. If so for long, its watch may
-    /// have stalled.
+    /// Reports whether the replica has not yet reached the revision of a read that was sent before `moment`. A read that stays
+    /// pending for long indicates that the watch has stalled.
     #[must_use]
-    pub fn lags_behind_read_sent_before(&self, moment: Timestamp) -> bool {
+    pub fn has_pending_read_sent_before(&self, moment: Timestamp) -> bool {
         self.pending_reads
             .iter()
             .any(|read| read.requested_at < moment)
     }
 }
 
-/// The longest time for which a leader can start tasks of a job after its cancellation became durable, as measured by the
-/// clock of another controller.
+/// Returns the longest time for which a leader can go on starting tasks of a job after the job's cancellation became durable,
+/// as measured by the clock of another controller.
 #[must_use]
 pub fn longest_authority(lease_ttl: Duration) -> Duration {
     scaled(lease_ttl, 1.0 + MAX_CLOCK_DRIFT)
 }
 
-/// A duration times a factor near one, in whole milliseconds, rounded down.
+/// Multiplies a duration by a factor near one; the result is rounded down to whole milliseconds.
 fn scaled(duration: Duration, factor: f64) -> Duration {
     duration_from_millis(whole_millis(duration) as f64 * factor)
 }
 
 fn log_role_change(from: &Role, to: &Role) {
     match (from, to) {
-        (_, Role::Campaigning) => tracing::info!("campaign started"),
+        (_, Role::Campaigning) => tracing::info!("campaign for leadership started"),
         (_, Role::Leading(term)) => tracing::info!(epoch = %term.epoch, "leadership acquired"),
         (Role::Leading(term), Role::Follower) => {
-            tracing::info!(epoch = %term.epoch, "leadership ended");
+            tracing::info!(epoch = %term.epoch, "leadership ended, this controller follows");
         }
-        (_, Role::Follower) => tracing::info!("campaign lost"),
+        (_, Role::Follower) => tracing::info!("campaign for leadership lost"),
     }
 }
--- a/src/coordination/leadership/tests.rs
+++ b/src/coordination/leadership/tests.rs
@@ -1,9 +1,10 @@
-//! The authority of a leader over time, under a fake clock.
+//! Tests of the authority of a leader over time, with explicit timestamps.
 
 use super::*;
 use crate::store::Revision;
 
-/// Leads epoch 3 with a leader lease of 2 s and a grace period of 10 s; renewed and read at 1000, with the replica at revision 9.
+/// A leader of epoch 3 with a leader lease of 2 s and a grace period of 10 s. Its last renewal and read were sent at 1000 ms, and
+/// its replica is at revision 9.
 fn leading() -> Leadership {
     let mut leadership = Leadership::new(Duration::from_secs(2), Duration::from_secs(10));
     assert!(leadership.apply(LeadershipEvent::CampaignStarted));
@@ -43,7 +44,7 @@
         requested_at: at(2500),
     });
     assert_eq!(leadership.authority(at(4300)), Authority::Full);
-    // An answer to an older renewal must not shorten or lengthen anything.
+    // A late answer to an older renewal neither shortens nor extends the authority.
     leadership.apply(LeadershipEvent::LeaseRenewed {
         requested_at: at(1500),
     });
@@ -56,32 +57,33 @@
 #[test]
 fn a_renewal_restores_no_authority_before_the_replica_has_caught_up() {
     let mut leadership = leading();
-    // Refused by the store from 1000 on, while another controller confirms a cancellation at revision 12. Then a renewal succeeds.
+    // The store refuses requests from 1000 ms on, while another controller confirms a cancellation at revision 12. Then a
+    // renewal succeeds.
     leadership.apply(LeadershipEvent::LeaseRenewed {
         requested_at: at(9000),
     });
     assert_eq!(leadership.authority(at(9001)), Authority::Renew);
-    // The read that follows returns revision 12. The replica, whose watch has stalled, is at 9, then at 11.
+    // The next read returns revision 12. The watch has stalled: the replica stays at 9, then advances to 11 only.
     read(&mut leadership, 9010, 12);
     leadership.apply(LeadershipEvent::ReplicaAdvanced {
         revision: Revision::new(11),
     });
     assert_eq!(leadership.authority(at(9020)), Authority::Renew);
     assert!(
-        leadership.lags_behind_read_sent_before(at(9011))
-            && !leadership.lags_behind_read_sent_before(at(9010))
+        leadership.has_pending_read_sent_before(at(9011))
+            && !leadership.has_pending_read_sent_before(at(9010))
     );
     leadership.apply(LeadershipEvent::ReplicaAdvanced {
         revision: Revision::new(12),
     });
     assert_eq!(leadership.authority(at(9030)), Authority::Full);
-    assert!(!leadership.lags_behind_read_sent_before(at(u64::MAX)));
+    assert!(!leadership.has_pending_read_sent_before(at(u64::MAX)));
 }
 
 #[test]
 fn short_refusals_in_a_row_do_not_extend_the_grace_period() {
     let mut leadership = leading();
-    // Some renewals succeed; the replica never advances.
+    // Some renewals succeed, but the replica never advances.
     for millis in [4000, 7000, 10_000, 12_500] {
         leadership.apply(LeadershipEvent::LeaseRenewed {
             requested_at: at(millis),
@@ -102,7 +104,7 @@
     leadership.apply(LeadershipEvent::LeaseRenewed {
         requested_at: at(9000),
     });
-    // Answers out of order: the read that was sent last returns the lower revision.
+    // Out-of-order answers: the read that was sent last returns the lower revision.
     read(&mut leadership, 8000, 20);
     read(&mut leadership, 9000, 15);
     leadership.apply(LeadershipEvent::ReplicaAdvanced {
@@ -112,7 +114,7 @@
     leadership.apply(LeadershipEvent::LeaseRenewed {
         requested_at: at(10_500),
     });
-    // Reaching the revision of the older read neither reduces nor extends the authority.
+    // Reaching the revision of the older read neither shortens nor extends the authority.
     leadership.apply(LeadershipEvent::ReplicaAdvanced {
         revision: Revision::new(20),
     });
@@ -156,7 +158,7 @@
 }
 
 #[test]
-fn authority_ends_as_announced() {
+fn authority_ends_at_the_predicted_time() {
     let mut leadership = leading();
     assert_eq!(leadership.authority_ends(at(1500)), at(2848));
     assert_eq!(
--- a/src/coordination/linearizable_reads.rs
+++ b/src/coordination/linearizable_reads.rs
@@ -1,10 +1,10 @@
-//! Reads of the replica that wait until it is up to date.
+//! Linearizable reads that wait until the replica is up to date.
 //!
 //! A read of the replica is linearizable once the replica has reached a revision that the store had after the read was
-//! requested. A read barrier, a transaction that compares and changes nothing, returns such a revision. One barrier serves all
-//! reads that were requested before it was sent.
+//! requested. A read barrier, which is a transaction that compares but changes nothing, returns such a revision. One barrier
+//! serves all reads that were requested before it was sent.
 //!
-//! This module only keeps who waits; the controller's read-barrier loop sends the barriers.
+//! This module only holds the waiting reads; the controller's read-barrier loop sends the barriers.
 
 #[cfg(test)]
 mod tests;
@@ -12,22 +12,22 @@
 use crate::store::Revision;
 use tokio::sync::oneshot;
 
-/// The reads that wait for the next read barrier.
+/// Reads that wait for the next read barrier.
 #[derive(Debug, Default)]
 pub struct PendingReads {
     waiting: Vec<oneshot::Sender<Revision>>,
 }
 
 impl PendingReads {
-    /// Registers a read for the next barrier. The receiver gets the revision that the replica has to reach, or an error if the
-    /// barrier fails.
+    /// Registers a read for the next barrier. The receiver yields the revision that the replica has to reach, or an error if
+    /// the barrier fails.
     pub fn register(&mut self) -> oneshot::Receiver<Revision> {
         let (sender, receiver) = oneshot::channel();
         self.waiting.push(sender);
         receiver
     }
 
-    /// Takes all reads that are registered so far, for a barrier that is sent now.
+    /// Takes all reads registered so far, for a barrier that is about to be sent.
     #[must_use]
     pub fn take_batch(&mut self) -> ReadBatch {
         ReadBatch {
@@ -36,23 +36,23 @@
     }
 }
 
-/// The reads that share one barrier. Dropping the batch fails them.
+/// Reads that share one barrier. Dropping the batch makes them fail.
 #[derive(Debug)]
 pub struct ReadBatch {
     waiting: Vec<oneshot::Sender<Revision>>,
 }
 
 impl ReadBatch {
-    /// Whether no read waits for this barrier.
+    /// Reports whether no read waits for this barrier.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Hands the revision that the barrier returned to the reads.
+    /// Passes the revision that the barrier returned to the waiting reads.
     pub fn resolve(self, revision: Revision) {
         for sender in self.waiting {
-            // A read that was abandoned meanwhile, by its timeout, has dropped its receiver.
+            // Sending fails if the read has timed out and dropped its receiver.
             let _ = sender.send(revision);
         }
     }
--- a/src/coordination/linearizable_reads/tests.rs
+++ b/src/coordination/linearizable_reads/tests.rs
@@ -1,4 +1,4 @@
-//! Which reads a barrier serves.
+//! Tests of the assignment of reads to barriers.
 
 use super::*;
 
@@ -16,7 +16,7 @@
         (Ok(Revision::new(7)), Ok(Revision::new(7)))
     );
     assert_eq!(later.try_recv(), Err(oneshot::error::TryRecvError::Empty));
-    // A barrier that fails fails its reads.
+    // A failed barrier drops its batch, which makes its reads fail.
     drop(pending_reads.take_batch());
     assert_eq!(later.try_recv(), Err(oneshot::error::TryRecvError::Closed));
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,18 +1,18 @@
-//! Coordination among the controllers: who leads, how new a read is, who knows of a cancellation, and who can be reached.
+//! Coordination among the controllers: leadership, linearizable reads, cancellation notices and peer health.
 //!
-//! All controllers serve users; one of them leads and is the only one that starts tasks. What they agree on is in the store:
-//! the leader key under its lease, the epoch, and every job. They also send each other messages; losing one of them costs time
-//! and breaks no rule.
+//! All controllers serve users; one of them leads and is the only one that starts tasks. The state that they agree on is in
+//! the store: the leader key under its lease, the epoch, and every job. They also exchange messages; a lost message costs time
+//! but never safety.
 //!
-//! - [`leadership`] is the state machine of the leadership of this controller, and decides what it may do as the leader, and
-//!   until when. It is the place to begin reading.
-//! - [`linearizable_reads`] keeps the reads that wait until the replica of the store is up to date.
-//! - [`cancellations`] keeps the cancellations of which peers have to be notified, and decides when a user may be told that a
+//! - [`leadership`] is the state machine of this controller's leadership: it decides what the controller may do as the leader,
+//!   and until when. Start reading here.
+//! - [`linearizable_reads`] holds the reads that wait until the replica of the store is up to date.
+//! - [`cancellations`] holds the cancellations that peers have to be notified of, and decides when a user may be told that a
 //!   job is cancelled.
-//! - [`peers`] has the messages between controllers, the requests that carry them, and whether peers can be reached.
+//! - [`peers`] defines the messages between controllers, sends them, and tracks whether peers are reachable.
 //!
-//! The modules own state, but run no loops and hold no clock: the loops of [`crate::controller`] pass in what they receive and
-//! the time, and carry out the requests.
+//! The modules own state, but run no loops and read no clock: the loops of [`crate::controller`] pass in the received messages
+//! and the time, and send the requests.
 
 pub mod cancellations;
 pub mod leadership;
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,8 +1,7 @@
-//! The other controllers, the peers of this one: the messages between them, the requests to them, and whether they can be
-//! reached.
+//! Communication with the peers, the other controllers: messages, requests, and the health of peers.
 //!
-//! Peers exchange views about once a second and notify each other of cancellations at once. Losing one of these
-//! messages costs only time: a controller that hears of no peer acts on the store alone.
+//! Peers exchange views about once a second and notify each other of cancellations immediately. A lost message costs only
+//! time: a controller that reaches no peer relies on the store alone.
 
 mod client;
 mod health;
--- a/src/coordination/peers/client.rs
+++ b/src/coordination/peers/client.rs
@@ -1,4 +1,4 @@
-//! The requests to peers.
+//! HTTP client for requests to peers.
 
 use super::messages::{decode, encode, Cancelled, View, MESSAGE_SIZE_LIMIT};
 use crate::clients::http::{exchange, ConnectionReuse, HttpRequest};
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for a request and its response.
+/// Timeout of a request, including its response.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Sends this controller's view to a peer. Returns the peer's view, or nothing if it did not answer.
+/// Sends this controller's view to a peer. Returns the peer's view, or `None` without a valid response.
 pub async fn exchange_views(http: &awc::Client, address: SocketAddr, own: &View) -> Option<View> {
     post(http, format!("http://{address}/peer/view"), own).await
 }
 
-/// Sends notices of cancellations to a peer. Returns the revision that the peer's replica has reached, which acknowledges
-/// them, or nothing if it did not answer.
+/// Sends notices of cancellations to a peer. The response acknowledges them; returns the revision of the peer's replica that it
+/// carries, or `None` without a valid response.
 pub async fn send_cancellations(
     http: &awc::Client,
     address: SocketAddr,
--- a/src/coordination/peers/health.rs
+++ b/src/coordination/peers/health.rs
@@ -1,23 +1,23 @@
-//! Whether this controller is isolated from the others.
+//! Health of the peers, and detection of the isolation of this controller.
 
 use crate::time::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A controller that no peer answers or refuses for this long is isolated.
+/// Time after which a controller counts as isolated if no peer sent it a view or refused a connection.
 pub(super) const ISOLATED_AFTER: Duration = Duration::from_secs(5);
-/// How long the view of a peer is valid.
+/// Time for which the view of a peer is valid.
 const VIEW_TTL: Duration = Duration::from_secs(3);
 
-/// The latest view of a peer, as far as its health is concerned.
+/// The latest contact with a peer.
 #[derive(Debug, Clone, Copy)]
 struct PeerContact {
     received_at: Timestamp,
-    /// Whether the store answered the peer.
+    /// Whether the peer reported that the store answers it.
     store_reachable: bool,
 }
 
-/// What this controller knows of the health of its peers.
+/// The health of the peers as seen by this controller.
 #[derive(Debug, Default)]
 pub struct PeerHealth {
     contacts: HashMap<String, PeerContact>,
@@ -26,7 +26,7 @@
 }
 
 impl PeerHealth {
-    /// Records the view of a peer.
+    /// Records a view received from a peer.
     pub fn record_view(&mut self, node: String, store_reachable: bool, now: Timestamp) {
         let contact = PeerContact {
             received_at: now,
@@ -36,18 +36,19 @@
         self.last_contact_at = now;
     }
 
-    /// Records that a peer refused a connection: its host, at least, can be reached.
+    /// Records that a peer refused a connection, which shows that at least its host is reachable.
     pub fn record_refusal(&mut self, now: Timestamp) {
         self.last_contact_at = now;
     }
 
-    /// The process of this controller was paused. That it heard nothing meanwhile says nothing about its peers.
-    pub fn excuse_pause(&mut self, pause: Duration, now: Timestamp) {
+    /// Excludes a pause of this process from the time without contact: messages were missed because of the pause, not because
+    /// of the peers.
+    pub fn exclude_pause(&mut self, pause: Duration, now: Timestamp) {
         self.last_contact_at = (self.last_contact_at + pause).min(now);
     }
 
-    /// Whether a controller that the store does not answer is alone in that: the store answers a peer, or no peer can be
-    /// reached either. In an outage of the store, which the peers report as well, it is not.
+    /// Reports whether this controller, which the store does not answer, is isolated: the store answers a peer, or no peer is
+    /// reachable either. It is not isolated in an outage of the store, which reachable peers report as well.
     #[must_use]
     pub fn is_isolated(&self, now: Timestamp) -> bool {
         let store_answers_a_peer = self
--- a/src/coordination/peers/messages.rs
+++ b/src/coordination/peers/messages.rs
@@ -1,39 +1,39 @@
-//! The messages between controllers, as bincode.
+//! Messages between controllers, encoded as bincode.
 //!
-//! Controllers of two versions run side by side during an upgrade. Bincode writes no names, so the order and the types of the
-//! fields must not change.
+//! Controllers of two versions run side by side during an upgrade. Bincode encodes fields by position, without their names, so
+//! the order and the types of the fields must not change.
 
 use crate::store::{Epoch, Revision};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// The largest message accepted from a peer, in bytes.
+/// Maximum size of a message that is accepted from a peer, in bytes.
 pub const MESSAGE_SIZE_LIMIT: usize = 4 << 20;
 
-/// A controller's view: what it knows of the epoch, the store and, if it leads, the jobs.
+/// A controller's view of the epoch, the store and, if it leads, the jobs.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct View {
-    /// Name of the controller.
+    /// Name of the sending controller.
     pub node: String,
-    /// Number of the newest epoch that it has seen.
+    /// Newest epoch that it has seen.
     pub epoch: Epoch,
-    /// The revision that its replica of the store has reached.
+    /// Revision that its replica of the store has reached.
     pub revision: Revision,
     /// Whether the store answers it.
     pub store_reachable: bool,
-    /// If it leads: the rate of its changes of the store, per second.
+    /// If it leads: rate of its changes to the store, per second.
     pub leader_changes_per_s: Option<f64>,
-    /// If it leads: done and running tasks of every job, for display.
+    /// If it leads: done and running tasks of every job, for display to users.
     pub task_counts: Option<Vec<JobTaskCounts>>,
 }
 
-/// How many tasks of a job are done and running.
+/// Numbers of done and running tasks of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobTaskCounts {
     /// Name of the job.
     pub job: String,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks that are running.
+    /// Number of tasks that are running.
     pub running: u32,
 }
 
@@ -42,20 +42,20 @@
 pub struct CancelledJob {
     /// Name of the job.
     pub job: String,
-    /// Its number of tasks.
+    /// Number of its tasks.
     pub tasks: u32,
     /// Revision at which its cancellation became durable.
     pub revision: Revision,
 }
 
-/// Notices of cancellations that are durable.
+/// Notices of durable cancellations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cancelled {
     /// The cancelled jobs.
     pub jobs: Vec<CancelledJob>,
 }
 
-/// Decodes a message; none if it is too large or malformed.
+/// Decodes a message. Returns `None` if it is too large or malformed.
 #[must_use]
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     if body.len() > MESSAGE_SIZE_LIMIT {
--- a/src/coordination/peers/tests.rs
+++ b/src/coordination/peers/tests.rs
@@ -1,4 +1,4 @@
-//! The health of peers, and the messages between them.
+//! Tests of the detection of isolation and of the encoding of messages.
 
 use super::health::ISOLATED_AFTER;
 use super::*;
@@ -19,9 +19,9 @@
 }
 
 #[test]
-fn a_controller_without_the_store_knows_whether_it_is_isolated() {
+fn isolation_is_distinguished_from_an_outage_of_the_store() {
     let mut health = PeerHealth::default();
-    // An outage: the peers report it as well, or refuse connections.
+    // Outage of the store: the peers report it as well, or refuse connections.
     health.record_view("b".into(), false, at(1000));
     assert!(!health.is_isolated(at(5000)));
     health.record_refusal(at(6000));
@@ -29,12 +29,12 @@
     // The store answers a peer.
     health.record_view("c".into(), true, at(10_000));
     assert!(health.is_isolated(at(11_000)) && !health.is_isolated(at(14_000)));
-    // No peer is reached. A controller in that state once kept its users, who were answered 503 for as long as it lasted.
+    // No peer is reachable. Unless this counts as isolation, the controller keeps its users and answers them 503 throughout.
     assert!(health.is_isolated(at(16_000)));
 }
 
 #[test]
-fn malformed_messages_are_refused() {
+fn messages_are_decoded_unless_malformed() {
     let task_counts = Some(vec![JobTaskCounts {
         job: "wk-1".into(),
         done: 1,
@@ -66,13 +66,13 @@
 fn a_process_pause_does_not_count_as_isolation() {
     let mut health = PeerHealth::default();
     health.record_view("b".into(), false, at(1000));
-    // It heard nothing for 30 s, through no fault of its peers.
+    // The process was paused and received nothing for 30 s.
     assert!(health.is_isolated(at(31_000)));
-    health.excuse_pause(Duration::from_millis(29_900), at(31_000));
+    health.exclude_pause(Duration::from_millis(29_900), at(31_000));
     assert!(!health.is_isolated(at(31_000)));
-    // It hears nothing while it runs: now it is isolated.
+    // No contact while the process runs: it is isolated.
     assert!(health.is_isolated(at(31_000) + ISOLATED_AFTER));
-    // No contact counts as later than now.
-    health.excuse_pause(Duration::from_millis(1 << 40), at(32_000));
+    // A pause longer than the time without contact moves the last contact to the present, not into the future.
+    health.exclude_pause(Duration::from_millis(1 << 40), at(32_000));
     assert!(health.is_isolated(at(32_001) + ISOLATED_AFTER));
 }
