--- a/src/coordination/cancellations/tests.rs
+++ b/src/coordination/cancellations/tests.rs
@@ -60,14 +60,14 @@
 #[test]
 fn a_dropped_notice_is_known_only_from_the_replica_revision() {
     let mut cancellations = Cancellations::default();
-    let lost = cancellations.add(cancelled("wk-1", 40));
+    let dropped = cancellations.add(cancelled("wk-1", 40));
     for n in 0..NOTICE_LIMIT as u64 {
         cancellations.add(cancelled("wk-2", 41 + n));
     }
     while let Some((_, last)) = cancellations.message_for("b") {
         cancellations.record_acknowledgement("b", last);
     }
-    assert!(!cancellations.is_known_by("b", lost));
+    assert!(!cancellations.is_known_by("b", dropped));
     cancellations.record_peer_revision("b", Revision::new(40));
-    assert!(cancellations.is_known_by("b", lost));
+    assert!(cancellations.is_known_by("b", dropped));
 }
--- a/src/coordination/leadership/tests.rs
+++ b/src/coordination/leadership/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::store::Revision;
 
-/// A leader of epoch 3 with a leader lease of 2 s and a grace period of 10 s. Its last renewal and read were sent at 1000 ms, and
-/// its replica is at revision 9.
+/// Returns a leader of epoch 3 with a leader lease of 2 s and a grace period of 10 s. Its last renewal and read were sent at
+/// 1000 ms, and its replica is at revision 9.
 fn leading() -> Leadership {
     let mut leadership = Leadership::new(Duration::from_secs(2), Duration::from_secs(10));
     assert!(leadership.apply(LeadershipEvent::CampaignStarted));
--- a/src/coordination/peers/tests.rs
+++ b/src/coordination/peers/tests.rs
@@ -41,7 +41,7 @@
         running: 2,
     }]);
     let leader_changes_per_s = Some(7.5);
-    let v = View {
+    let view = View {
         node: "a".into(),
         epoch: Epoch::new(4),
         revision: Revision::new(8),
@@ -50,8 +50,8 @@
         task_counts,
     };
     assert_eq!(
-        decode::<View>(&encode(&v)).unwrap().task_counts,
-        v.task_counts
+        decode::<View>(&encode(&view)).unwrap().task_counts,
+        view.task_counts
     );
     assert!(decode::<View>(&[255; 40]).is_none());
     assert!(decode::<View>(&[]).is_none());
