--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -1,4 +1,4 @@
-//! The actor: it owns the handles that the loops share, spawns the loops and hands every message to what handles it.
+//! The controller actor: owns the shared handles, spawns the loops and dispatches messages to their handlers.
 
 use super::handles::Handles;
 use super::messages::{
@@ -8,13 +8,13 @@
 use crate::config::Settings;
 use actix::prelude::*;
 
-/// A controller. All of its state is in one thread; its loops and handlers take turns.
+/// The controller actor. All of its state belongs to one thread, on which its loops and handlers run cooperatively.
 pub struct Controller {
     handles: Handles,
 }
 
 impl Controller {
-    /// A controller that has yet to be started.
+    /// Creates a controller that is not started yet.
     pub(crate) fn new(settings: Settings) -> Controller {
         Controller {
             handles: Handles::new(settings),
@@ -25,9 +25,9 @@
 impl Actor for Controller {
     type Context = Context<Self>;
 
-    /// Spawns the loops. This is the one place where they start, and none of them returns: they are cancelled when the runtime
-    /// of [`crate::service::run`] is dropped, at the end of the process. Nothing has to be cleaned up then, since everything
-    /// that must survive is in the store.
+    /// Spawns the loops. They start nowhere else and never return: they are cancelled when the runtime of
+    /// [`crate::service::run`] is dropped, at the end of the process. No cleanup is needed then, since everything that must
+    /// survive is in the store.
     fn started(&mut self, _: &mut Self::Context) {
         let handles = || self.handles.clone();
         actix::spawn(handles().run_watch_loop());
@@ -76,7 +76,7 @@
 impl Handler<Heartbeat> for Controller {
     type Result = MessageResult<Heartbeat>;
     fn handle(&mut self, message: Heartbeat, _: &mut Self::Context) -> Self::Result {
-        let (response, needs_round) = self.handles.with_state(|state| {
+        let (response, needs_round) = self.handles.update_state(|state| {
             let response = HeartbeatResponse {
                 outcome: state.handle_heartbeat(&message.0),
                 valid_until: state.answer_valid_until(),
@@ -93,7 +93,7 @@
 impl Handler<PeerView> for Controller {
     type Result = MessageResult<PeerView>;
     fn handle(&mut self, message: PeerView, _: &mut Self::Context) -> Self::Result {
-        MessageResult(self.handles.with_state(|state| {
+        MessageResult(self.handles.update_state(|state| {
             state.receive_view(message.0);
             state.own_view()
         }))
@@ -107,7 +107,7 @@
         self.handles.cancellation_recorded.notify_one();
         MessageResult(
             self.handles
-                .with_state(|state| state.receive_cancellations(&message.0)),
+                .update_state(|state| state.receive_cancellations(&message.0)),
         )
     }
 }
--- a/src/controller/cancellation_broadcast_loop.rs
+++ b/src/controller/cancellation_broadcast_loop.rs
@@ -1,4 +1,4 @@
-//! Notifies the other controllers of cancellations.
+//! Notifies the peers of cancellations.
 
 use super::handles::Handles;
 use super::state::MIN_ROUND_INTERVAL;
@@ -7,21 +7,21 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Time after which notices that were not acknowledged are sent again.
+/// Interval at which unacknowledged notices are resent.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Handles {
-    /// Sends every peer the cancellations that it does not know of, again until it knows.
+    /// Sends every peer the cancellations that it does not know of, and repeats them until it does.
     pub(super) async fn run_cancellation_broadcast_loop(self) {
         let peers = self.read_state(|state| state.settings().platform.peers.clone());
         loop {
             let recorded = self.cancellation_recorded.notified();
-            // Whether something was recorded or the interval is over: what is unknown to a peer is sent.
+            // New cancellations and the end of the interval are handled alike.
             let _ = timeout(RESEND_INTERVAL, recorded).await;
             for peer in &peers {
                 self.notify_peer(peer);
             }
-            // Cancellations that are recorded close together are sent together.
+            // Cancellations recorded in this interval share one message.
             sleep(MIN_ROUND_INTERVAL).await;
         }
     }
@@ -36,9 +36,9 @@
         let (handles, node, address) = (self.clone(), peer.node.clone(), peer.peer_addr);
         actix::spawn(async move {
             let answer = peers::send_cancellations(&handles.http, address, &message).await;
-            // Without an answer the message is sent again.
+            // Without an answer, the notices are resent by a later iteration of the loop.
             if let Some(replica_revision) = answer {
-                handles.with_state(|state| {
+                handles.update_state(|state| {
                     state.record_acknowledgement(&node, last, replica_revision);
                 });
             }
--- a/src/controller/clock.rs
+++ b/src/controller/clock.rs
@@ -1,32 +1,32 @@
-//! The clock of a controller. Tests replace it by one that they set.
+//! The clock of a controller. Tests replace it with one that they set themselves.
 
 use crate::time::{whole_millis, Timestamp};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What a steady clock shows when it starts: [`Timestamp::ZERO`] stands for what has never happened.
+/// Initial reading of a monotonic clock. It is above [`Timestamp::ZERO`], which marks events that have never happened.
 const START: Timestamp = Timestamp::from_millis(1000);
 
-/// Where the time comes from.
+/// A source of monotonic time and of the time of day.
 pub(super) enum Clock {
-    /// The system's steady clock since a moment, and its time of day.
+    /// The clocks of the operating system.
     System {
-        /// When the controller's clock started.
+        /// Zero point of the monotonic clock.
         started_at: Instant,
     },
-    /// The clock of a test, in milliseconds.
+    /// A clock that a test sets, in milliseconds.
     #[cfg(test)]
     Scripted(std::rc::Rc<std::cell::Cell<u64>>),
 }
 
 impl Clock {
-    /// A clock of the system that starts now.
+    /// Starts a clock of the operating system.
     pub(super) fn start() -> Clock {
         Clock::System {
             started_at: Instant::now(),
         }
     }
 
-    /// The time of the steady clock.
+    /// Returns the monotonic time.
     pub(super) fn now(&self) -> Timestamp {
         match self {
             Clock::System { started_at } => START + started_at.elapsed(),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The time of day, in milliseconds since the Unix epoch.
+    /// Returns the time of day in milliseconds since the Unix epoch.
     pub(super) fn unix_millis(&self) -> u64 {
         match self {
             Clock::System { .. } => {
--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -1,4 +1,4 @@
-//! Adoption: machines that no rental record names get one, so that they are used or returned.
+//! Adoption: creates rental records for machines that have none, so that they are used or returned.
 
 use super::Handles;
 use crate::controller::state::{ControllerState, UnregisteredMachine, WorkerContact};
@@ -8,10 +8,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Most adoptions under way at a time.
+/// Maximum number of concurrent adoptions.
 const CONCURRENT_ADOPTIONS: usize = 16;
 
-/// How many adoptions are under way.
+/// Counter that limits the number of concurrent adoptions.
 #[derive(Debug, Clone, Default)]
 pub(super) struct AdoptionSlots {
     used: Rc<Cell<usize>>,
@@ -32,12 +32,13 @@
 }
 
 impl Handles {
-    /// Starts to adopt unregistered machines, a few at a time and beside the other calls: late copies of the heartbeats of
-    /// machines that an earlier leader has released name workers that never answer, and asked one after the other they would
-    /// delay every release and rental.
+    /// Spawns adoptions of unregistered machines, up to the limit of concurrent ones.
+    ///
+    /// They run concurrently with the other calls. Late copies of heartbeats from machines that an earlier leader has released
+    /// name workers that never answer; probing those in sequence would delay every release and rental.
     pub(super) fn adopt_unregistered(&self, slots: &AdoptionSlots) {
         for _ in 0..slots.free() {
-            let next = self.with_state(ControllerState::pop_unregistered_machine);
+            let next = self.update_state(ControllerState::pop_unregistered_machine);
             let Some((name, machine)) = next else {
                 return;
             };
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Adopts a machine, if its worker runs. One that is known by a heartbeat only is asked, since that may be a late copy.
+    /// Adopts a machine. If the machine is known only from a heartbeat, its worker is probed first, since the heartbeat may be a
+    /// late copy.
     async fn adopt(&self, name: &str, machine: UnregisteredMachine) {
         let Some(term) = self.read_state(|state| state.term_to_adopt(name, &machine)) else {
             return;
@@ -71,29 +73,29 @@
         if !self.store_adoption(name, &record, term).await {
             return;
         }
-        tracing::info!(machine = %name, "unregistered machine adopted");
-        self.with_state(|state| state.finish_adoption(&record, term));
+        tracing::info!(machine = %name, "unregistered machine adopted, rental record stored");
+        self.update_state(|state| state.finish_adoption(&record, term));
     }
 
-    /// Stores the rental record of an unregistered machine. Whether it is in the store now.
+    /// Stores the rental record of an unregistered machine. Returns whether the store holds the record afterwards.
     async fn store_adoption(&self, name: &str, record: &RentalRecord, term: Term) -> bool {
         let rental = format!("found-{name}");
         let epoch = guard(store::epoch_key(), term.epoch_version);
         let txn = store::rental_txn(&epoch, &rental, Revision::ZERO, record);
         match self.leader_transaction(&txn).await {
             Ok(TxnOutcome::Applied(_)) => true,
-            // An earlier try without an answer was executed after all: without this the machine was never used, nor
-            // returned, until the next failover.
+            // The record exists, since an earlier, unanswered attempt was executed. If this counted as a failure, the machine
+            // would be neither used nor returned until the next failover.
             Ok(TxnOutcome::Failed(keys)) if keys == [store::rental_key(&rental)] => {
                 self.read_state(|state| state.has_rental(&rental, record))
             }
-            // It is remembered again when it reports or is listed again.
+            // The machine is recorded as unregistered again when it next reports or is listed.
             _ => false,
         }
     }
 }
 
-/// Direct commands that ask a worker for a report and nothing else.
+/// Builds an empty list of direct commands, which only probes a worker for its status.
 fn empty_command(machine: &str, worker: &WorkerContact, term: Term) -> DirectCommands {
     DirectCommands {
         machine: machine.to_string(),
--- a/src/controller/cloud/machine_list.rs
+++ b/src/controller/cloud/machine_list.rs
@@ -1,19 +1,19 @@
-//! Reconciliation with the cloud's list of machines.
+//! Reconciliation of the scheduler with the cloud's list of machines.
 
 use super::Handles;
 use crate::config::Settings;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Shortest time between the beginnings of two listings.
+/// Minimum time between the starts of two listings.
 const MIN_INTERVAL: Duration = Duration::from_secs(4);
 
-/// How far the listing is.
+/// Progress of the paginated listing.
 #[derive(Debug)]
 pub(super) struct MachineListing {
     interval: Duration,
     started_at: Timestamp,
-    /// After which machine the next page begins; none between two listings.
+    /// The machine after which the next page begins; `None` between two listings.
     next_page: Option<String>,
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Begins a listing, if none is under way and it is time.
+    /// Starts a listing if none is in progress and the interval has passed.
     fn start_if_due(&mut self, now: Timestamp) {
         if now > self.started_at + self.interval && self.next_page.is_none() {
             self.started_at = now;
@@ -37,8 +37,8 @@
 }
 
 impl Handles {
-    /// Reads the next page of the list, if a listing is under way or due. One page a round: a list of thousands of machines
-    /// takes seconds, during which machines that failed together would wait for their release.
+    /// Reads the next page of the list if a listing is in progress or due. A round reads only one page: reading a list of
+    /// thousands of machines takes seconds, which would delay the release of machines that failed together.
     pub(super) async fn reconcile_machine_list(
         &self,
         listing: &mut MachineListing,
@@ -48,10 +48,10 @@
         let Some(after) = listing.next_page.take() else {
             return;
         };
-        self.await_cloud_call().await;
-        // Without an answer the listing ends, and begins anew after the interval.
+        self.wait_for_cloud_rate_limit().await;
+        // Without an answer the listing ends, and a new one starts after the interval.
         if let Ok(page) = self.cloud.list_page(&after).await {
-            listing.next_page = self.with_state(|state| state.reconcile_page(page));
+            listing.next_page = self.update_state(|state| state.reconcile_page(page));
         }
     }
 }
--- a/src/controller/cloud/machine_types.rs
+++ b/src/controller/cloud/machine_types.rs
@@ -1,4 +1,4 @@
-//! The catalogue of machine types: asked for regularly, and kept in the store.
+//! The catalogue of machine types: refreshed from the cloud periodically, and kept in the store.
 
 use super::{Handles, Round};
 use crate::coordination::leadership::Term;
@@ -7,11 +7,12 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time between two requests while the machine types are known, and while they are not.
+/// Time between two requests while the machine types are known.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(20);
+/// Time between two requests while the machine types are unknown.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When the machine types were last asked for.
+/// Time of the latest request for the machine types.
 #[derive(Debug, Default)]
 pub(super) struct MachineTypeRefresh {
     requested_at: Option<Timestamp>,
@@ -24,7 +25,7 @@
         } else {
             REFRESH_INTERVAL
         };
-        (round.leads || round.lacks_machine_types)
+        (round.has_authority || round.lacks_machine_types)
             && self
                 .requested_at
                 .is_none_or(|requested_at| round.now > requested_at + interval)
@@ -32,7 +33,7 @@
 }
 
 impl Handles {
-    /// Asks the cloud for the machine types, if it is time.
+    /// Requests the machine types from the cloud, if a request is due.
     pub(super) async fn refresh_machine_types(
         &self,
         refresh: &mut MachineTypeRefresh,
@@ -42,15 +43,15 @@
             return;
         }
         refresh.requested_at = Some(round.now);
-        self.await_cloud_call().await;
-        // Without an answer the known types stay, and the cloud is asked again after the interval.
+        self.wait_for_cloud_rate_limit().await;
+        // Without an answer the known types remain, and the request is repeated after the interval.
         if let Ok(types) = self.cloud.machine_types().await {
-            self.with_state(|state| state.set_machine_types(&types));
+            self.update_state(|state| state.set_machine_types(&types));
             self.store_machine_types(&types).await;
         }
     }
 
-    /// Keeps the machine types in the store, so that a node that starts while the cloud is down knows them.
+    /// Stores the machine types, so that a controller that starts while the cloud is down knows them.
     async fn store_machine_types(&self, types: &[MachineType]) {
         let guards = self.read_state(|state| {
             let Term { epoch_version, .. } = state.term()?;
@@ -76,7 +77,8 @@
     }
 }
 
-/// Whether two catalogues have the same types, by name, whole CPUs and zones. Prices change too often to be stored.
+/// Reports whether two catalogues have the same types by name, whole CPUs and zones. Prices are ignored, since they change too
+/// often for every change to be stored.
 fn are_equivalent(a: &[MachineType], b: &[MachineType]) -> bool {
     let same = |(a, b): (&MachineType, &MachineType)| {
         a.name == b.name && a.cpus.trunc() == b.cpus.trunc() && a.zones == b.zones
--- a/src/controller/cloud/releases.rs
+++ b/src/controller/cloud/releases.rs
@@ -1,11 +1,11 @@
-//! Releases: machines that the scheduler holds for release are returned to the cloud.
+//! Releases: returns the machines that the scheduler has marked for release to the cloud.
 
 use super::Handles;
 use crate::clients::authority_check::while_authorized;
 use crate::controller::state::ControllerState;
 
 impl Handles {
-    /// Releases machines that are held for release, as many as one call may name.
+    /// Releases machines that are marked for release, as many as one call may name.
     pub(super) async fn release_machines(&self) {
         if self
             .read_state(ControllerState::releasable_machines)
@@ -13,8 +13,8 @@
         {
             return;
         }
-        self.await_cloud_call().await;
-        // Asked again, since the authority to release may have ended during the wait.
+        self.wait_for_cloud_rate_limit().await;
+        // Checked again, since the authority to release may have ended during the wait.
         let names = self.read_state(ControllerState::releasable_machines);
         if names.is_empty() {
             return;
@@ -23,12 +23,12 @@
         let call = self.cloud.release(&names);
         let confirmed = while_authorized(|| self.may_call(term), call).await;
         if matches!(confirmed, Some(Ok(()))) {
-            tracing::info!(machines = ?names, "released");
-            self.with_state(|state| state.record_releases(names));
+            tracing::info!(machines = ?names, "machines released");
+            self.update_state(|state| state.record_releases(names));
             self.round_requested.notify_one();
         } else {
-            // They are held for release still, and the call is repeated in the next round.
-            tracing::info!(machines = ?names, "release not confirmed");
+            // The machines remain marked for release, and the next round repeats the call.
+            tracing::info!(machines = ?names, "release of machines not confirmed, next round repeats it");
         }
     }
 }
--- a/src/controller/cloud/rentals.rs
+++ b/src/controller/cloud/rentals.rs
@@ -1,5 +1,5 @@
-//! Rentals. A request is stored under a name of its own before the cloud is called, so that whoever leads can repeat it under
-//! the same name while its answer is unknown: the cloud executes it once.
+//! Rentals. Each request is stored under a unique name before the cloud is called. While its answer is unknown, any leader can
+//! repeat it under the same name, and the cloud executes it only once.
 
 use super::Handles;
 use crate::autoscaler::RentalRequest;
@@ -10,82 +10,83 @@
 use crate::protocol::RentRequest;
 use crate::store::{self, guard, Revision, StoreError, TxnOutcome};
 
-/// Why no machines were rented.
+/// The reason why a rental was not carried out or not recorded.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RentalError {
-    /// No machines are needed.
+    /// The autoscaler requests no machines.
     #[error("no machines are needed")]
     NothingToRent,
-    /// This node may not rent.
+    /// This controller has no authority to rent.
     #[error("no authority to rent")]
     NoAuthority,
-    /// The cloud refused the request, or has not answered it.
-    #[error("the cloud has not executed the request for all that is known")]
-    Unanswered,
-    /// The store has not answered.
+    /// The cloud refused the request or did not answer; it may have executed it all the same.
+    #[error("rental request not confirmed by the cloud, possibly executed")]
+    Unconfirmed,
+    /// The store refused the write or did not answer.
     #[error("rental request not stored: {0}")]
     Store(#[from] StoreError),
-    /// The store holds other versions than the write was conditional on.
+    /// The keys had other versions in the store than the write was conditional on.
     #[error("rental request not stored: conflict at {0:?}")]
     Conflict(Vec<String>),
 }
 
 impl Handles {
-    /// Repeats the rental requests whose answer is unknown. Returns how many are left without one.
-    pub(super) async fn settle_rentals(&self) -> usize {
-        let mut unsettled = 0;
+    /// Repeats the rental requests whose answer is unknown. Returns the number of those that remain open.
+    pub(super) async fn retry_open_rentals(&self) -> usize {
+        let mut still_open = 0;
         for rental in self.read_state(ControllerState::open_rentals) {
-            self.await_cloud_call().await;
-            if self.call_rental(rental).await.is_err() {
-                unsettled += 1;
+            self.wait_for_cloud_rate_limit().await;
+            if self.execute_rental(rental).await.is_err() {
+                still_open += 1;
             }
         }
-        unsettled
+        still_open
     }
 
-    /// Decides what to rent and carries out the most urgent rental.
+    /// Decides what to rent and carries out only the most urgent rental.
     ///
-    /// The rest is decided anew after it. While jobs stream in and the cloud's request rate is scarce, a list of rentals that
-    /// was carried out call by call was seconds old at its end, and spent whole calls on a few machines.
+    /// The rest is decided anew afterwards. If a whole list of rentals were carried out while jobs keep arriving and the cloud's
+    /// request rate is low, the list would be seconds old at its end, and whole calls would be spent on a few machines.
     pub(super) async fn rent_most_urgent(&self) -> Result<(), RentalError> {
-        // Without a request no call is spent, and what the look ahead preempts for others is not delayed by the rate.
+        // Deciding before the wait avoids spending a call when nothing is to be rented. It also preempts lower-priority tasks
+        // without waiting for the rate limit.
         if self
-            .with_state(ControllerState::scaling_decision)
+            .update_state(ControllerState::scaling_decision)
             .is_empty()
         {
             return Err(RentalError::NothingToRent);
         }
-        self.await_cloud_call().await;
+        self.wait_for_cloud_rate_limit().await;
         let request = self
-            .with_state(ControllerState::next_rental_request)
+            .update_state(ControllerState::next_rental_request)
             .ok_or(RentalError::NothingToRent)?;
         self.rent(&request).await
     }
 
-    /// Rents machines: stores the request, then calls the cloud.
+    /// Carries out a rental request: stores it, then calls the cloud.
     async fn rent(&self, request: &RentalRequest) -> Result<(), RentalError> {
         let (mut rental, term) = self
-            .with_state(|state| state.new_rental(request))
+            .update_state(|state| state.new_rental(request))
             .ok_or(RentalError::NoAuthority)?;
         rental.version = self.store_rental(&rental, term).await?;
-        self.call_rental(rental).await
+        self.execute_rental(rental).await
     }
 
-    /// Calls the cloud for a stored request, and stores the machines that it brought.
-    async fn call_rental(&self, mut rental: OpenRental) -> Result<(), RentalError> {
+    /// Calls the cloud for a stored request, and stores the machines that were rented.
+    async fn execute_rental(&self, mut rental: OpenRental) -> Result<(), RentalError> {
         let term = self
             .read_state(ControllerState::term_to_rent)
             .ok_or(RentalError::NoAuthority)?;
-        let machines = self.call_cloud(&rental, term).await?;
-        self.with_state(|state| state.record_offer(&rental.record, machines.len()));
+        let machines = self.request_machines(&rental, term).await?;
+        self.update_state(|state| state.record_offer(&rental.record, machines.len()));
         rental.record.machines = Some(machines);
         rental.version = self.store_rental(&rental, term).await?;
-        self.with_state(|state| state.finish_rental(&rental));
+        self.update_state(|state| state.finish_rental(&rental));
         Ok(())
     }
 
-    /// Calls the cloud for a rental. Returns the machines that it brought.
-    async fn call_cloud(
+    /// Sends a rental request to the cloud. Returns the rented machines, none if there is no capacity.
+    async fn request_machines(
         &self,
         rental: &OpenRental,
         term: Term,
@@ -102,16 +103,17 @@
         let outcome = while_authorized(|| self.may_call(Some(term)), call)
             .await
             .unwrap_or(RentOutcome::Unknown);
-        tracing::info!(request = name, machine_type = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, ?outcome, "rental");
+        tracing::info!(request = name, machine_type = %record.machine_type, zone = %record.zone, spot = record.spot, count = record.count, ?outcome, "rental request to the cloud ended");
         match outcome {
             RentOutcome::Rented(machines) => Ok(machines),
             RentOutcome::NoCapacity => Ok(Vec::new()),
-            RentOutcome::Refused | RentOutcome::Unknown => Err(RentalError::Unanswered),
+            RentOutcome::Refused | RentOutcome::Unknown => Err(RentalError::Unconfirmed),
         }
     }
 
-    /// Stores a rental over the version that is known of it, and returns its new version. After an error it may have been
-    /// stored all the same: the watch brings whatever the store holds, and an open request is called again.
+    /// Stores a rental on the condition that its version in the store is the known one, and returns the new version. After an
+    /// error the rental may have been stored all the same: the watch delivers the stored record, and an open request is sent to
+    /// the cloud again.
     async fn store_rental(&self, rental: &OpenRental, term: Term) -> Result<Revision, RentalError> {
         let epoch = guard(store::epoch_key(), term.epoch_version);
         let txn = store::rental_txn(&epoch, &rental.name, rental.version, &rental.record);
--- a/src/controller/election_loop.rs
+++ b/src/controller/election_loop.rs
@@ -1,4 +1,4 @@
-//! Renews the leadership of this controller, or campaigns for it when it is vacant.
+//! Leader election: renews the leadership of this controller, or campaigns when leadership is vacant.
 
 use super::handles::Handles;
 use super::state::{ControllerState, EpochClaim, StepDownReason};
@@ -10,25 +10,25 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Longest time between two renewals of the leader lease, or two looks at whether leadership is vacant.
+/// Maximum time between two renewals of the leader lease, or between two checks for vacant leadership.
 const MAX_ELECTION_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest time to wait for the answer to a renewal.
+/// Maximum time to wait for the answer to a renewal.
 const MAX_RENEWAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Milliseconds before a campaign, drawn at random, so that controllers rarely campaign at once.
+/// Range of the random delay before a campaign, in milliseconds, which makes simultaneous campaigns rare.
 const CAMPAIGN_JITTER_MS: Range<u64> = 0..60;
-/// Time after a campaign that was lost.
+/// Pause after a lost campaign.
 const LOST_CAMPAIGN_DELAY: Duration = Duration::from_millis(100);
-/// How long a leader that stepped down does not campaign, in times to live of its leader lease: long enough for another
-/// controller to claim leadership, and for the next one where that one is isolated from the workers as well.
+/// Time for which a leader that stepped down does not campaign, in multiples of the leader lease's time to live. It is long
+/// enough for another controller to claim leadership, and for a third one if that one is isolated from the workers as well.
 const STEP_DOWN_BACKOFF_LEASES: f64 = 4.0;
 
 impl Handles {
-    /// Renews the leadership of this controller, or campaigns for it when it is vacant.
+    /// Renews the leadership of this controller, or campaigns when leadership is vacant.
     pub(super) async fn run_election_loop(self) {
         let lease_ttl = self.read_state(|state| state.settings().operator.leader_lease());
         let interval = (lease_ttl / 5).min(MAX_ELECTION_INTERVAL);
         loop {
-            // The same follows whether a campaign was requested or the interval has passed.
+            // A requested campaign and the end of the interval are handled alike.
             let _ = timeout(interval, self.campaign_requested.notified()).await;
             let (term, may_campaign) =
                 self.read_state(|state| (state.term(), state.may_campaign()));
@@ -46,18 +46,19 @@
 
     async fn renew_leadership(&self, term: Term, lease_ttl: Duration) {
         let requested_at = self.read_state(ControllerState::now);
-        // Authority needs both: the renewed leader lease, and a replica that has caught up with a read of now.
+        // Authority requires both the renewed leader lease and a replica that has caught up with a read sent now.
         self.read_requested.notify_one();
         let limit = (lease_ttl / 2).min(MAX_RENEWAL_TIMEOUT);
         let renewed = self.record_store_answer(self.store.renew(term.lease, limit).await);
-        let step_down = self.with_state(|state| state.handle_lease_renewal(requested_at, renewed));
+        let step_down =
+            self.update_state(|state| state.handle_lease_renewal(requested_at, renewed));
         if let Some(reason) = step_down {
             self.step_down(reason);
         }
     }
 
     async fn campaign(&self, lease_ttl: Duration) {
-        let requested_at = self.with_state(|state| {
+        let requested_at = self.update_state(|state| {
             state.apply_leadership_event(LeadershipEvent::CampaignStarted);
             state.now()
         });
@@ -67,11 +68,11 @@
             Err(_) => None,
         };
         let Some(term) = term else {
-            self.with_state(|state| state.apply_leadership_event(LeadershipEvent::CampaignLost));
+            self.update_state(|state| state.apply_leadership_event(LeadershipEvent::CampaignLost));
             sleep(LOST_CAMPAIGN_DELAY).await;
             return;
         };
-        self.with_state(|state| {
+        self.update_state(|state| {
             state.apply_leadership_event(LeadershipEvent::CampaignWon {
                 term,
                 lease_requested_at: requested_at,
@@ -81,7 +82,8 @@
         self.start_term(term, requested_at, caught_up);
     }
 
-    /// Waits until the replica has reached the term's epoch: nothing may be built on it before. False after the limit.
+    /// Waits until the replica has reached the revision of the term's epoch, since no scheduler may be built from an older one.
+    /// Returns whether that happened within the limit.
     async fn wait_for_replica(&self, term: Term, limit: Duration) -> bool {
         let mut replica_revision = self.replica_revision.subscribe();
         let reached = replica_revision.wait_for(|revision| *revision >= term.epoch_version);
@@ -91,7 +93,7 @@
     }
 
     fn start_term(&self, term: Term, requested_at: Timestamp, replica_caught_up: bool) {
-        let started = self.with_state(|state| {
+        let started = self.update_state(|state| {
             state.apply_leadership_event(LeadershipEvent::RevisionRead {
                 requested_at,
                 revision: term.epoch_version,
@@ -110,9 +112,9 @@
         }
     }
 
-    /// Claims leadership under a leader lease, which is closed if that fails.
+    /// Claims leadership under a leader lease. Closes the lease if the claim fails.
     async fn claim_leadership(&self, lease: u64) -> Option<Term> {
-        let claim = self.with_state(|state| state.claim_epoch(lease));
+        let claim = self.update_state(|state| state.claim_epoch(lease));
         let epoch_version = match &claim {
             Some(claim) => self.commit_claim(claim).await,
             None => None,
@@ -128,17 +130,17 @@
         })
     }
 
-    /// Runs the transaction of a claim and returns the version of the epoch key, if leadership was claimed.
+    /// Runs the transaction of a claim. Returns the version of the epoch key if the claim succeeded.
     async fn commit_claim(&self, claim: &EpochClaim) -> Option<Revision> {
         match self.leader_transaction(&claim.txn).await {
             Ok(TxnOutcome::Applied(revision)) => Some(revision),
-            // Without an answer, the transaction may have been applied: the store tells.
+            // The transaction may have been applied although no answer arrived: read the outcome from the store.
             Err(StoreError::OutcomeUnknown(_)) => self.read_claimed_epoch(&claim.record).await,
             _ => None,
         }
     }
 
-    /// The version of the epoch key, if the store holds the claimed epoch and its leader.
+    /// Reads back a claim. Returns the version of the epoch key if the store holds the claimed epoch and its leader.
     async fn read_claimed_epoch(&self, claimed: &EpochRecord) -> Option<Revision> {
         let epoch = self.store.get::<EpochRecord>(&store::epoch_key()).await;
         let epoch = self.record_store_answer(epoch);
@@ -147,21 +149,21 @@
         let (Ok(epoch), Ok(leader)) = (epoch, leader) else {
             return None;
         };
-        let claimed = epoch.record == *claimed
+        let is_stored = epoch.record == *claimed
             && leader.record == claimed.leader
             && leader.version == epoch.version;
-        claimed.then_some(epoch.version)
+        is_stored.then_some(epoch.version)
     }
 
-    /// Ends the leadership of this controller, so that one that can serve the workers may lead at once.
+    /// Ends the leadership of this controller, so that one that can serve the workers can take over immediately.
     pub(super) fn step_down(&self, reason: StepDownReason) {
-        tracing::info!(%reason, "stepping down");
+        tracing::info!(%reason, "stepping down as leader");
         if let Some(term) = self.read_state(ControllerState::term) {
             let store = self.store.clone();
-            // If the store does not get the request, the leader lease expires by itself.
+            // If this request is lost, the leader lease expires by itself.
             actix::spawn(async move { store.close_lease(term.lease).await });
         }
-        self.with_state(|state| {
+        self.update_state(|state| {
             let lease_ttl_ms = state.settings().operator.leader_lease_s * 1000.0;
             let backoff = duration_from_millis(lease_ttl_ms * STEP_DOWN_BACKOFF_LEASES);
             state.step_down(backoff);
--- a/src/controller/flush_loop.rs
+++ b/src/controller/flush_loop.rs
@@ -1,4 +1,4 @@
-//! Makes the leader's decisions durable and deletes what is no longer needed, in batches.
+//! Makes the leader's decisions durable and deletes obsolete records, in batches.
 
 use super::handles::Handles;
 use super::state::{ControllerState, FLUSH_INTERVAL};
@@ -6,9 +6,9 @@
 use crate::store::TxnOutcome;
 
 impl Handles {
-    /// Runs the leader's rounds of durable writes. They do not run on followers.
+    /// Runs rounds of durable writes while this controller leads.
     ///
-    /// A write that failed is repeated in one of the next rounds, from what is known by then.
+    /// A failed write is not retried as it was: a later round builds a new one from the state at that time.
     pub(super) async fn run_flush_loop(self) {
         loop {
             self.wait_until_leading().await;
@@ -26,9 +26,10 @@
     async fn flush_completions(&self, epoch: &Guard) {
         let completions = self.read_state(|state| state.job_completions(epoch));
         for completion in completions {
-            // If it failed, the job was cancelled, or an earlier try without an answer was applied: the watch shows it.
+            // The transaction fails if the job was cancelled, or if an earlier, unanswered attempt was applied. The watch
+            // delivers the job's final state in both cases.
             if let Ok(TxnOutcome::Applied(_)) = self.leader_transaction(&completion.txn).await {
-                self.with_state(|state| state.finish_job(&completion.job, completion.tasks));
+                self.update_state(|state| state.finish_job(&completion.job, completion.tasks));
             }
         }
     }
@@ -39,11 +40,14 @@
         };
         match self.leader_transaction(&write.txn).await {
             Ok(TxnOutcome::Applied(_)) => {
-                self.with_state(|state| state.record_stored_results(epoch, &write.chunks));
+                self.update_state(|state| state.record_stored_results(epoch, &write.chunks));
             }
-            // The replica lags behind an earlier write, or a job has just ended: the watch shows it.
-            Ok(TxnOutcome::Failed(keys)) => tracing::debug!(?keys, "results not stored yet"),
-            // The store refused the write or did not answer: the next round tries again.
+            // The replica lags behind an earlier write, or a job has just ended. The watch delivers the change.
+            Ok(TxnOutcome::Failed(keys)) => tracing::debug!(
+                ?keys,
+                "results not stored, replica is behind; next round retries"
+            ),
+            // The store refused the write or did not answer. The next round retries.
             Err(_) => {}
         }
     }
@@ -53,15 +57,15 @@
             return;
         };
         if let Ok(TxnOutcome::Applied(_)) = self.leader_transaction(&cleanup.txn).await {
-            self.with_state(|state| state.finish_rental_cleanup(&cleanup.machines));
+            self.update_state(|state| state.finish_rental_cleanup(&cleanup.machines));
         }
     }
 
     async fn clean_up_final_jobs(&self, epoch: &Guard) {
-        let Some(txn) = self.with_state(|state| state.final_job_cleanup(epoch)) else {
+        let Some(txn) = self.update_state(|state| state.final_job_cleanup(epoch)) else {
             return;
         };
-        // Whatever the outcome, the watch brings what was deleted, and the next round tries to delete what is left.
+        // Whatever the outcome, the watch reports the deleted records, and the next round tries to delete the rest.
         let _ = self.leader_transaction(&txn).await;
     }
 }
--- a/src/controller/handles.rs
+++ b/src/controller/handles.rs
@@ -1,4 +1,4 @@
-//! What the loops of a controller share.
+//! The clients, notifications and state that the loops of a controller share.
 
 use super::clock::Clock;
 use super::state::ControllerState;
@@ -11,36 +11,36 @@
 use std::rc::Rc;
 use tokio::sync::{watch, Notify};
 
-/// Handles that all loops of a controller share.
+/// Handles shared by all loops and request handlers of a controller.
 #[derive(Clone)]
 pub(super) struct Handles {
-    /// Borrowed by [`Handles::read_state`] and [`Handles::with_state`] only.
+    /// Borrowed only by [`Handles::read_state`] and [`Handles::update_state`].
     state: Rc<RefCell<ControllerState>>,
     pub(super) store: StoreClient,
     pub(super) cloud: CloudClient,
     pub(super) http: awc::Client,
-    /// Revision that the replica of the store has reached.
+    /// Publishes the revision that the replica of the store has reached.
     pub(super) replica_revision: Rc<watch::Sender<Revision>>,
-    /// Leadership may be vacant.
+    /// Wakes the election loop: leadership may be vacant.
     pub(super) campaign_requested: Rc<Notify>,
-    /// A linearizable read is waiting.
+    /// Wakes the read-barrier loop: a linearizable read is waiting, or a leader lease is being renewed.
     pub(super) read_requested: Rc<Notify>,
-    /// The peers have to be notified of a cancellation.
+    /// Wakes the cancellation-broadcast loop: the peers have to be notified of a cancellation.
     pub(super) cancellation_recorded: Rc<Notify>,
-    /// Something may have to be placed or sent at once.
+    /// Wakes the scheduling loop: there may be tasks to place or commands to send.
     pub(super) round_requested: Rc<Notify>,
-    /// Assignments may wait to be written to the start log.
+    /// Wakes the start-log loop: there may be assignments to append to the start log.
     pub(super) start_log_requested: Rc<Notify>,
-    /// This node has become the leader.
+    /// Wakes the loops that run only on the leader: this controller has started to schedule.
     pub(super) leadership_acquired: Rc<Notify>,
 }
 
-/// Bounds of the number of connections of the HTTP client, which otherwise may use an eighth of all connections.
+/// Bounds on the number of connections of the HTTP client, which is an eighth of the machine's connection limit otherwise.
 const MIN_HTTP_CONNECTIONS: usize = 8;
 const MAX_HTTP_CONNECTIONS: usize = 100;
 
 impl Handles {
-    /// The handles of a controller that has yet to read the store, as a new incarnation of its node.
+    /// Creates the handles of a controller that has not read the store yet, as a new incarnation of its node.
     pub(super) fn new(settings: Settings) -> Handles {
         let max_connections = settings.platform.deployment.machine_limits.max_connections;
         let connections = (max_connections / 8).clamp(MIN_HTTP_CONNECTIONS, MAX_HTTP_CONNECTIONS);
@@ -63,20 +63,20 @@
         }
     }
 
-    /// Reads the controller's state.
+    /// Runs a closure that reads the controller's state.
     ///
-    /// The state is borrowed for the call of a closure that cannot wait, so that no borrow is held across an `await`.
+    /// The state is borrowed only while the closure runs. The closure is synchronous, so no borrow is held across an `await`.
     pub(super) fn read_state<R>(&self, read: impl FnOnce(&ControllerState) -> R) -> R {
         read(&self.state.borrow())
     }
 
-    /// Changes the controller's state. The same holds as for [`Handles::read_state`].
-    pub(super) fn with_state<R>(&self, change: impl FnOnce(&mut ControllerState) -> R) -> R {
+    /// Runs a closure that may change the controller's state, borrowed in the same way as by [`Handles::read_state`].
+    pub(super) fn update_state<R>(&self, change: impl FnOnce(&mut ControllerState) -> R) -> R {
         change(&mut self.state.borrow_mut())
     }
 
-    /// Waits until this controller schedules. The leader's loops do not run on followers: there, their timers once caused most of
-    /// the process's wake-ups.
+    /// Waits until this controller leads and schedules. The leader's loops wait here instead of polling: on followers, their
+    /// timers accounted for most wake-ups of the process.
     pub(super) async fn wait_until_leading(&self) {
         while !self.read_state(ControllerState::is_scheduling) {
             self.leadership_acquired.notified().await;
--- a/src/controller/job_status.rs
+++ b/src/controller/job_status.rs
@@ -1,4 +1,4 @@
-//! The state of a job as it is shown to users.
+//! The state of a job as shown to users.
 
 use super::state::ControllerState;
 use crate::protocol::{JobState, JobView};
@@ -6,9 +6,9 @@
 use crate::store::FinalRecord;
 
 impl ControllerState {
-    /// The state of a job that is unfinished in the replica or whose final state is remembered.
+    /// Returns the state of a job that is unfinished in the replica or whose final state is remembered, and `None` for others.
     ///
-    /// A follower shows the task counts that the leader sent last.
+    /// A follower shows the task counts that the leader last reported.
     pub(super) fn job_view(&self, id: &str) -> Option<JobView> {
         if let Some(final_state) = self.replica().final_state(id) {
             return Some(final_view(id, final_state));
@@ -33,7 +33,7 @@
     }
 }
 
-/// The state of a job that is final.
+/// Returns the view of a job that has a final state.
 pub(super) fn final_view(id: &str, final_state: FinalRecord) -> JobView {
     let (state, done) = if final_state.cancelled {
         (JobState::Cancelled, 0)
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -1,4 +1,4 @@
-//! The messages to a controller, and their outcomes. The API sends them; it maps the outcomes to responses.
+//! Messages to a controller, and their outcomes. The API sends the messages and maps the outcomes to HTTP responses.
 
 use crate::coordination::peers::{Cancelled, View};
 use crate::protocol::{HeartbeatReply, JobSpec, JobView, WorkerStatus};
@@ -6,37 +6,37 @@
 use actix::Message;
 use std::time::{Duration, Instant};
 
-/// A user submits a job.
+/// A user's request to submit a job.
 #[derive(Message)]
 #[rtype(result = "JobOutcome")]
 pub struct Submit(pub JobSpec);
 
-/// A user asks about a job.
+/// A user's request for the state of the job with this ID.
 #[derive(Message)]
 #[rtype(result = "JobOutcome")]
 pub struct Poll(pub String);
 
-/// A user cancels a job.
+/// A user's request to cancel the job with this ID.
 #[derive(Message)]
 #[rtype(result = "JobOutcome")]
 pub struct Cancel(pub String);
 
-/// Asks whether this controller should get users.
+/// A health check: whether users' requests should be routed to this controller.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct Health;
 
-/// A worker reports its state.
+/// A worker's report of its state.
 #[derive(Message)]
 #[rtype(result = "HeartbeatResponse")]
 pub struct Heartbeat(pub WorkerStatus);
 
-/// Another controller sends its view, and is answered by that of this one.
+/// A view received from a peer. It is answered with the view of this controller.
 #[derive(Message)]
 #[rtype(result = "View")]
 pub struct PeerView(pub View);
 
-/// Another controller sends cancellations that are durable, and is answered by the revision of this one's replica.
+/// Durable cancellations received from a peer. They are answered with the revision of this controller's replica.
 #[derive(Message)]
 #[rtype(result = "Revision")]
 pub struct PeerCancelled(pub Cancelled);
@@ -46,31 +46,31 @@
 pub enum JobOutcome {
     /// The job was accepted by this request.
     Accepted(JobView),
-    /// The job is known; this is its state.
+    /// The job was accepted earlier and is in this state.
     Known(JobView),
-    /// No job of this name was ever accepted.
+    /// No job with this ID was ever accepted.
     NotFound,
-    /// The job can never run and was not accepted.
+    /// The job was not accepted, since it can never run.
     Rejected(JobRejection),
-    /// The request was not served now; the user may repeat it after this time.
+    /// The request was not served; the user may repeat it after this time.
     RetryAfter(Duration),
 }
 
 impl JobOutcome {
-    /// The request was not served, but is likely to be when it is repeated soon.
+    /// The request was not served, but is likely to be if the user repeats it after one second.
     pub const RETRY_SOON: JobOutcome = JobOutcome::RetryAfter(Duration::from_secs(1));
 }
 
-/// Why a job can never run.
+/// The reason why a job can never run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum JobRejection {
-    /// The settings have no such team.
+    /// The settings do not define the job's team.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type that the job allows has the resources of one task.
+    /// No machine type that the job allows has the resources that one task requests.
     #[error("no allowed machine type is large enough")]
     NoMachineTypeFits,
-    /// The tasks that have to run at the same time exceed the team's quota limit.
+    /// The tasks that have to run at the same time exceed the team's limit.
     #[error("more than the team's limit")]
     ExceedsTeamLimit,
 }
@@ -78,19 +78,19 @@
 /// The outcome of a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// This controller leads: the commands for the worker.
+    /// This controller leads and replies with the commands for the worker.
     Reply(HeartbeatReply),
-    /// Another controller leads; its name, if it is to be named.
+    /// Another controller leads. Holds the name of that leader, if the worker is told it.
     Redirect(Option<String>),
-    /// This controller does not lead, and knows no other leader.
+    /// This controller does not lead and knows of no leader.
     NoLeader,
 }
 
-/// The outcome of a worker's heartbeat, and until when it may be sent.
+/// The outcome of a worker's heartbeat with its expiry.
 #[derive(Debug)]
 pub struct HeartbeatResponse {
-    /// The outcome.
+    /// The outcome to answer with.
     pub outcome: HeartbeatOutcome,
-    /// When the authority under which it was decided ends.
+    /// When the authority under which it was decided ends; it must not be sent later.
     pub valid_until: Option<Instant>,
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,9 +1,10 @@
-//! A controller: the actor that connects the logic to the store, the cloud, the workers and the users.
+//! The controller: an actor that connects the scheduling logic to the store, the cloud, the workers and the users.
 //!
-//! - `messages` are what the API asks; the actor hands them to `user_requests` and `state`.
-//! - `state` is what a controller knows and decides, without I/O.
-//! - Each `*_loop` carries out one kind of work of the state: it asks the state what to do, waits for the network, and gives
-//!   the outcome to the state. The state is borrowed by closures only, never across a wait.
+//! - `messages` defines the requests of the API; the actor passes them to `user_requests` and `state`.
+//! - `state` holds the state of a controller and makes its decisions, without I/O.
+//! - Each `*_loop` performs one kind of I/O: it asks the state what to do, waits for the network, and applies the outcome to
+//!   the state. The state is borrowed only inside closures, never across an `await`.
+//! - `cloud` makes the calls of the cloud, in a loop of its own.
 
 mod actor;
 mod cancellation_broadcast_loop;
--- a/src/controller/peer_view_loop.rs
+++ b/src/controller/peer_view_loop.rs
@@ -1,4 +1,4 @@
-//! Exchanges views with the other controllers.
+//! Exchanges views with the peers.
 
 use super::handles::Handles;
 use super::state::ControllerState;
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Time between two exchanges with a peer.
+/// Interval of the exchanges with a peer.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(900);
-/// A request that fails sooner was refused by the peer's host; one that fails later may have been lost.
-const REFUSAL_TIME: Duration = Duration::from_millis(500);
+/// A request that fails sooner counts as refused by the peer's host; one that fails later may have been lost.
+const MAX_REFUSAL_LATENCY: Duration = Duration::from_millis(500);
 
 impl Handles {
-    /// Sends this controller's view to every peer again and again. An exchange does not wait for the one before.
+    /// Sends this controller's view to every peer periodically, without waiting for earlier exchanges to end.
     pub(super) async fn run_peer_view_loop(self) {
         let peers = self.read_state(|state| state.settings().platform.peers.clone());
         loop {
@@ -28,8 +28,8 @@
     async fn exchange_views(self, peer: SocketAddr, own: View) {
         let sent_at = Instant::now();
         let answer = peers::exchange_views(&self.http, peer, &own).await;
-        let refused = sent_at.elapsed() < REFUSAL_TIME;
-        self.with_state(|state| match answer {
+        let refused = sent_at.elapsed() < MAX_REFUSAL_LATENCY;
+        self.update_state(|state| match answer {
             Some(view) => state.receive_view(view),
             None if refused => state.record_peer_refusal(),
             None => {}
--- a/src/controller/read_barrier_loop.rs
+++ b/src/controller/read_barrier_loop.rs
@@ -1,5 +1,4 @@
-//! Makes reads of the replica linearizable: sends read barriers for the reads that wait, and keeps the leader's authority
-//! current with them.
+//! Sends read barriers, which make reads of the replica linearizable and extend the leader's authority.
 
 use super::handles::Handles;
 use super::state::{ControllerState, ReadBarrier};
@@ -7,26 +6,26 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time in which reads are collected before a barrier is sent for all of them.
-const COLLECTION_TIME: Duration = Duration::from_millis(40);
-/// Time after the sending of a barrier before reads are collected for the next one.
+/// Time for which reads are collected before one barrier is sent for all of them.
+const BATCH_WINDOW: Duration = Duration::from_millis(40);
+/// Pause after a barrier is sent, before reads are collected for the next one.
 const BARRIER_PAUSE: Duration = Duration::from_millis(60);
-/// Time within which the replica has to reach the revision of a read's barrier.
+/// Maximum time from the request of a read until the replica has reached the revision of its barrier.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The replica did not catch up in time with the moment of a read.
+/// Error of a linearizable read whose barrier failed or whose revision the replica did not reach in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the replica did not catch up in time")]
 pub(super) struct ReplicaLags;
 
 impl Handles {
-    /// Sends read barriers: one for all reads of a moment, and one for each renewal of the leader lease, on which the leader's
-    /// authority depends.
+    /// Sends a read barrier for each batch of waiting reads, and one for each renewal of the leader lease, since the leader's
+    /// authority depends on it.
     pub(super) async fn run_read_barrier_loop(self) {
         loop {
             self.read_requested.notified().await;
-            sleep(COLLECTION_TIME).await;
-            let Some(barrier) = self.with_state(ControllerState::next_read_barrier) else {
+            sleep(BATCH_WINDOW).await;
+            let Some(barrier) = self.update_state(ControllerState::next_read_barrier) else {
                 continue;
             };
             actix::spawn(self.clone().send_read_barrier(barrier));
@@ -36,11 +35,11 @@
 
     async fn send_read_barrier(self, barrier: ReadBarrier) {
         let answer = self.store.barrier(&barrier.transaction).await;
-        // If the barrier failed, its reads fail with the batch that is dropped here.
+        // A failed barrier drops its batch here, which makes the reads fail.
         let Ok(revision) = self.record_store_answer(answer) else {
             return;
         };
-        self.with_state(|state| {
+        self.update_state(|state| {
             state.apply_leadership_event(LeadershipEvent::RevisionRead {
                 requested_at: barrier.requested_at,
                 revision,
@@ -49,9 +48,9 @@
         barrier.batch.resolve(revision);
     }
 
-    /// Waits until the replica is at least as new as the moment of this call.
+    /// Waits until the replica includes every change that was durable when this function was called.
     pub(super) async fn wait_for_linearizable_read(&self) -> Result<(), ReplicaLags> {
-        let revision = self.with_state(ControllerState::register_read);
+        let revision = self.update_state(ControllerState::register_read);
         self.read_requested.notify_one();
         let catch_up = async {
             let revision = revision.await.map_err(|_| ReplicaLags)?;
--- a/src/controller/scheduling_loop.rs
+++ b/src/controller/scheduling_loop.rs
@@ -1,4 +1,4 @@
-//! Runs the scheduling rounds and sends the messages that they decide on.
+//! Runs the scheduling rounds and sends the resulting commands to workers.
 
 use super::handles::Handles;
 use super::state::{ControllerState, RoundOutcome, SendLimits, MIN_ROUND_INTERVAL};
@@ -11,8 +11,8 @@
 use tokio::time::{sleep, timeout};
 
 impl Handles {
-    /// Runs the scheduling rounds and sends the messages that they decide on. On a follower, a round does nothing but detect
-    /// process pauses.
+    /// Runs the scheduling rounds and sends the resulting commands to workers. On a follower, a round only detects pauses of
+    /// the process.
     pub(super) async fn run_scheduling_loop(self) {
         let max_messages = self.read_state(|state| {
             let limits = &state.settings().platform.deployment.machine_limits;
@@ -21,13 +21,13 @@
         let in_flight = Rc::new(Cell::new(0usize));
         loop {
             let until_next_round = self.read_state(ControllerState::until_next_round);
-            // The same follows whether a round was requested or its time has come.
+            // A requested round and one that is due by time are handled alike.
             let _ = timeout(until_next_round, self.round_requested.notified()).await;
             let limits = SendLimits {
                 messages: max_messages.saturating_sub(in_flight.get()),
                 probes: max_messages / 4,
             };
-            match self.with_state(|state| state.run_scheduling_round(limits)) {
+            match self.update_state(|state| state.run_scheduling_round(limits)) {
                 RoundOutcome::Idle => continue,
                 RoundOutcome::StepDown(reason) => {
                     self.step_down(reason);
@@ -40,12 +40,12 @@
                     }
                 }
             }
-            // All heartbeats of this time are followed by one round.
+            // All heartbeats that arrive in this interval share one round.
             sleep(MIN_ROUND_INTERVAL).await;
         }
     }
 
-    /// Sends commands straight to a worker; its status after them.
+    /// Sends direct commands to a worker. Returns the status that the worker answers with.
     pub(super) async fn send_directly(
         &self,
         message: &DirectCommands,
@@ -57,7 +57,7 @@
         worker::send_commands(&self.http, worker, &message.request()).await
     }
 
-    /// Sends a message to a worker and handles the answer, beside the loop.
+    /// Spawns the sending of a message to a worker and the handling of the answer, so that the loop does not wait for it.
     fn spawn_send(&self, message: DirectCommands, in_flight: Rc<Cell<usize>>) {
         let handles = self.clone();
         let term = self.read_state(ControllerState::term);
@@ -68,7 +68,7 @@
                 .await
                 .and_then(Result::ok);
             in_flight.set(in_flight.get() - 1);
-            handles.with_state(|state| {
+            handles.update_state(|state| {
                 state.handle_direct_answer(term, &message, answer.as_ref());
             });
             handles.round_requested.notify_one();
--- a/src/controller/start_log_loop.rs
+++ b/src/controller/start_log_loop.rs
@@ -1,4 +1,4 @@
-//! Writes the start log.
+//! Appends assignments to the start log.
 
 use super::handles::Handles;
 use super::state::{ControllerState, StartLogWrite};
@@ -6,15 +6,15 @@
 use crate::time::duration_from_millis;
 
 impl Handles {
-    /// Writes the start log, one append at a time, so that the order of writes is that of the assignments.
+    /// Writes the start log one append at a time, so that entries are written in the order of the assignments.
     pub(super) async fn run_start_log_loop(self) {
         let write_rps =
             self.read_state(|state| state.settings().platform.deployment.state.write_rps);
-        // A quarter of the store's changes may be writes of the start log.
+        // Start-log writes may use a quarter of the store's rate of changes.
         let interval = duration_from_millis(4.0 * 1000.0 / write_rps);
         loop {
             self.start_log_requested.notified().await;
-            let Some(write) = self.with_state(ControllerState::next_start_log_write) else {
+            let Some(write) = self.update_state(ControllerState::next_start_log_write) else {
                 continue;
             };
             let StartLogWrite { append, term, txn } = write;
@@ -22,10 +22,10 @@
             let slot = match outcome {
                 Ok(TxnOutcome::Applied(_))
                 | Err(StoreError::RateLimited | StoreError::Unavailable) => None,
-                // The write, or an earlier one without an answer, may have been applied: the slot tells.
+                // This write, or an earlier one that was not answered, may have been applied: read the slot to find out.
                 _ => self.read_start_log_slot(append.slot).await,
             };
-            self.with_state(|state| {
+            self.update_state(|state| {
                 state.finish_start_log_write(term, append, &outcome, slot.as_ref());
             });
             self.round_requested.notify_one();
@@ -33,7 +33,7 @@
         }
     }
 
-    /// What a slot of the start log holds; none also if the store does not tell.
+    /// Reads a slot of the start log. Returns `None` if the slot is empty or the read fails.
     async fn read_start_log_slot(&self, slot: u32) -> Option<Versioned<String>> {
         let key = store::starts_key(slot);
         self.record_store_answer(self.store.get::<String>(&key).await)
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the store: what every answer says about its reachability, and the retries of the leader's transactions.
+//! Store calls: tracking of the store's reachability, and retries of the leader's transactions.
 
 use super::handles::Handles;
 use super::state::ControllerState;
@@ -8,13 +8,13 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Retries of a leader's transaction that exceeds the store's request rate.
+/// Maximum number of retries of a leader's transaction that the store rejects for exceeding its request rate.
 const RETRY_LIMIT: u32 = 6;
-/// Milliseconds before a retry, drawn at random.
+/// Range of the random delay before a retry, in milliseconds.
 const RETRY_DELAY_MS: Range<u64> = 40..160;
 
 impl Handles {
-    /// Records that the store answered, if it did, and passes the result on.
+    /// Records that the store is reachable if the result is an answer of it, and returns the result unchanged.
     pub(super) fn record_store_answer<T>(
         &self,
         result: Result<T, StoreError>,
@@ -23,16 +23,16 @@
             result,
             Ok(_) | Err(StoreError::NotFound | StoreError::RateLimited)
         ) {
-            self.with_state(ControllerState::record_store_answer);
+            self.update_state(ControllerState::record_store_answer);
         }
         result
     }
 
-    /// Runs a transaction of the leader, with retries while it exceeds the store's request rate.
+    /// Runs a transaction of the leader, retrying while the store rejects it for exceeding the request rate.
     pub(super) async fn leader_transaction(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         let mut retries = 0;
         loop {
-            self.with_state(|state| state.record_own_changes(txn.apply.len()));
+            self.update_state(|state| state.record_own_changes(txn.apply.len()));
             let result = self.record_store_answer(self.store.txn(txn).await);
             if result != Err(StoreError::RateLimited) || retries == RETRY_LIMIT {
                 return result;
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -1,12 +1,12 @@
-//! A user cancels a job.
+//! Cancellations: a user cancels a job.
 //!
-//! 1. A transaction replaces the record of the unfinished job by a final state, on the condition that the job did not change
-//!    meanwhile. Once that is durable the job is cancelled.
-//! 2. Its tasks are stopped here, if this controller leads, and the other controllers are notified.
-//! 3. The user is answered when no leader can start a task of the job any more: when the leader is known to know of the
-//!    cancellation, or when the authority of a leader that does not know has ended.
+//! 1. A transaction replaces the record of the unfinished job with a final state, on the condition that the record has not
+//!    changed in the meantime. Once the transaction is durable, the job is cancelled.
+//! 2. If this controller leads, it stops the job's tasks. The other controllers are notified.
+//! 3. The user is answered when no leader can start a task of the job any more: either the leader is known to have learned of
+//!    the cancellation, or the authority of a leader that has not has ended.
 //!
-//! A cancellation of a job that is final changes nothing, but its answer waits in the same way.
+//! Cancelling a job that is already final changes nothing, but the answer waits in the same way.
 
 use super::final_outcome;
 use crate::controller::handles::Handles;
@@ -19,22 +19,22 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Number of changes of the store by a cancellation.
+/// Number of changes to the store per cancellation.
 const CANCELLATION_CHANGES: u32 = 3;
-/// How often a cancellation is tried when the job changes meanwhile.
-const ATTEMPTS: usize = 3;
-/// Time before the next attempt when neither the job's record nor its final state was as expected.
+/// Maximum number of attempts at a cancellation, which is repeated if the job has changed in the meantime.
+const MAX_ATTEMPTS: usize = 3;
+/// Delay before the next attempt if the transaction was not applied and the job has no final state.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time between two checks of whether the leader knows of a cancellation.
+/// Interval at which a request checks whether its cancellation is settled.
 const ACKNOWLEDGEMENT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The result of one attempt: the outcome, or that the job changed meanwhile.
+/// The result of one attempt: `Break` with the outcome, or `Continue` if another attempt is needed.
 type Attempt = ControlFlow<JobOutcome>;
 
 impl Handles {
     /// Answers a request to cancel a job.
     pub(in crate::controller) async fn cancel(&self, id: &str) -> JobOutcome {
-        for _ in 0..ATTEMPTS {
+        for _ in 0..MAX_ATTEMPTS {
             if let ControlFlow::Break(outcome) = self.try_cancel(id).await {
                 return outcome;
             }
@@ -48,7 +48,7 @@
         }
         let Some(live) = self.read_state(|state| state.replica().live.get(id).cloned()) else {
             return match self.poll(id).await {
-                // The job is in the replica by now, or its final state is remembered.
+                // The job is now in the replica, or its final state is remembered.
                 JobOutcome::Known(_) => ControlFlow::Continue(()),
                 outcome => ControlFlow::Break(outcome),
             };
@@ -59,7 +59,7 @@
         self.cancel_unfinished(id, &live).await
     }
 
-    /// Cancels a job whose record is the given one.
+    /// Cancels an unfinished job, on the condition that its record in the store is still `live`.
     async fn cancel_unfinished(&self, id: &str, live: &Versioned<LiveRecord>) -> Attempt {
         let final_state = FinalRecord {
             cancelled: true,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Finds out what became of a job when the transaction failed or was not answered.
+    /// Reads the job's final state from the store after the transaction failed or was not answered.
     async fn read_back(&self, id: &str) -> Attempt {
         match self.read_final_state(id).await {
             Ok(found) if found.record.cancelled => {
@@ -94,23 +94,23 @@
         }
     }
 
-    /// Spreads and confirms a cancellation that became durable at a revision.
+    /// Applies a durable cancellation, has the peers notified of it, and confirms it to the user.
     async fn confirm(&self, id: &str, final_state: FinalRecord, revision: Revision) -> JobOutcome {
         let cancelled = CancelledJob {
             job: id.to_string(),
             tasks: final_state.tasks,
             revision,
         };
-        self.with_state(|state| state.record_cancellation(cancelled));
+        self.update_state(|state| state.record_cancellation(cancelled));
         self.cancellation_recorded.notify_one();
         self.round_requested.notify_one();
         self.confirm_final(id, final_state).await
     }
 
-    /// Answers a request to cancel a job that is final.
+    /// Answers a request to cancel a job that has a final state.
     ///
-    /// If it was cancelled, no task of it can start any more by then. A request that was repeated at another controller was
-    /// once answered before the leader knew of the cancellation.
+    /// If the job was cancelled, the answer waits until none of its tasks can start any more. Otherwise, a request that is
+    /// repeated at another controller could be answered before the leader knows of the cancellation.
     async fn confirm_final(&self, id: &str, final_state: FinalRecord) -> JobOutcome {
         if let Some(notice) = self.read_state(|state| state.unsettled_cancellation(id)) {
             self.wait_until_no_task_can_start(notice).await;
@@ -118,8 +118,8 @@
         final_outcome(id, final_state)
     }
 
-    /// Waits until no leader can send a start of a cancelled job: until the leader knows of the cancellation, which usually
-    /// takes milliseconds, or until its authority to start tasks has ended in any case.
+    /// Waits until no leader can start a task of a cancelled job: until the leader knows of the cancellation, which usually takes
+    /// milliseconds, or at most until the authority of a leader that does not know of it has ended.
     async fn wait_until_no_task_can_start(&self, notice: Notice) {
         let deadline = self.read_state(|state| {
             let lease_ttl = state.settings().operator.leader_lease();
--- a/src/controller/user_requests/mod.rs
+++ b/src/controller/user_requests/mod.rs
@@ -1,12 +1,11 @@
-//! Requests of users: submissions, polls and cancellations of jobs, and the steps that they share.
+//! User requests: submissions, polls and cancellations of jobs, and the steps that they share.
 //!
 //! Any controller serves any user. A request is answered from the replica where that suffices, after a linearizable read where
-//! the answer depends on being up to date, and from the store where the replica does not hold what is asked for. Changes are
-//! compare-and-swap transactions of the store; the leader learns of them from its watch, and of cancellations also from its
-//! peers.
+//! the answer must be up to date, and from the store where the replica lacks the record. Changes are compare-and-swap
+//! transactions in the store; the leader learns of them from its watch, and of cancellations also from its peers.
 //!
-//! A request is tried once. When the store is too busy, the user is told when to repeat it: submissions and cancellations are
-//! idempotent.
+//! A request that the store is too busy to serve is not retried here: the user is told when to repeat it, which is safe since
+//! submissions and cancellations are idempotent.
 
 mod cancellation;
 mod poll;
@@ -20,12 +19,12 @@
 use crate::store::{self, FinalRecord, StoreError, TxnOutcome, Versioned};
 
 impl Handles {
-    /// The final state of a job, if this controller remembers it.
+    /// Returns the final state of a job, if this controller remembers it.
     fn remembered_final_state(&self, id: &str) -> Option<FinalRecord> {
         self.read_state(|state| state.replica().final_state(id))
     }
 
-    /// The final state of a job, remembered or read from the store; [`StoreError::NotFound`] if it has none.
+    /// Returns the final state of a job, remembered or read from the store; [`StoreError::NotFound`] if it has none.
     async fn final_state(&self, id: &str) -> Result<FinalRecord, StoreError> {
         if let Some(final_state) = self.remembered_final_state(id) {
             return Ok(final_state);
@@ -37,31 +36,31 @@
     async fn read_final_state(&self, id: &str) -> Result<Versioned<FinalRecord>, StoreError> {
         let read = self.store.get::<FinalRecord>(&store::final_key(id)).await;
         let found = self.record_store_answer(read)?;
-        self.with_state(|state| state.learn_final_state(id, &found));
+        self.update_state(|state| state.learn_final_state(id, &found));
         Ok(found)
     }
 
-    /// Admits a read of the store on behalf of a user, or tells when to repeat the request.
+    /// Admits a read of the store on behalf of a user, or returns the outcome that tells the user when to repeat the request.
     fn admit_read(&self) -> Result<(), JobOutcome> {
-        self.with_state(ControllerState::take_user_read)
+        self.update_state(ControllerState::take_user_read)
             .map_err(JobOutcome::RetryAfter)
     }
 
-    /// Admits a number of changes of the store on behalf of a user, or tells when to repeat the request.
+    /// Admits changes to the store on behalf of a user, or returns the outcome that tells the user when to repeat the request.
     fn admit_changes(&self, changes: u32) -> Result<(), JobOutcome> {
-        self.with_state(|state| state.take_user_changes(changes))
+        self.update_state(|state| state.take_user_changes(changes))
             .map_err(JobOutcome::RetryAfter)
     }
 
-    /// Runs a user's transaction once and adapts the rate of users' changes to the answer.
+    /// Runs a user's transaction, without retries, and adapts the rate limit of users' changes to the answer.
     async fn run_user_transaction(&self, transaction: &Txn) -> Result<TxnOutcome, StoreError> {
         let decided = self.record_store_answer(self.store.txn(transaction).await);
-        self.with_state(|state| state.record_user_transaction(&decided));
+        self.update_state(|state| state.record_user_transaction(&decided));
         decided
     }
 }
 
-/// The outcome of a request about a job that is final.
+/// Returns the outcome of a request about a job that has a final state.
 fn final_outcome(id: &str, final_state: FinalRecord) -> JobOutcome {
     JobOutcome::Known(final_view(id, final_state))
 }
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -1,10 +1,11 @@
-//! A user submits a job.
+//! Submissions: a user submits a job.
 //!
-//! 1. A submission of a job that is already known is idempotent: it is answered like a poll and changes nothing.
+//! 1. Submissions are idempotent: if the job is already known, the request is answered like a poll and changes nothing.
 //! 2. A job that can never run is rejected, unless it was accepted earlier, under other settings or machine types.
-//! 3. Otherwise the job's record is created by a transaction on the condition that the job exists in no state. The job is
+//! 3. Otherwise a transaction creates the job's record, on the condition that the job does not exist in any state. The job is
 //!    accepted once that transaction is durable. The leader learns of the job from its watch.
-//! 4. If the transaction's conditions fail, the job exists already; if it is not answered, the record is read back.
+//! 4. If the transaction's conditions fail, the job already exists. If the transaction is not answered, the record is read
+//!    back.
 
 #[cfg(test)]
 mod tests;
@@ -17,16 +18,16 @@
 use crate::protocol::{JobKind, JobSpec, JobState, JobView};
 use crate::store::{self, LiveRecord, StoreError, TxnOutcome};
 
-/// Number of changes of the store by a submission.
+/// Number of changes to the store per submission.
 const SUBMISSION_CHANGES: u32 = 1;
-/// Tolerance for rounding when a job's resources are compared with its team's limit.
+/// Tolerance for rounding errors when a job's resources are compared with its team's limit.
 const LIMIT_TOLERANCE: f64 = 1e-9;
 
-/// What is known of a submitted job before the store is asked.
+/// The assessment of a submitted job from the replica and the settings, before any access to the store.
 enum Assessment {
-    /// The job is unfinished.
+    /// The job was accepted earlier and is unfinished.
     Unfinished,
-    /// This controller has yet to read the store or the machine types.
+    /// This controller has not read the store or the machine types yet.
     NotReady,
     /// The job can never run.
     Rejected(JobRejection),
@@ -42,10 +43,10 @@
             return final_outcome(id, final_state);
         }
         match self.read_state(|state| state.assess(&spec)) {
-            // A transaction would fail, but count as a change: many repeated submissions would use up the rate of changes.
+            // A transaction would fail, but still count as a change: repeated submissions could exhaust the rate of changes.
             Assessment::Unfinished => self.poll_or(id, JobOutcome::RETRY_SOON).await,
             Assessment::NotReady => JobOutcome::RETRY_SOON,
-            // A job that was accepted once stays accepted, whatever the settings and machine types are now.
+            // A job that was accepted earlier stays accepted, whatever the current settings and machine types are.
             Assessment::Rejected(reason) => self.poll_or(id, JobOutcome::Rejected(reason)).await,
             Assessment::Acceptable => match self.admit_changes(SUBMISSION_CHANGES) {
                 Ok(()) => self.accept(spec).await,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Makes a submitted job durable.
+    /// Creates the record of a submitted job, which makes the job durable.
     async fn accept(&self, spec: JobSpec) -> JobOutcome {
         let at_ms = self.read_state(ControllerState::unix_millis);
         let record = LiveRecord { spec, at_ms };
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The state of a job that is unfinished in the store, and perhaps not in the replica yet.
+    /// Returns the state of a job that is unfinished in the store, though it may not have reached the replica yet.
     fn unfinished_view(&self, id: &str) -> JobView {
         self.read_state(|state| {
             let in_replica = state.replica().live.contains_key(id);
@@ -85,7 +86,7 @@
         .unwrap_or_else(|| queued_view(id))
     }
 
-    /// Finds out whether a transaction that was not answered has created the job.
+    /// Reads the store to find out whether an unanswered transaction has created the job.
     async fn read_back_submission(&self, id: &str) -> JobOutcome {
         let read = self.store.get::<LiveRecord>(&store::live_key(id)).await;
         match self.record_store_answer(read) {
@@ -96,7 +97,7 @@
 }
 
 impl ControllerState {
-    /// What is known of a submitted job without asking the store.
+    /// Assesses a submitted job without access to the store.
     fn assess(&self, spec: &JobSpec) -> Assessment {
         if self.replica().live.contains_key(&spec.id) {
             Assessment::Unfinished
@@ -109,14 +110,14 @@
         }
     }
 
-    /// Whether a job can run at all under the settings and with the machine types of now.
+    /// Checks that a job can run at all under the current settings and with the current machine types.
     fn check_runnable(&self, spec: &JobSpec) -> Result<(), JobRejection> {
         let teams = &self.settings().platform.deployment.teams;
         let team = teams
             .iter()
             .find(|team| team.name == spec.team)
             .ok_or(JobRejection::UnknownTeam)?;
-        if !self.a_machine_type_fits(spec) {
+        if !self.any_machine_type_fits(spec) {
             return Err(JobRejection::NoMachineTypeFits);
         }
         if exceeds_team_limit(spec, team) {
@@ -125,8 +126,8 @@
         Ok(())
     }
 
-    /// Whether one task fits an empty machine of a type that the job allows.
-    fn a_machine_type_fits(&self, spec: &JobSpec) -> bool {
+    /// Reports whether one task fits on an empty machine of a type that the job allows.
+    fn any_machine_type_fits(&self, spec: &JobSpec) -> bool {
         self.machine_types().iter().any(|machine_type| {
             let type_allowed = spec
                 .types
@@ -145,20 +146,20 @@
     }
 }
 
-/// Whether the tasks of a job that have to run at the same time need more than its team may ever use. Tasks of a job array run
-/// independently; those of any other job run together.
+/// Reports whether the tasks of a job that have to run at the same time need more than its team's limit. Tasks of a job array
+/// run independently; those of any other job run together.
 fn exceeds_team_limit(spec: &JobSpec, team: &Team) -> bool {
     let simultaneous_tasks = match spec.kind {
         JobKind::Array => 1.0,
         JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
     };
-    // A limit of zero is none.
+    // A limit of zero means unlimited.
     let exceeds =
         |each: f64, limit: f64| limit > 0.0 && each * simultaneous_tasks > limit + LIMIT_TOLERANCE;
     exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max)
 }
 
-/// The state of a job that was just accepted.
+/// Returns the view of a job that has just been accepted.
 fn queued_view(id: &str) -> JobView {
     JobView {
         id: id.to_string(),
--- a/src/controller/user_requests/submission/tests.rs
+++ b/src/controller/user_requests/submission/tests.rs
@@ -1,4 +1,4 @@
-//! Which submitted jobs are rejected.
+//! Tests of the rejection of jobs that can never run.
 
 use super::*;
 use crate::controller::clock::Clock;
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A controller with one machine type of 8 CPUs in zone `a`, and a team `t` that may use 16 CPUs.
+/// Returns a controller with one machine type of 8 CPUs in zone `a`, and a team `t` with a limit of 16 CPUs.
 fn controller() -> ControllerState {
     let clock = Clock::Scripted(Rc::new(Cell::new(1000)));
     let mut state = ControllerState::new(crate::config::tests::settings(), 1, clock);
--- a/src/controller/watch_loop.rs
+++ b/src/controller/watch_loop.rs
@@ -1,4 +1,4 @@
-//! Keeps the replica of the store up to date by a watch.
+//! Keeps the replica of the store up to date through a watch.
 
 use super::handles::Handles;
 use super::state::{ControllerState, LeaderKeyChange};
@@ -9,36 +9,37 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long the store may hold a watch request without a change.
+/// Time for which the store may hold a watch request while there are no changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long the replica may lag behind a read before its watch counts as stalled; doubled while reopening it does not help.
+/// Time for which the replica may lag behind a read before the watch counts as stalled. It doubles each time the watch stalls
+/// again without an answer in between.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time before the next try after the store could not be read.
+/// Delay before the replica is loaded again after a failed attempt.
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Time before the next try after a watch failed.
+/// Delay before a failed watch request is repeated.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Bounds of the time between two watch requests that brought changes.
+/// Bounds on the delay after a watch request that returned changes.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(20);
 const MAX_WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Handles {
-    /// Loads the replica and keeps it up to date by a watch. When the watch can't go on, everything is loaded again.
+    /// Loads the replica and keeps it up to date through a watch. Loads it anew when the watch cannot continue.
     pub(super) async fn run_watch_loop(self) {
         let watch_interval = self.read_state(watch_interval);
         let mut stall_timeout = MIN_STALL_TIMEOUT;
         loop {
             self.load_replica().await;
-            self.follow_store(watch_interval, &mut stall_timeout).await;
+            self.follow_watch(watch_interval, &mut stall_timeout).await;
         }
     }
 
-    /// Reads the whole store, again until that succeeds.
+    /// Replaces the replica with a full read of the store, retrying until that succeeds.
     async fn load_replica(&self) {
         loop {
             if let Ok(fresh) = self.record_store_answer(self.store.load().await) {
                 let revision = fresh.revision;
-                // A campaign follows in any case, whether the leader's key was deleted or not.
-                let _ = self.with_state(|state| state.replace_replica(fresh));
+                // A campaign is requested regardless of whether the leader key was deleted.
+                let _ = self.update_state(|state| state.replace_replica(fresh));
                 self.replica_revision.send_replace(revision);
                 self.campaign_requested.notify_one();
                 return;
@@ -47,19 +48,18 @@
         }
     }
 
-    /// Applies the changes that the watch brings, until they cannot be had any more.
-    ///
-    /// A controller that was isolated from the store for long once asked for the same changes for ever: they were more than
-    /// it accepts in one answer.
-    async fn follow_store(&self, watch_interval: Duration, stall_timeout: &mut Duration) {
+    /// Applies the changes that the watch delivers, and returns when the replica has to be loaded anew: when the store no longer
+    /// has the changes, or when they exceed the response limit. After a long isolation from the store, repeating the request
+    /// in the latter case would never succeed.
+    async fn follow_watch(&self, watch_interval: Duration, stall_timeout: &mut Duration) {
         loop {
             let after = self.read_state(|state| state.replica().revision);
             let watch = Box::pin(self.store.watch(after, WATCH_TIMEOUT));
-            let stall = Box::pin(self.watch_stalled(*stall_timeout));
+            let stall = Box::pin(self.wait_for_stalled_watch(*stall_timeout));
             let watched = match select(watch, stall).await {
                 Either::Left((watched, _)) => watched,
                 Either::Right(_) => {
-                    tracing::info!(%after, "watch stalled, reopening");
+                    tracing::info!(%after, "watch stalled, reopening it");
                     *stall_timeout = (*stall_timeout * 2).min(WATCH_TIMEOUT);
                     continue;
                 }
@@ -73,7 +73,7 @@
                     }
                 }
                 Err(reason @ (StoreError::NotFound | StoreError::ResponseTooLarge)) => {
-                    tracing::info!(%reason, "watch too far behind, reloading");
+                    tracing::info!(%reason, "watch too far behind, reloading the replica");
                     return;
                 }
                 Err(_) => sleep(WATCH_RETRY_DELAY).await,
@@ -81,10 +81,10 @@
         }
     }
 
-    /// Applies the answer of a watch request, and wakes up the loops to which it may matter.
+    /// Applies the answer to a watch request and wakes the loops that depend on it.
     fn apply_watched(&self, changes: &Watched) {
         let leader_key =
-            self.with_state(|state| state.apply_watch_events(changes.revision, &changes.events));
+            self.update_state(|state| state.apply_watch_events(changes.revision, &changes.events));
         if leader_key == LeaderKeyChange::Deleted {
             self.campaign_requested.notify_one();
         }
@@ -92,9 +92,10 @@
         self.round_requested.notify_one();
     }
 
-    /// Returns when a read that was sent a while ago was answered with a revision that the replica still lacks. A watch that
-    /// was open while the store refused this controller, or was down, may stay silent after it.
-    async fn watch_stalled(&self, stall_timeout: Duration) {
+    /// Waits until the watch has stalled: a read that was sent longer than `stall_timeout` ago returned a revision that the
+    /// replica has not reached yet. A watch that was open while the store refused this controller, or was down, may stay silent
+    /// afterwards.
+    async fn wait_for_stalled_watch(&self, stall_timeout: Duration) {
         loop {
             sleep(stall_timeout).await;
             if self.read_state(|state| state.replica_lags(stall_timeout)) {
@@ -104,8 +105,8 @@
     }
 }
 
-/// The time between two watch requests that brought changes. A quarter of the store's request rate goes to watches, shared
-/// among the controllers.
+/// Returns the delay after a watch request that returned changes. The controllers share a quarter of the store's request rate
+/// for watches.
 fn watch_interval(state: &ControllerState) -> Duration {
     let platform = &state.settings().platform;
     let controllers = platform.peers.len() + 1;
