--- a/src/controller/cloud/rentals.rs
+++ b/src/controller/cloud/rentals.rs
@@ -19,8 +19,8 @@
     /// This controller has no authority to rent.
     #[error("no authority to rent")]
     NoAuthority,
-    /// The cloud refused the request or did not answer; it may have executed it all the same.
-    #[error("rental request not confirmed by the cloud, possibly executed")]
+    /// The cloud refused the request, or did not answer and may have executed it.
+    #[error("rental request refused or not answered by the cloud")]
     Unconfirmed,
     /// The store refused the write or did not answer.
     #[error("rental request not stored: {0}")]
--- a/src/controller/handles.rs
+++ b/src/controller/handles.rs
@@ -35,7 +35,7 @@
     pub(super) leadership_acquired: Rc<Notify>,
 }
 
-/// Bounds on the number of connections of the HTTP client, which is an eighth of the machine's connection limit otherwise.
+/// Bounds on the number of connections of the HTTP client, which otherwise is an eighth of the machine's connection limit.
 const MIN_HTTP_CONNECTIONS: usize = 8;
 const MAX_HTTP_CONNECTIONS: usize = 100;
 
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -46,7 +46,7 @@
 pub enum JobOutcome {
     /// The job was accepted by this request.
     Accepted(JobView),
-    /// The job was accepted earlier and is in this state.
+    /// The job exists and is in this state.
     Known(JobView),
     /// No job with this ID was ever accepted.
     NotFound,
@@ -80,7 +80,7 @@
 pub enum HeartbeatOutcome {
     /// This controller leads and replies with the commands for the worker.
     Reply(HeartbeatReply),
-    /// Another controller leads. Holds the name of that leader, if the worker is told it.
+    /// Another controller leads. Holds its name, if the worker should be told.
     Redirect(Option<String>),
     /// This controller does not lead and knows of no leader.
     NoLeader,
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -4,7 +4,7 @@
 //!    changed in the meantime. Once the transaction is durable, the job is cancelled.
 //! 2. If this controller leads, it stops the job's tasks. The other controllers are notified.
 //! 3. The user is answered when no leader can start a task of the job any more: either the leader is known to have learned of
-//!    the cancellation, or the authority of a leader that has not has ended.
+//!    the cancellation, or the authority of a leader that does not know of it has ended.
 //!
 //! Cancelling a job that is already final changes nothing, but the answer waits in the same way.
 
