--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -22,9 +22,9 @@
         last: Notice,
         replica_revision: Revision,
     ) {
-        self.cancellations.acknowledged(peer, last);
+        self.cancellations.record_acknowledgement(peer, last);
         self.cancellations
-            .peer_replica_reached(peer, replica_revision);
+            .record_peer_revision(peer, replica_revision);
     }
 
     /// Applies a durable cancellation, possibly before the replica contains it: the tasks of the job are stopped, and none is
@@ -94,7 +94,7 @@
     /// Reports whether the leader may not know of a cancellation that became durable at a revision.
     fn leader_may_not_know(&self, revision: Revision) -> bool {
         self.cancellations
-            .leader_may_not_know(self.replica_view(), revision)
+            .leader_may_be_behind(self.replica_view(), revision)
     }
 
     /// Returns the replica's revision and the leader that it contains, if that is another controller.
--- a/src/controller/state/leadership.rs
+++ b/src/controller/state/leadership.rs
@@ -109,6 +109,6 @@
     /// Reports whether the replica still lacks the revision that a read sent longer ago than `tolerance` was answered with.
     pub(in crate::controller) fn replica_lags(&self, tolerance: Duration) -> bool {
         let sent_before = self.now().saturating_sub(tolerance);
-        self.leadership().lags_behind_read_sent_before(sent_before)
+        self.leadership().has_pending_read_sent_before(sent_before)
     }
 }
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -190,6 +190,6 @@
             "process was paused; store and peer timeouts exclude the pause"
         );
         self.store_contact.excuse_pause(pause, now);
-        self.peer_health.excuse_pause(pause, now);
+        self.peer_health.exclude_pause(pause, now);
     }
 }
