--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -73,7 +73,7 @@
         policy: &ScalingPolicy,
         now: Timestamp,
     ) -> Vec<RentalRequest> {
-        scheduler.at(now.as_millis());
+        scheduler.advance_clock(now.as_millis());
         release_silent_machines(scheduler, policy);
         let demands = scheduler.unmet_demand(true);
         log_demand(scheduler, &demands);
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -41,7 +41,7 @@
         zones: vec!["a".into()],
     };
     let mut scheduler = Scheduler::new(params, Epoch::new(1), 1000);
-    scheduler.set_types(&[kind("cheap", 1.0), kind("dear", 2.0)]);
+    scheduler.update_machine_types(&[kind("cheap", 1.0), kind("dear", 2.0)]);
     scheduler
 }
 
@@ -124,10 +124,10 @@
         vec![request(cheap, 3)]
     );
     (0..3).for_each(|n| scheduler.add_machine(&format!("n-{n}"), hardware, Origin::Rented));
-    scheduler.at(60_000);
+    scheduler.advance_clock(60_000);
     autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(60_000));
     assert!(scheduler.machines_to_release(9).is_empty());
-    scheduler.at(62_000);
+    scheduler.advance_clock(62_000);
     autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(62_000));
     assert_eq!(scheduler.machines_to_release(9).len(), 3);
     // Asked for again at once, it once cost a boot time again and again.
@@ -147,12 +147,12 @@
         autoscaler.requests_for_demand(&scheduler, &[only_cheap], at(123_000)),
         vec![request(cheap, 1)]
     );
-    scheduler.at(123_000);
+    scheduler.advance_clock(123_000);
     scheduler.add_machine("n-9", hardware, Origin::Rented);
-    scheduler.at(123_000 + 115_000);
+    scheduler.advance_clock(123_000 + 115_000);
     autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(238_000));
     assert_eq!(scheduler.machines_to_release(9).len(), 3);
-    scheduler.at(123_000 + 121_000);
+    scheduler.advance_clock(123_000 + 121_000);
     autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(244_000));
     assert_eq!(scheduler.machines_to_release(9).len(), 4);
 }
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -154,7 +154,7 @@
     pub(super) fn scheduler_at_now(&mut self) -> Option<&mut Scheduler> {
         let now = self.clock.now();
         let scheduler = self.scheduler.as_mut()?;
-        scheduler.at(now.as_millis());
+        scheduler.advance_clock(now.as_millis());
         Some(scheduler)
     }
 
--- a/src/controller/state/adoption.rs
+++ b/src/controller/state/adoption.rs
@@ -33,7 +33,7 @@
                 && rental.machine_type == machine.machine_type
                 && rental.zone == machine.zone
         });
-        let is_unknown = !self.scheduler.as_ref()?.knows(name);
+        let is_unknown = !self.scheduler.as_ref()?.is_known(name);
         (is_unknown && !may_be_rented).then_some(term)
     }
 
--- a/src/controller/state/epoch_start.rs
+++ b/src/controller/state/epoch_start.rs
@@ -26,7 +26,7 @@
     pub(in crate::controller) fn start_epoch(&mut self, epoch: Epoch) {
         let now = self.now();
         let mut scheduler = Scheduler::new(Params::new(&self.settings), epoch, now.as_millis());
-        scheduler.set_types(&self.machine_types);
+        scheduler.update_machine_types(&self.machine_types);
         self.add_rented_machines(&mut scheduler);
         self.add_stored_jobs(&mut scheduler);
         let start_log = self.replica.starts.iter().map(|(number, slot)| StoredSlot {
--- a/src/controller/state/replica_changes.rs
+++ b/src/controller/state/replica_changes.rs
@@ -65,7 +65,7 @@
         if self.replica.final_state(id).is_some() {
             return;
         }
-        scheduler.at(now.as_millis());
+        scheduler.advance_clock(now.as_millis());
         let results = stored_results(&self.replica, id);
         scheduler.add_job(
             job.record.clone(),
@@ -95,7 +95,7 @@
     pub(in crate::controller) fn set_machine_types(&mut self, machine_types: &[MachineType]) {
         self.machine_types = machine_types.to_vec();
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.set_types(machine_types);
+            scheduler.update_machine_types(machine_types);
         }
     }
 }
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -73,7 +73,7 @@
         let Some(scheduler) = self.scheduler.as_mut() else {
             return;
         };
-        scheduler.at(now.as_millis());
+        scheduler.advance_clock(now.as_millis());
         if self.round_deadlines.take_tick(now) {
             scheduler.tick(now.as_millis());
         }
@@ -91,7 +91,7 @@
             return Some(StepDownReason::NoHeartbeats);
         }
         scheduler
-            .is_exhausted()
+            .has_exhausted_attempts()
             .then_some(StepDownReason::AttemptNumbersExhausted)
     }
 
@@ -134,7 +134,7 @@
         let Some(scheduler) = &self.scheduler else {
             return FOLLOWER_TICK;
         };
-        if scheduler.has_changed() && self.authority() == Authority::Full {
+        if scheduler.is_pass_requested() && self.authority() == Authority::Full {
             self.round_deadlines
                 .until_placement(self.now())
                 .clamp(Duration::from_millis(1), TICK)
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -281,7 +281,7 @@
     let open = &controller.replica().rentals["drover-1-70-2"];
     assert_eq!((open.version.as_u64(), &open.record.machines), (204, &None));
     let scheduler = controller.scheduler().unwrap();
-    assert!(scheduler.knows("n-1") && scheduler.knows("n-2") && !scheduler.knows("n-9"));
+    assert!(scheduler.is_known("n-1") && scheduler.is_known("n-2") && !scheduler.is_known("n-9"));
     // The cancelled job stays among those being stopped until its task is gone; only results of finished jobs are dropped.
     let epoch = controller.write_guard().unwrap();
     assert_eq!(
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -82,7 +82,7 @@
 
 impl Capability {
     /// Records a finished task: its time here over its job's mean time on all machines.
-    pub fn measure(&mut self, class: ResourceClass, ratio: f64) {
+    pub fn record(&mut self, class: ResourceClass, ratio: f64) {
         let (least, most) = MEASURED_RATIOS;
         let ratio = ratio.clamp(least, most);
         let mean = self
@@ -105,7 +105,7 @@
     /// A task of the job has failed there.
     pub has_failed: bool,
     /// It is no spot machine.
-    pub ordinary: bool,
+    pub on_demand: bool,
     /// CPUs that are not in use: the fullest machine is filled first.
     pub spare_cpu_milli: u64,
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -17,7 +17,7 @@
         next_slots_s: next_slots_s.to_vec(),
         preference: Preference {
             has_failed: false,
-            ordinary: false,
+            on_demand: false,
             spare_cpu_milli: machine as u64,
         },
     }
@@ -130,9 +130,9 @@
     let (cpu, accelerator) = (ResourceClass::Cpu, ResourceClass::Accelerator);
     let mut c = Capability::default();
     assert_eq!(c.get(cpu), None);
-    c.measure(cpu, 2.0);
+    c.record(cpu, 2.0);
     assert_eq!(c.get(cpu), Some(0.5));
-    c.measure(cpu, 1.0);
+    c.record(cpu, 1.0);
     assert!(c.get(cpu).unwrap() > 0.5 && c.get(accelerator).is_none());
     assert_eq!(
         ResourceClass::of(
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -88,7 +88,7 @@
             preference: Preference {
                 has_failed: job.failures.includes_machine(index),
                 // Spot machines first where they are allowed.
-                ordinary: !machine.is_spot(),
+                on_demand: !machine.is_spot(),
                 spare_cpu_milli,
             },
         }
--- a/src/scheduler/heartbeat/mod.rs
+++ b/src/scheduler/heartbeat/mod.rs
@@ -16,7 +16,7 @@
 pub(super) use sequence::HeartbeatSequence;
 
 use super::index::MachineIndex;
-use super::{Scheduler, TOKEN_BITS};
+use super::{Scheduler, EPOCH_SHIFT};
 use crate::protocol::{HeartbeatReply, WorkerStatus};
 
 /// How a heartbeat has come.
@@ -72,7 +72,7 @@
         report: &WorkerStatus,
         source: HeartbeatSource,
     ) -> HeartbeatDecision {
-        if report.token.as_u64() >> TOKEN_BITS > self.epoch.as_u64() {
+        if report.token.as_u64() >> EPOCH_SHIFT > self.epoch.as_u64() {
             return HeartbeatDecision::Superseded;
         }
         let Some(machine) = self.machines.index_of(&report.machine) else {
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -77,7 +77,7 @@
         let class = job.class;
         if let Some(ratio) = job.run_times.record(took) {
             let capability = &mut self.machine_mut(machine).capability;
-            capability.measure(class, ratio);
+            capability.record(class, ratio);
         }
     }
 
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -243,7 +243,7 @@
             let held = machine.images().contains(&image);
             tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name(), ?phase, held, age_ms, "task");
         }
-        self.hold_image(machine, image);
+        self.record_image_holder(machine, image);
         self.apply_event(task, TaskEvent::Show(phase));
     }
 
--- a/src/scheduler/image_holders.rs
+++ b/src/scheduler/image_holders.rs
@@ -34,7 +34,7 @@
 
 impl Scheduler {
     /// Remembers that a machine holds an image, or fetches it.
-    pub(super) fn hold_image(&mut self, machine: MachineIndex, image: ImageIndex) {
+    pub(super) fn record_image_holder(&mut self, machine: MachineIndex, image: ImageIndex) {
         let holder = self.machine_mut(machine);
         if holder.images().back() == Some(&image) {
             return;
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -80,8 +80,8 @@
                 .types
                 .as_ref()
                 .map(|names| names.iter().map(machine_type).collect()),
-            image: self.images.add(&spec.image),
-            zone: spec.zone.as_ref().map(|zone| self.zones.add(zone)),
+            image: self.images.intern(&spec.image),
+            zone: spec.zone.as_ref().map(|zone| self.zones.intern(zone)),
         }
     }
 
--- a/src/scheduler/machine_types.rs
+++ b/src/scheduler/machine_types.rs
@@ -1,7 +1,7 @@
 //! The machine types of the cloud's catalogue.
 
 use super::index::{MachineTypeIndex, Table};
-use super::names::Names;
+use super::names::NameInterner;
 use crate::protocol::MachineType;
 use crate::resources::Resources;
 
@@ -12,14 +12,14 @@
 /// still be present.
 #[derive(Default)]
 pub(super) struct MachineTypes {
-    names: Names<MachineTypeIndex>,
+    names: NameInterner<MachineTypeIndex>,
     types: Table<MachineTypeIndex, MachineType>,
 }
 
 impl MachineTypes {
     /// Adds a type, or replaces the one with the same name.
     pub(super) fn update(&mut self, machine_type: &MachineType) {
-        let index = self.names.add(&machine_type.name);
+        let index = self.names.intern(&machine_type.name);
         if self.types.get(index).is_some() {
             self.types[index] = machine_type.clone();
         } else {
--- a/src/scheduler/machines/expiry.rs
+++ b/src/scheduler/machines/expiry.rs
@@ -23,7 +23,7 @@
             self.compensate_process_pause(pause);
         }
         self.last_tick_at = now_at;
-        self.at(now);
+        self.advance_clock(now);
         for index in self.machines.indices() {
             if self.machines.get(index).is_some() {
                 self.expire_lease(index);
--- a/src/scheduler/machines/lifecycle.rs
+++ b/src/scheduler/machines/lifecycle.rs
@@ -11,7 +11,7 @@
 impl Scheduler {
     /// Adds a machine that the store records. One of an earlier epoch may have been released or preempted meanwhile.
     pub fn add_machine(&mut self, name: &str, hardware: Hardware, origin: Origin) {
-        if self.knows(name) || !is_loggable_name(name) {
+        if self.is_known(name) || !is_loggable_name(name) {
             return;
         }
         let machine_type = self
@@ -20,7 +20,7 @@
             .unwrap_or(MachineTypeIndex::UNKNOWN);
         let offer = Offer {
             machine_type,
-            zone: self.zones.add(hardware.zone),
+            zone: self.zones.intern(hardware.zone),
             spot: hardware.spot,
         };
         let capacity = self.machine_types.capacity(machine_type);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -62,23 +62,23 @@
 use job_table::JobTable;
 use machine_types::MachineTypes;
 use machines::{BootTimes, MachineRegistry, ZoneHealth};
-use names::Names;
+use names::NameInterner;
 use quota::QuotaLedger;
 use start_log::StartLog;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Bits of a token, and of an attempt, below the epoch.
-const TOKEN_BITS: u32 = 24;
+const EPOCH_SHIFT: u32 = 24;
 /// Attempts after which an epoch has to end, with room for those of a pass. A leader of a large fleet uses them up within a
 /// few days. Beyond them attempts would be larger than the first ones of the next epoch, and a new leader, which goes by the
 /// largest attempt of a task, would look for the task where it no longer is.
-pub(super) const ATTEMPTS_OF_AN_EPOCH: u64 = (1 << TOKEN_BITS) - (1 << 22);
+pub(super) const MAX_ATTEMPTS_PER_EPOCH: u64 = (1 << EPOCH_SHIFT) - (1 << 22);
 
 /// The lowest token of an epoch.
 #[must_use]
 pub fn first_token(epoch: Epoch) -> FencingToken {
-    FencingToken::new(epoch.as_u64() << TOKEN_BITS)
+    FencingToken::new(epoch.as_u64() << EPOCH_SHIFT)
 }
 
 /// The state of a scheduler in one epoch.
@@ -87,8 +87,8 @@
     epoch: Epoch,
     now: Timestamp,
     machine_types: MachineTypes,
-    zones: Names<ZoneIndex>,
-    images: Names<ImageIndex>,
+    zones: NameInterner<ZoneIndex>,
+    images: NameInterner<ImageIndex>,
     jobs: JobTable,
     machines: MachineRegistry,
     quotas: QuotaLedger,
@@ -121,8 +121,8 @@
             epoch,
             now: Timestamp::from_millis(now),
             machine_types: MachineTypes::default(),
-            zones: Names::default(),
-            images: Names::default(),
+            zones: NameInterner::default(),
+            images: NameInterner::default(),
             jobs: JobTable::default(),
             machines: MachineRegistry::default(),
             quotas,
@@ -151,16 +151,16 @@
     }
 
     /// Moves the clock.
-    pub fn at(&mut self, now: u64) {
+    pub fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(Timestamp::from_millis(now));
     }
 
     /// Adds or updates the machine types that the cloud's catalogue lists, and their zones.
-    pub fn set_types(&mut self, types: &[MachineType]) {
+    pub fn update_machine_types(&mut self, types: &[MachineType]) {
         for machine_type in types {
             self.machine_types.update(machine_type);
             for zone in &machine_type.zones {
-                self.zones.add(zone);
+                self.zones.intern(zone);
             }
         }
         self.pass_requested = true;
@@ -220,13 +220,13 @@
 
     /// Whether a machine is known.
     #[must_use]
-    pub fn knows(&self, machine: &str) -> bool {
+    pub fn is_known(&self, machine: &str) -> bool {
         self.machines.contains(machine)
     }
 
     /// Whether something may be placed that could not be before.
     #[must_use]
-    pub fn has_changed(&self) -> bool {
+    pub fn is_pass_requested(&self) -> bool {
         self.pass_requested
     }
 
@@ -238,8 +238,8 @@
 
     /// Whether this epoch has to end, since its numbers for attempts are used up.
     #[must_use]
-    pub fn is_exhausted(&self) -> bool {
-        self.attempts >= ATTEMPTS_OF_AN_EPOCH
+    pub fn has_exhausted_attempts(&self) -> bool {
+        self.attempts >= MAX_ATTEMPTS_PER_EPOCH
     }
 
     fn machine(&self, index: MachineIndex) -> &Machine {
--- a/src/scheduler/names.rs
+++ b/src/scheduler/names.rs
@@ -4,23 +4,23 @@
 use std::collections::HashMap;
 
 /// Names mapped to dense indices of one type. A name keeps its index for good.
-pub(super) struct Names<I> {
+pub(super) struct NameInterner<I> {
     indices: HashMap<String, I>,
     names: Table<I, String>,
 }
 
-impl<I> Default for Names<I> {
+impl<I> Default for NameInterner<I> {
     fn default() -> Self {
-        Names {
+        NameInterner {
             indices: HashMap::new(),
             names: Table::default(),
         }
     }
 }
 
-impl<I: DenseIndex> Names<I> {
+impl<I: DenseIndex> NameInterner<I> {
     /// The index of a name, which is added if it is new.
-    pub(super) fn add(&mut self, name: &str) -> I {
+    pub(super) fn intern(&mut self, name: &str) -> I {
         if let Some(index) = self.indices.get(name) {
             return *index;
         }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -5,7 +5,7 @@
 use super::job::Job;
 
 use super::unplaceable::UnplaceableRequests;
-use super::{Scheduler, TOKEN_BITS};
+use super::{Scheduler, EPOCH_SHIFT};
 use crate::placement::{self, ByClass, Candidate, Request, ResourceClass, Share};
 use crate::resources::Resources;
 use std::collections::{BTreeMap, HashMap};
@@ -48,7 +48,7 @@
     /// Places what can be placed now. True if there was something to look at.
     pub fn place(&mut self) -> bool {
         if self.now < self.placement_allowed_from
-            || self.is_exhausted()
+            || self.has_exhausted_attempts()
             || !std::mem::take(&mut self.pass_requested)
         {
             return false;
@@ -225,7 +225,7 @@
                     return;
                 };
                 self.attempts += u64::from(!is_gang);
-                let attempt = (self.epoch.as_u64() << TOKEN_BITS) + self.attempts;
+                let attempt = (self.epoch.as_u64() << EPOCH_SHIFT) + self.attempts;
                 let task = TaskId { job: index, number };
                 self.apply_event(task, TaskEvent::Assign { machine, attempt });
                 left -= 1;
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -87,7 +87,7 @@
             // What was started there has its image there, or is fetching it. Without this a new leader knew as holders only
             // machines that had reported, and when a zone that had been isolated was back, all of it fetched its images anew.
             let image = self.job(entry.task.job).image;
-            self.hold_image(entry.machine, image);
+            self.record_image_holder(entry.machine, image);
             let start = LatestStart {
                 machine: Some(entry.machine),
                 attempt: entry.attempt,
@@ -105,7 +105,7 @@
         let Some(job) = self.jobs.index_of(stored.job) else {
             return;
         };
-        if self.knows(stored.machine) {
+        if self.is_known(stored.machine) {
             return;
         }
         let task = TaskId {
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -51,7 +51,7 @@
             boot_s: 30.0,
             zones: vec!["a".into(), "b".into()],
         };
-        scheduler.set_types(&[kind]);
+        scheduler.update_machine_types(&[kind]);
         Cluster {
             scheduler,
             sequence: 0,
--- a/src/scheduler/tests/direct_commands.rs
+++ b/src/scheduler/tests/direct_commands.rs
@@ -164,7 +164,7 @@
     for s in 1..10u64 {
         let overtaken = cluster.report("n-1", first_token(EPOCH), &line);
         let answer = cluster.report("n-1", first_token(EPOCH), &line);
-        cluster.scheduler.at(2000 + s * 1500);
+        cluster.scheduler.advance_clock(2000 + s * 1500);
         cluster.scheduler.handle_direct_response(
             &DirectCommands {
                 commands: vec![],
--- a/src/scheduler/tests/image_holders.rs
+++ b/src/scheduler/tests/image_holders.rs
@@ -26,13 +26,13 @@
         .scheduler
         .machine_mut(holder)
         .capability
-        .measure(ResourceClass::Cpu, 0.95);
+        .record(ResourceClass::Cpu, 0.95);
     let other = MachineIndex::from_position(1 - holder.position());
     cluster
         .scheduler
         .machine_mut(other)
         .capability
-        .measure(ResourceClass::Cpu, 1.0);
+        .record(ResourceClass::Cpu, 1.0);
     cluster.submit(
         JobSpec {
             kind: JobKind::Service,
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -21,7 +21,7 @@
     (0..MACHINES).for_each(|n| cluster.add_machine(&format!("n-{n}"), "a"));
     cluster.submit(spec("wk-1", 100_000), 1);
     // Each pass asks for the next one. With only one every half second the array once took a quarter of a minute.
-    while cluster.scheduler.has_changed() {
+    while cluster.scheduler.is_pass_requested() {
         cluster.scheduler.place();
     }
     let placed = cluster
@@ -99,10 +99,13 @@
 fn an_epoch_ends_before_its_attempts_reach_those_of_the_next() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
-    cluster.scheduler.attempts = ATTEMPTS_OF_AN_EPOCH - 1;
+    cluster.scheduler.attempts = MAX_ATTEMPTS_PER_EPOCH - 1;
     cluster.submit(spec("wk-1", 1), 1);
     let last = starts(&cluster.heartbeat("n-1", &[]));
-    assert!(last[0].1 < first_token(Epoch::new(6)).as_u64() && cluster.scheduler.is_exhausted());
+    assert!(
+        last[0].1 < first_token(Epoch::new(6)).as_u64()
+            && cluster.scheduler.has_exhausted_attempts()
+    );
     cluster.submit(spec("wk-2", 1), 1);
     assert!(starts(&cluster.heartbeat("n-1", &as_running(&last))).is_empty());
 }
@@ -115,7 +118,7 @@
     let start = starts(&cluster.heartbeat("n-1", &[]));
     cluster.heartbeat("n-1", &as_running(&start));
     (2..100).for_each(|n| cluster.add_machine(&format!("n-{n}"), "a"));
-    while cluster.scheduler.has_changed() {
+    while cluster.scheduler.is_pass_requested() {
         cluster.scheduler.place();
     }
     assert!(!cluster.scheduler.needs_pass());
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -43,7 +43,9 @@
     // The earlier leader may have renewed its lease until GRACE after this epoch began.
     for (after, placed) in [(0, 0), (1000, 1)] {
         // A machine that is heard just now could take the task.
-        cluster.scheduler.at(1000 + LEASE + GRACE + after);
+        cluster
+            .scheduler
+            .advance_clock(1000 + LEASE + GRACE + after);
         cluster.heartbeat("n-9", &[]);
         cluster.run_round(1000 + LEASE + GRACE + after);
         assert_eq!(starts(&cluster.heartbeat("n-9", &[])).len(), placed);
@@ -167,7 +169,7 @@
     cluster.inherit_machine("n-1");
     cluster.add_machine("n-9", "a");
     cluster.submit(spec("wk-1", 1), 50);
-    cluster.replay(&[("n-1", "wk-1/0", (4 << TOKEN_BITS) + 3)]);
+    cluster.replay(&[("n-1", "wk-1/0", (4 << EPOCH_SHIFT) + 3)]);
     // From before the task was started, and under the token of the epoch before.
     let copy = cluster.report("n-1", first_token(Epoch::new(4)), &[]);
     cluster.run_round(2000);
@@ -215,7 +217,9 @@
     cluster.submit(spec("wk-1", 1), 50);
     cluster.scheduler.wait_for_lease_expiry();
     for (after, placed) in [(0, 0), (2000, 1)] {
-        cluster.scheduler.at(1000 + LEASE + GRACE + after);
+        cluster
+            .scheduler
+            .advance_clock(1000 + LEASE + GRACE + after);
         let mut got = starts(&cluster.heartbeat("n-9", &[]));
         cluster.run_round(1000 + LEASE + GRACE + after);
         if got.is_empty() {
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -203,7 +203,7 @@
             100 + next,
         );
         next += 1;
-        cluster.scheduler.at(now);
+        cluster.scheduler.advance_clock(now);
         match running.take() {
             Some((task, attempt)) => cluster.heartbeat(
                 "n-1",
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -134,11 +134,11 @@
             Some(ExitReason::Done),
         )],
     );
-    cluster.scheduler.at(5000);
+    cluster.scheduler.advance_clock(5000);
     cluster.handle(&exited);
     assert_eq!(cluster.scheduler.complete_jobs().len(), 1);
     // Copies in any order, from before the start, of the run, of the end: no task comes back, ends or ends again.
-    cluster.scheduler.at(9000);
+    cluster.scheduler.advance_clock(9000);
     for copy in [&empty, &running, &exited, &running] {
         assert!(cluster.handle(copy).is_empty());
     }
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -29,7 +29,7 @@
         finish_within: HashMap::new(),
     };
     let mut scheduler = Scheduler::new(params, Epoch::new(5), 1000);
-    scheduler.set_types(&[machine_type()]);
+    scheduler.update_machine_types(&[machine_type()]);
     for (machine, zone) in [("n-1", "a"), ("n-2", "b")] {
         scheduler.add_machine(
             machine,
