--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -1,13 +1,13 @@
 //! The start log: a write-ahead log of task starts in the state service.
 //!
-//! A start is sent only after its entry here is durable. So a new leader knows from the store alone which tasks a machine
-//! that has not reported yet may hold, and that it holds no others.
+//! A start command is sent only after its log entry is durable. A new leader can therefore determine from the store alone
+//! which tasks may be on a machine that has not reported yet, and that no other task is on it.
 //!
-//! The log is a small set of slots, one key of the store each. A write replaces one slot: it keeps the slot's entries of
-//! tasks that are still active and adds new ones. One write is enough, nothing has to be deleted, and the number of slots
-//! follows the number of active tasks. The entry of a task that has ended stays until its slot is written again. Of two
-//! entries for one task the one with the larger attempt is the later one; it was written after the earlier attempt had been
-//! proven gone.
+//! The log consists of a small number of slots, each stored under a key of its own. A write replaces the contents of one
+//! slot: it keeps the entries of tasks that are still active and adds new entries. A single write therefore both appends
+//! and compacts, no key is ever deleted, and the number of slots follows the number of active tasks. The entry of an ended
+//! task remains until its slot is rewritten. If a task has several entries, the one with the largest attempt number is the
+//! latest: it was written only after the earlier attempt had been proven gone.
 
 mod replay;
 mod text;
@@ -21,14 +21,14 @@
 use crate::store::{LoggedJob, Revision, StartLogWrite};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many slots are examined for each write.
+/// Number of slots examined for each write.
 const SLOTS_EXAMINED: usize = 4;
-/// About the length of an entry's text, with its share of the names of its machine and job.
+/// Estimated length of an entry's text, including its share of the machine's and job's names.
 const TYPICAL_ENTRY_BYTES: usize = 48;
-/// An entry's text is shorter than this in nearly every case.
-const LONG_ENTRY_BYTES: usize = 128;
+/// Conservative estimate of the length of an entry's text, which nearly every entry stays below.
+const CONSERVATIVE_ENTRY_BYTES: usize = 128;
 
-/// A start in the log: an attempt of a task on a machine.
+/// A log entry: the start of a task's attempt on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct LogEntry {
     task: TaskId,
@@ -36,25 +36,25 @@
     attempt: u64,
 }
 
-/// A slot as the leader last wrote or read it.
+/// A slot's state as last written or read by the leader.
 #[derive(Debug, Default)]
 struct Slot {
     version: Revision,
     entries: Vec<LogEntry>,
 }
 
-/// The log as its leader knows it.
+/// The leader's in-memory state of the log.
 #[derive(Debug, Default)]
 pub(super) struct StartLog {
-    /// Entries that are in no write yet, the oldest first.
+    /// Entries that are not part of any write yet, oldest first.
     unwritten: VecDeque<LogEntry>,
     slots: BTreeMap<u32, Slot>,
-    /// The slot that was examined last.
+    /// The slot that [`Scheduler::choose_slot`] examined last.
     last_examined: u32,
 }
 
 impl StartLog {
-    /// Adds an entry, which is durable after one of the next writes.
+    /// Queues an entry for one of the next writes.
     pub(super) fn enqueue(&mut self, task: TaskId, machine: MachineIndex, attempt: u64) {
         self.unwritten.push_back(LogEntry {
             task,
@@ -63,12 +63,12 @@
         });
     }
 
-    /// Whether entries wait to be written.
+    /// Reports whether any entries are waiting to be written.
     pub(super) fn has_unwritten(&self) -> bool {
         !self.unwritten.is_empty()
     }
 
-    /// The version that a slot must have to be written; [`Revision::ZERO`] for a new one.
+    /// Returns the version that a slot must have for a write to apply; [`Revision::ZERO`] for a new slot.
     fn version(&self, slot: u32) -> Revision {
         self.slots
             .get(&slot)
@@ -76,25 +76,25 @@
     }
 }
 
-/// A write of the log, which makes starts durable.
+/// A write of one slot of the log, which makes its entries durable.
 #[derive(Debug)]
 pub struct SlotWrite {
-    /// Slot.
+    /// Number of the slot.
     pub slot: u32,
-    /// Version that the slot must have.
+    /// Version that the slot must have for the write to apply.
     pub version: Revision,
-    /// Its new contents.
+    /// New contents of the slot.
     pub text: String,
-    /// Jobs of the new starts.
+    /// Jobs of the starts that are still to be sent; the write applies only if all of them are unfinished.
     pub jobs: Vec<LoggedJob>,
-    /// All entries of the slot.
+    /// All entries of the slot after the write.
     entries: Vec<LogEntry>,
-    /// Those that were not in the log before.
+    /// Entries that the write adds to the log.
     new_entries: Vec<LogEntry>,
 }
 
 impl SlotWrite {
-    /// What it writes to the store.
+    /// Returns the parameters of the store transaction.
     #[must_use]
     pub fn start_log_write(&self) -> StartLogWrite<'_> {
         StartLogWrite {
@@ -107,8 +107,8 @@
 }
 
 impl Scheduler {
-    /// The next write of the log, at most `max_bytes` long and with starts of at most `max_jobs` jobs; none if no entry waits
-    /// to be written.
+    /// Returns the next write of the log, or `None` if no entries are waiting. Its starts belong to at most `max_jobs` jobs. Its
+    /// text takes at most `max_bytes`, provided that no entry's text exceeds `CONSERVATIVE_ENTRY_BYTES`.
     pub fn next_log_write(&mut self, max_bytes: usize, max_jobs: usize) -> Option<SlotWrite> {
         let mut unwritten = std::mem::take(&mut self.start_log.unwritten);
         unwritten.retain(|entry| self.is_current(entry));
@@ -120,8 +120,8 @@
         let mut new_entries = Vec::new();
         let mut jobs = Vec::new();
         while !unwritten.is_empty() && text.len() < max_bytes {
-            // As many as surely fit, then again with what is left.
-            let fitting = (max_bytes - text.len()) / LONG_ENTRY_BYTES;
+            // Adds as many entries as fit by the conservative estimate, then repeats with the space that remains.
+            let fitting = (max_bytes - text.len()) / CONSERVATIVE_ENTRY_BYTES;
             let count = self.count_writable(unwritten.iter().take(fitting), &mut jobs, max_jobs);
             if count == 0 {
                 break;
@@ -144,10 +144,10 @@
         })
     }
 
-    /// The slot to be written next, and its entries that are still current.
+    /// Chooses the slot to be written next and returns it with its entries that are still current.
     ///
-    /// A few slots are examined in turn. The one with the fewest current entries is written again if they take at most half
-    /// of the space; otherwise a new slot is used.
+    /// A few slots are examined in each call, round-robin. The one with the fewest current entries is rewritten if these
+    /// entries take at most half of the space; otherwise a new slot is created.
     fn choose_slot(&mut self, max_bytes: usize) -> (u32, Vec<LogEntry>) {
         let log = &self.start_log;
         let numbers: Vec<u32> = log.slots.keys().copied().collect();
@@ -167,7 +167,7 @@
         chosen
     }
 
-    /// The entries of a slot that are still current.
+    /// Returns the entries of a slot that are still current.
     fn current_entries(&self, slot: u32) -> impl Iterator<Item = LogEntry> + '_ {
         self.start_log.slots[&slot]
             .entries
@@ -176,7 +176,7 @@
             .filter(|entry| self.is_current(entry))
     }
 
-    /// Whether an entry's attempt is the one that is, or may be, on its machine.
+    /// Reports whether an entry is current: whether its attempt is the active attempt of its task, on the same machine.
     fn is_current(&self, entry: &LogEntry) -> bool {
         let job = self.jobs.get(entry.task.job);
         job.and_then(|job| job.active.get(&entry.task.number))
@@ -185,7 +185,8 @@
             })
     }
 
-    /// How many of the entries may be in one write that has starts of at most `max_jobs` jobs. Their jobs are added to `jobs`.
+    /// Counts the leading entries that fit into a write whose unsent starts belong to at most `max_jobs` jobs, and adds these
+    /// jobs to `jobs`.
     fn count_writable<'a>(
         &self,
         entries: impl Iterator<Item = &'a LogEntry>,
@@ -195,7 +196,7 @@
         let mut count = 0;
         for entry in entries {
             let job = entry.task.job;
-            if self.is_to_start(entry) && !jobs.contains(&job) {
+            if self.is_unsent(entry) && !jobs.contains(&job) {
                 if jobs.len() == max_jobs {
                     break;
                 }
@@ -206,9 +207,9 @@
         count
     }
 
-    /// Whether an entry is of a start that is still to be sent. What a heartbeat has shown is there, whatever has become of
-    /// its job; only a start needs an unfinished job.
-    fn is_to_start(&self, entry: &LogEntry) -> bool {
+    /// Reports whether the start of an entry is still to be sent. Only such an entry requires its job to be unfinished: an
+    /// attempt that a heartbeat has reported exists regardless of the job's state and has to be logged.
+    fn is_unsent(&self, entry: &LogEntry) -> bool {
         self.attempt(entry.task)
             .is_some_and(|active| active.phase == Phase::Assigned)
     }
@@ -221,7 +222,7 @@
         }
     }
 
-    /// A write is durable: its starts may be sent.
+    /// Records that a write is durable, so that its starts may be sent.
     pub fn log_write_applied(&mut self, write: SlotWrite, version: Revision) {
         let slot = Slot {
             version,
@@ -235,8 +236,8 @@
         }
     }
 
-    /// A write failed, or its outcome is unknown: its starts wait for another one. `found` is what the slot holds now: its
-    /// version and its text.
+    /// Handles a write that failed or whose outcome is unknown: queues its new entries again. `found` is the slot's current
+    /// version and text, if they were read.
     pub fn log_write_failed(&mut self, write: SlotWrite, found: Option<(Revision, &str)>) {
         for entry in write.new_entries.into_iter().rev() {
             self.start_log.unwritten.push_front(entry);
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -1,4 +1,4 @@
-//! Replaying the log of earlier epochs, by which a new leader knows where tasks may be.
+//! Replay of the start log at the beginning of an epoch, from which a new leader learns where tasks may be.
 
 use super::super::attempt::{Phase, TaskEvent, TaskId};
 use super::super::index::MachineIndex;
@@ -9,38 +9,38 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Clocks are assumed to differ by at most one part in this many while leases of an epoch without a log run.
-const LEASE_WAIT_CLOCK_TOLERANCE: u32 = 100;
-/// Beside that tolerance.
+/// Assumed bound on clock drift, as a divisor of the wait, while leases of an epoch without a start log expire.
+const LEASE_WAIT_DRIFT_DIVISOR: u32 = 100;
+/// Fixed margin that is added to the drift tolerance of that wait.
 const LEASE_WAIT_MARGIN: Duration = Duration::from_secs(1);
-/// Clocks are assumed to differ by at most one part in this many during the grace period.
-const GRACE_CLOCK_TOLERANCE: u32 = 500;
+/// Assumed bound on clock drift during the grace period, as a divisor of that period.
+const GRACE_DRIFT_DIVISOR: u32 = 500;
 
-/// A slot as it is stored.
+/// A slot as read from the store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoredSlot<'a> {
-    /// Its number.
+    /// Number of the slot.
     pub number: u32,
-    /// Its version.
+    /// Version of its key.
     pub version: Revision,
-    /// Its contents.
+    /// Stored contents.
     pub text: &'a str,
 }
 
-/// The start of a task with the largest attempt.
+/// A task's start with the largest attempt number seen so far.
 #[derive(Debug, Clone, Copy)]
 struct LatestStart {
-    /// None: the machine was released.
+    /// `None` if the machine was released.
     machine: Option<MachineIndex>,
     attempt: u64,
 }
 
-/// The latest start of each task.
+/// The latest start of each task in the log.
 #[derive(Default)]
 struct LatestStarts(BTreeMap<TaskId, LatestStart>);
 
 impl LatestStarts {
-    /// Processes a start, which counts if it is the latest one of its task.
+    /// Keeps a start if its attempt number is the largest of its task so far.
     fn record(&mut self, task: TaskId, start: LatestStart) {
         let latest = self.0.entry(task).or_insert(start);
         if latest.attempt < start.attempt {
@@ -50,16 +50,17 @@
 }
 
 impl Scheduler {
-    /// Places nothing until every lease of the epoch before has surely expired or been renewed by this one. For an epoch
-    /// before that kept no log.
+    /// Suspends placement until every worker lease of the previous epoch has expired or has been renewed in this epoch. Used
+    /// if the previous epoch kept no start log, so that the log does not tell where its tasks may be.
     pub fn wait_for_lease_expiry(&mut self) {
         let longest = self.params.grace_period + self.params.lease;
         self.placement_allowed_from =
-            self.now() + longest + longest / LEASE_WAIT_CLOCK_TOLERANCE + LEASE_WAIT_MARGIN;
+            self.now() + longest + longest / LEASE_WAIT_DRIFT_DIVISOR + LEASE_WAIT_MARGIN;
     }
 
-    /// Replays the log of earlier epochs, after the machines and jobs are known: each task's latest entry says where it may
-    /// be. Machines that no rental names any more were released, and entries of jobs that are final have no effect.
+    /// Replays the log of earlier epochs; machines and jobs must have been loaded before. The latest entry of each task tells
+    /// on which machine the task may be. A machine without a rental record has been released. Entries of final jobs have no
+    /// effect.
     pub fn replay_start_log<'a>(&mut self, slots: impl Iterator<Item = StoredSlot<'a>>) {
         let mut latest = LatestStarts::default();
         for slot in slots {
@@ -72,6 +73,7 @@
         }
     }
 
+    /// Loads a slot and collects the latest start of each task in it.
     fn replay_slot(&mut self, slot: StoredSlot, latest: &mut LatestStarts) {
         let mut entries = Vec::new();
         for stored in text::parse(slot.text) {
@@ -84,8 +86,9 @@
                 machine.contact.set_address_if_unknown(stored.address);
             }
             entries.push(entry);
-            // What was started there has its image there, or is fetching it. Without this a new leader knew as holders only
-            // machines that had reported, and when a zone that had been isolated was back, all of it fetched its images anew.
+            // A machine on which a task was started holds the task's image or is fetching it. When only machines that had
+            // reported were recorded as holders, all machines of an isolated zone fetched their images again once the zone
+            // was reachable.
             let image = self.job(entry.task.job).image;
             self.record_image_holder(entry.machine, image);
             let start = LatestStart {
@@ -100,7 +103,8 @@
             .insert(slot.number, Slot { version, entries });
     }
 
-    /// Replays an entry whose machine was released. It may be the latest one of its task.
+    /// Replays an entry that could not be resolved. If its machine was released, the entry may still be the latest one of its
+    /// task, in which case the task is on no machine.
     fn replay_released(&self, stored: &StoredEntry, latest: &mut LatestStarts) {
         let Some(job) = self.jobs.index_of(stored.job) else {
             return;
@@ -119,9 +123,9 @@
         latest.record(task, start);
     }
 
-    /// A task may be on a machine since an earlier epoch.
+    /// Restores an attempt of an earlier epoch that may still be on its machine.
     fn restore_attempt(&mut self, task: TaskId, machine: MachineIndex, attempt: u64) {
-        // A stored result was reported by the task's last attempt: nothing of it runs any more.
+        // A stored result was reported by the task's last attempt, so no attempt of the task is running any more.
         if self.job(task.job).done.contains(task.number) {
             return;
         }
@@ -134,15 +138,15 @@
         if self.job(task.job).cancelled {
             self.apply_event(task, TaskEvent::Stop { save: false });
         }
-        // An earlier leader may have renewed its lease until its authority to do so ended.
+        // The earlier leader may have renewed the machine's lease until the end of its grace period.
         let grace_period = self.params.grace_period;
-        let until = self.now() + grace_period + grace_period / GRACE_CLOCK_TOLERANCE;
+        let until = self.now() + grace_period + grace_period / GRACE_DRIFT_DIVISOR;
         let machine = self.machine_mut(machine);
         machine.contact.expect();
         machine.lease.assume_renewed_until(until);
     }
 
-    /// The entry that a stored one stands for, if its machine, job and task are known.
+    /// Maps a stored entry to the indices of its machine and job; `None` if its machine, job or task is unknown.
     pub(super) fn resolve(&self, stored: &StoredEntry) -> Option<LogEntry> {
         let machine = self.machines.index_of(stored.machine)?;
         let job = self.jobs.index_of(stored.job)?;
--- a/src/scheduler/start_log/text.rs
+++ b/src/scheduler/start_log/text.rs
@@ -1,21 +1,25 @@
-//! The stored text of a slot.
+//! The text format in which a slot is stored.
 //!
-//! Machines are separated by `;`. Each is its name and its address, followed by its jobs, each `/` and the job's id followed
-//! by its tasks, each the task's number in decimal, `.` and the attempt in hexadecimal; all separated by spaces:
-//! `m-1 10.0.0.1:80 /job-1 0.5000001 1.5000002;m-2 10.0.0.2:80 /job-1 2.5000003`.
+//! ```text
+//! slot    = machine *( ";" machine )
+//! machine = name " " address *( " /" job-id *( " " task ) )
+//! task    = task number in decimal "." attempt number in hexadecimal
+//! ```
+//!
+//! Example: `m-1 10.0.0.1:80 /job-1 0.5000001 1.5000002;m-2 10.0.0.2:80 /job-1 2.5000003`
 
 use super::super::Scheduler;
 use super::LogEntry;
 use std::fmt::Write;
 
-/// Stands for an address that is unknown or can't be in the text.
+/// Placeholder for an address that is unknown or can't be represented in the text.
 pub(super) const NO_ADDRESS: &str = "-";
-/// The longest name that can be in the text.
+/// Maximum length of a name in the text.
 const MAX_NAME_BYTES: usize = 100;
-/// About the length of an entry's text, for the size of buffers.
+/// Estimated length of an entry's text, by which buffers are allocated.
 const ENTRY_CAPACITY: usize = 24;
 
-/// An entry as it stands in the text.
+/// An entry as parsed from the text, with names that are not resolved to indices yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StoredEntry<'a> {
     pub(super) machine: &'a str,
@@ -25,7 +29,7 @@
     pub(super) attempt: u64,
 }
 
-/// Whether a name can be in the text of the log.
+/// Reports whether a name can be represented in the text of the log.
 pub(in crate::scheduler) fn is_loggable_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= MAX_NAME_BYTES
@@ -33,7 +37,7 @@
         && name.is_ascii()
 }
 
-/// Reads a slot's text. What is malformed is left out.
+/// Parses the text of a slot. Malformed parts are skipped.
 pub(super) fn parse(text: &str) -> Vec<StoredEntry<'_>> {
     let mut entries = Vec::new();
     for section in text.split(';') {
@@ -59,7 +63,7 @@
     entries
 }
 
-/// Reads a task's number and its attempt.
+/// Parses the task number and the attempt number of a `task`.
 fn parse_attempt(word: &str) -> Option<(u32, u64)> {
     let (number, attempt) = word.split_once('.')?;
     let number = number.parse().ok()?;
@@ -68,7 +72,7 @@
 }
 
 impl Scheduler {
-    /// The text of a slot with these entries.
+    /// Formats entries as the text of a slot.
     pub(super) fn slot_text(&self, entries: &[LogEntry]) -> String {
         let mut sorted: Vec<&LogEntry> = entries.iter().collect();
         sorted.sort_unstable_by_key(|entry| (entry.machine, entry.task));
@@ -93,7 +97,7 @@
         text
     }
 
-    /// Writes the name and the address of an entry's machine.
+    /// Appends the name and the address of an entry's machine.
     fn write_machine(&self, text: &mut String, entry: &LogEntry) {
         let machine = self.machine(entry.machine);
         let address = if is_loggable_name(machine.contact.address()) {
