--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,15 +1,15 @@
-//! Where the tasks of a job should run: measured capability, groups of similar machines, image holders first, and the
-//! transfer test (DGNS).
+//! The placement algorithm (DGNS), which selects machines for the tasks of a job by measured capability, groups of similar
+//! machines, image locality and a transfer test.
 //!
-//! Machines are measured: a machine's *capability* for a class of jobs is the inverse of its mean task time relative to the
-//! mean over all machines. To place tasks, candidates are sorted by capability and divided into groups: a group begins with
-//! the fastest machine that is left and ends where capability falls below that machine's divided by the *group factor*.
-//! Groups are filled from the fastest on. Within a group, machines that hold the job's image come first, then the others in
-//! the order of their preference.
+//! A machine's *capability* for a class of jobs is measured: it is the inverse of the machine's mean task time relative to
+//! the mean over all machines. Candidates are sorted by capability and divided into groups. A group begins with the fastest
+//! remaining machine and ends where capability falls below that of its fastest machine divided by the *group factor*. Groups
+//! are filled in order of descending capability. Within a group, machines that hold the job's image come first; machines that
+//! are equal in this respect are ordered by [`Preference`].
 //!
 //! A machine without the image has to fetch it first. It gets a task only if it passes the *transfer test*: the task must be
-//! expected to finish there, with the transfer, sooner than on any holder that is free or comes free soon. Otherwise the task
-//! goes to that holder if it is free, or waits for it.
+//! expected to finish there, including the transfer, sooner than on any holder with a free slot or a slot that becomes free
+//! later. Otherwise the task is placed on that holder if its slot is free, or waits for the slot.
 
 #[cfg(test)]
 mod tests;
@@ -18,19 +18,20 @@
 use std::collections::{HashMap, HashSet};
 use std::hash::Hash;
 
-/// Weight of a new measurement in a running mean.
+/// Weight of a new measurement in the exponential moving average.
 const MEASUREMENT_WEIGHT: f64 = 0.2;
-/// The range in which a measurement counts.
-const MEASURED_RATIOS: (f64, f64) = (0.05, 20.0);
+/// Range to which measured ratios are clamped.
+const MEASURED_RATIO_RANGE: (f64, f64) = (0.05, 20.0);
 
-/// A class of jobs in which machines are measured: the resource of which a task takes the largest share of a machine.
+/// A class of jobs for which capability is measured separately, by the resource of which a task takes the largest share of a
+/// machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResourceClass {
-    /// Mostly CPU.
+    /// CPU is the dominant resource.
     Cpu,
-    /// Mostly accelerators.
+    /// Accelerators are the dominant resource.
     Accelerator,
-    /// Mostly memory.
+    /// Memory is the dominant resource.
     Memory,
 }
 
@@ -42,7 +43,7 @@
         ResourceClass::Memory,
     ];
 
-    /// The class of a task, by its shares of the largest machine.
+    /// Returns the class of a task by its shares of the largest machine's resources.
     #[must_use]
     pub fn of(requested: Resources, largest: Resources) -> ResourceClass {
         let share = |amount: u64, largest: u64| amount as f64 / largest.max(1) as f64;
@@ -59,32 +60,32 @@
     }
 }
 
-/// A value for each class.
+/// A table with one value per resource class.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ByClass<T>([T; ResourceClass::ALL.len()]);
 
 impl<T: Copy> ByClass<T> {
-    /// The value of a class.
+    /// Returns the value of a class.
     #[must_use]
     pub fn get(&self, class: ResourceClass) -> T {
         self.0[class as usize]
     }
 
-    /// Changes the value of a class.
+    /// Sets the value of a class.
     pub fn set(&mut self, class: ResourceClass, value: T) {
         self.0[class as usize] = value;
     }
 }
 
-/// A machine's running means of task times over the mean times of their jobs, for each class.
+/// Moving averages, per class, of the ratio of a machine's task times to the mean task times of their jobs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Capability(ByClass<Option<f64>>);
 
 impl Capability {
-    /// Records a finished task: its time here over its job's mean time on all machines.
+    /// Records the ratio of a finished task's time on this machine to the mean time of its job on all machines.
     pub fn record(&mut self, class: ResourceClass, ratio: f64) {
-        let (least, most) = MEASURED_RATIOS;
-        let ratio = ratio.clamp(least, most);
+        let (min, max) = MEASURED_RATIO_RANGE;
+        let ratio = ratio.clamp(min, max);
         let mean = self
             .0
             .get(class)
@@ -92,89 +93,90 @@
         self.0.set(class, Some(mean));
     }
 
-    /// How fast the machine is for a class, where 1 is the mean; none until it is measured.
+    /// Returns the machine's speed for a class relative to the mean of 1, or `None` until a task of that class has been
+    /// measured.
     #[must_use]
     pub fn get(&self, class: ResourceClass) -> Option<f64> {
         self.0.get(class).map(|mean| 1.0 / mean)
     }
 }
 
-/// The order of machines that are equal otherwise, the least first.
+/// The sort key of machines that are otherwise equal; smaller values come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Preference {
-    /// A task of the job has failed there.
+    /// Whether a task of the job has failed on the machine.
     pub has_failed: bool,
-    /// It is no spot machine.
+    /// Whether the machine is on demand rather than spot.
     pub on_demand: bool,
-    /// CPUs that are not in use: the fullest machine is filled first.
+    /// Unused CPUs in thousandths, so that the fullest machine is filled first.
     pub spare_cpu_milli: u64,
 }
 
-/// A machine `M` on which a job's tasks may run.
+/// A machine, identified by `M`, on which a job's tasks may run.
 #[derive(Debug, Clone)]
 pub struct Candidate<M> {
-    /// The machine.
+    /// Identifier of the machine.
     pub machine: M,
-    /// Measured or assumed capability.
+    /// Measured or assumed capability for the job's class.
     pub capability: f64,
-    /// Whether it holds the image.
+    /// Whether the machine holds the job's image.
     pub holds_image: bool,
-    /// How many tasks fit now.
+    /// Number of tasks that fit on the machine now.
     pub free_slots: u32,
-    /// If it is a holder without free slots: when its tasks are expected to end, one after the other, each making a slot
-    /// free, in seconds from now. Slots that others wait for already are left out.
+    /// For a holder without free slots, the expected end times of its running tasks in ascending order, in seconds from now.
+    /// Each end frees a slot. Slots that other tasks are already waiting for are left out.
     pub next_slots_s: Vec<f64>,
-    /// Order among equals.
+    /// Order among candidates that are otherwise equal.
     pub preference: Preference,
 }
 
-/// What is known of the tasks to be placed.
+/// Parameters of the tasks to be placed.
 #[derive(Debug, Clone, Copy)]
 pub struct Request {
-    /// How many slots to find.
+    /// Number of slots to find.
     pub slots: u32,
-    /// How many tasks wait; fewer than slots where a zone rule may leave some unused.
+    /// Number of tasks to place. Smaller than `slots` if a zone rule may leave some of the slots unused.
     pub tasks: u32,
-    /// Expected run time on a machine with capability 1.
+    /// Expected run time of a task on a machine with capability 1.
     pub run_s: f64,
-    /// The size of the image over the fetch rate.
+    /// Expected time to fetch the image: its size divided by the fetch rate.
     pub transfer_s: f64,
-    /// Capability of the fastest machine of a group over that of the slowest, at most.
+    /// Maximum ratio of the capabilities of the fastest and the slowest machine of a group.
     pub group_factor: f64,
-    /// Whether the transfer test applies.
+    /// Whether the transfer test is applied.
     pub transfer_test: bool,
 }
 
-/// A number of tasks for a machine.
+/// The number of a job's tasks that go to one machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Share<M> {
-    /// The machine.
+    /// Identifier of the machine.
     pub machine: M,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
 }
 
-/// Where tasks go.
+/// The result of placement.
 #[derive(Debug, PartialEq)]
 pub struct Plan<M> {
-    /// Machines with the tasks that each gets now.
+    /// Tasks to be started now, per machine. A machine may occur several times.
     pub start_now: Vec<Share<M>>,
-    /// Holders without free slots with the tasks that wait for each.
+    /// Tasks that wait for a slot, per holder without free slots. A holder may occur several times.
     pub wait_for: Vec<Share<M>>,
 }
 
-/// A slot on a holder of the image, free or still in use.
+/// A slot on a machine that holds the image; free, or occupied by a running task.
 struct HolderSlot<M> {
     machine: M,
-    /// When a task would finish there, in seconds from now.
+    /// Expected finish time of a new task in this slot, in seconds from now.
     finish_s: f64,
     free: bool,
 }
 
-/// Plans where tasks run, as the module's documentation describes.
+/// Assigns tasks to candidates by the algorithm in the module documentation.
 ///
-/// A task that should wait for a holder takes the slot that it waits for, so that the next one has to look further: without
-/// that, a whole queue would wait for one slot while machines stand idle.
+/// A task that waits for a holder consumes the slot that it waits for, so that the next task has to consider other slots.
+/// Otherwise a whole queue would wait for the same slot while other machines are idle.
 #[must_use]
 pub fn plan<M: Copy + Eq + Hash>(mut candidates: Vec<Candidate<M>>, request: Request) -> Plan<M> {
     candidates.sort_by(|a, b| b.capability.total_cmp(&a.capability));
@@ -193,17 +195,17 @@
     planner.plan
 }
 
-/// A plan that is being made.
+/// The state of a [`plan`] call.
 struct Planner<M> {
     request: Request,
     slots_left: u32,
-    /// Slots on holders, the one where a task would finish first last. A holder in a slower group may have one that beats a
-    /// transfer in a faster one.
+    /// Slots on holders of all groups, by descending finish time, so that the best one is popped first. A holder in a slower
+    /// group may have a slot that beats a transfer to a machine in a faster group.
     holder_slots: Vec<HolderSlot<M>>,
-    /// How many slots were taken of holders before their group's turn.
+    /// Number of slots that were taken of a holder before it was processed in its own group.
     taken_early: HashMap<M, u32>,
-    /// Machines whose turn has passed.
-    passed: HashSet<M>,
+    /// Machines that have been filled in the order of their group.
+    processed: HashSet<M>,
     plan: Plan<M>,
 }
 
@@ -219,7 +221,7 @@
             slots_left: request.slots,
             holder_slots,
             taken_early: HashMap::new(),
-            passed: HashSet::new(),
+            processed: HashSet::new(),
             plan: Plan {
                 start_now: Vec::new(),
                 wait_for: Vec::new(),
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Fills the machines of a group, holders first.
+    /// Fills the machines of a group, image holders first.
     fn fill_group(&mut self, group: &[Candidate<M>]) {
         let mut order: Vec<&Candidate<M>> = group.iter().filter(|c| c.free_slots > 0).collect();
         order.sort_by_key(|candidate| (!candidate.holds_image, candidate.preference));
@@ -239,11 +241,11 @@
         }
     }
 
-    /// The transfer test: takes slots on holders as long as a task would finish there no later than on a machine that has to
-    /// fetch the image first.
-    fn use_better_holders(&mut self, fetching: &Candidate<M>) {
-        // Equation (5) of the paper with its sides named.
-        let finish_s = self.request.run_s / fetching.capability + self.request.transfer_s;
+    /// Applies the transfer test to a machine that has to fetch the image: takes slots on holders as long as a task would
+    /// finish there no later than on this machine.
+    fn use_better_holders(&mut self, non_holder: &Candidate<M>) {
+        // Equation (5) of the DGNS paper: its two sides are the finish times here and on the holder.
+        let finish_s = self.request.run_s / non_holder.capability + self.request.transfer_s;
         while self.slots_left > 0 {
             let Some(slot) = self.holder_slots.pop_if(|slot| finish_s >= slot.finish_s) else {
                 return;
@@ -254,7 +256,7 @@
             };
             if !slot.free {
                 self.plan.wait_for.push(share);
-            } else if self.passed.contains(&slot.machine) {
+            } else if self.processed.contains(&slot.machine) {
                 continue;
             } else {
                 *self.taken_early.entry(slot.machine).or_default() += 1;
@@ -264,12 +266,12 @@
         }
     }
 
-    /// Gives a machine as many tasks as fit and are left.
+    /// Assigns as many of the remaining tasks to a machine as fit.
     fn fill(&mut self, candidate: &Candidate<M>) {
         let machine = candidate.machine;
         let taken = self.taken_early.get(&machine).copied().unwrap_or(0);
         let tasks = (candidate.free_slots - taken).min(self.slots_left);
-        self.passed.insert(machine);
+        self.processed.insert(machine);
         if tasks > 0 {
             self.plan.start_now.push(Share { machine, tasks });
             self.slots_left -= tasks;
@@ -277,7 +279,7 @@
     }
 }
 
-/// The slots on all holders, the one where a task would finish first last.
+/// Returns the slots on all holders, by descending finish time.
 fn holder_slots<M: Copy>(candidates: &[Candidate<M>], request: Request) -> Vec<HolderSlot<M>> {
     let mut slots = Vec::new();
     for holder in candidates.iter().filter(|c| c.holds_image) {
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `placement`.
+//! Tests of the placement algorithm.
 
 use super::*;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Shares of machines, from pairs of a machine and a number of tasks.
+/// Builds shares from pairs of a machine and a number of tasks.
 fn shares(pairs: &[(usize, u32)]) -> Vec<Share<usize>> {
     pairs
         .iter()
@@ -59,24 +59,27 @@
 }
 
 #[test]
-fn a_non_holder_runs_only_if_it_beats_waiting_for_a_holder() {
-    let with = |end: f64| {
+fn a_non_holder_gets_a_task_only_if_that_beats_waiting_for_a_holder() {
+    let candidates_with_holder_end = |end: f64| {
         vec![
             machine(0, 1.0, true, 0, &[end]),
             machine(1, 1.0, false, 4, &[]),
         ]
     };
     assert_eq!(
-        plan(with(5.0), request(1)),
+        plan(candidates_with_holder_end(5.0), request(1)),
         Plan {
             start_now: vec![],
             wait_for: shares(&[(0, 1)])
         }
     );
-    assert_eq!(plan(with(50.0), request(1)).start_now, shares(&[(1, 1)]));
+    assert_eq!(
+        plan(candidates_with_holder_end(50.0), request(1)).start_now,
+        shares(&[(1, 1)])
+    );
     assert_eq!(
         plan(
-            with(5.0),
+            candidates_with_holder_end(5.0),
             Request {
                 transfer_test: false,
                 ..request(1)
@@ -89,7 +92,7 @@
 
 #[test]
 fn a_free_holder_of_a_slower_group_beats_a_transfer() {
-    // A replica has no task time: only the transfer counts.
+    // A replica of a service has an expected run time of 0, so that only the transfer time matters.
     let all = vec![
         machine(0, 0.7, true, 2, &[]),
         machine(1, 1.0, false, 9, &[]),
@@ -105,13 +108,13 @@
         .start_now
     };
     assert_eq!(plan(0.0, 3), shares(&[(0, 1), (0, 1), (1, 1)]));
-    // A long task is worth the transfer to the faster machine.
+    // A long task finishes sooner on the faster machine despite the transfer.
     assert_eq!(plan(600.0, 3), shares(&[(1, 3)]));
 }
 
 #[test]
-fn a_place_is_waited_for_once() {
-    // All of a queue once waited for the same place while other machines stood idle.
+fn only_one_task_waits_for_an_occupied_slot() {
+    // Guards against a whole queue waiting for the same occupied slot while other machines are idle.
     let all = vec![
         machine(0, 1.0, true, 0, &[5.0, 70.0]),
         machine(1, 1.0, false, 4, &[]),
@@ -128,12 +131,12 @@
 #[test]
 fn capability_is_the_inverse_of_the_mean_ratio() {
     let (cpu, accelerator) = (ResourceClass::Cpu, ResourceClass::Accelerator);
-    let mut c = Capability::default();
-    assert_eq!(c.get(cpu), None);
-    c.record(cpu, 2.0);
-    assert_eq!(c.get(cpu), Some(0.5));
-    c.record(cpu, 1.0);
-    assert!(c.get(cpu).unwrap() > 0.5 && c.get(accelerator).is_none());
+    let mut capability = Capability::default();
+    assert_eq!(capability.get(cpu), None);
+    capability.record(cpu, 2.0);
+    assert_eq!(capability.get(cpu), Some(0.5));
+    capability.record(cpu, 1.0);
+    assert!(capability.get(cpu).unwrap() > 0.5 && capability.get(accelerator).is_none());
     assert_eq!(
         ResourceClass::of(
             Resources {
