--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,19 +1,21 @@
-//! The scheduler: machines, what runs on them, and where tasks go. Pure logic: events in, decisions out, no I/O and no clock.
+//! The scheduler: keeps track of machines and tasks and decides where tasks run. It takes events and returns decisions; it
+//! performs no I/O and reads no clock.
 //!
-//! The invariant that everything here serves: a task may be on a machine until it is proven gone, and until then it is
-//! started nowhere else and counts for its team's quota and its zone. A new leader knows where tasks may be from the start
-//! log: nothing is sent before its entry there is durable.
+//! Its central invariant: a task may be on a machine until it is proven gone. Until then it is not started anywhere else and
+//! counts towards its team's quota and its zone. A new leader learns from the start log where tasks may be, since no start is
+//! sent before its log entry is durable.
 //!
-//! [`Scheduler`] joins parts that own their state. Where to look:
+//! [`Scheduler`] combines modules that own their state:
 //!
-//! - jobs: `job` (one), `job_progress`, `task_bitmap`, `job_table` (all), `jobs` (how they come and go), `quota` (the ledger);
-//! - tasks: `attempt` (the state machine), `task_events` (the one function for every change of a task, and what follows);
-//! - placing: `scheduling_pass`, `queue` (which job is next), `candidates` (which machines), `unplaceable`; `crate::placement`
-//!   chooses among the candidates;
-//! - too little capacity: `preemption` (what is stopped for others), `demand` (what machines are needed for), both on a
-//!   `capacity_pool`; `utilization` (what is used, and what is surplus);
-//! - machines: `machines`, `heartbeat` (what workers report), `image_holders`, `fetch_rates`;
-//! - `start_log`: the write-ahead log of starts, its text and its replay.
+//! - jobs: `job` (a job's state), `job_progress`, `task_bitmap`, `job_table` (all jobs), `jobs` (adding and removing jobs),
+//!   `quota` (the ledger of team quotas);
+//! - tasks: `attempt` (the state machine), `task_events` (state changes and their effects);
+//! - placement: `scheduling_pass`, `queue` (the order of jobs), `candidates` (eligible machines), `unplaceable` (requests that
+//!   can't be placed in a pass); `crate::placement` selects among the candidates;
+//! - capacity: `preemption` (tasks to stop in favor of others) and `demand` (machines to rent), both based on
+//!   `capacity_pool`; `utilization` (used and surplus capacity);
+//! - machines: `machines`, `heartbeat` (worker reports), `image_holders`, `fetch_rates`, `machine_types`;
+//! - durability: `start_log` (the write-ahead log of starts, its text format and its replay).
 
 mod attempt;
 mod candidates;
@@ -68,14 +70,15 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Bits of a token, and of an attempt, below the epoch.
+/// Position of the epoch in fencing tokens and attempt numbers. The bits below it hold a counter that restarts in each epoch.
 const EPOCH_SHIFT: u32 = 24;
-/// Attempts after which an epoch has to end, with room for those of a pass. A leader of a large fleet uses them up within a
-/// few days. Beyond them attempts would be larger than the first ones of the next epoch, and a new leader, which goes by the
-/// largest attempt of a task, would look for the task where it no longer is.
+/// Number of attempts after which an epoch has to end. The rest of the range is headroom for the attempts of one scheduling
+/// pass. A leader of a large fleet uses up the range within a few days. If the counter overflowed, attempt numbers would be
+/// larger than the first ones of the next epoch, and a new leader, which takes the largest attempt number of a task as the
+/// latest, would assume the task to be on a machine that it has left.
 pub(super) const MAX_ATTEMPTS_PER_EPOCH: u64 = (1 << EPOCH_SHIFT) - (1 << 22);
 
-/// The lowest token of an epoch.
+/// Returns the lowest fencing token of an epoch.
 #[must_use]
 pub fn first_token(epoch: Epoch) -> FencingToken {
     FencingToken::new(epoch.as_u64() << EPOCH_SHIFT)
@@ -92,26 +95,26 @@
     jobs: JobTable,
     machines: MachineRegistry,
     quotas: QuotaLedger,
-    /// Attempts that were numbered in this epoch.
+    /// Number of attempts that were numbered in this epoch.
     attempts: u64,
     start_log: StartLog,
-    /// Machines with starts or stops to be sent.
+    /// Machines to which starts or stops are to be sent.
     pending_commands: BTreeSet<MachineIndex>,
     image_holders: ImageHolders,
-    /// Nothing is placed before.
+    /// Time before which no task is placed.
     placement_allowed_from: Timestamp,
     last_tick_at: Timestamp,
     zone_health: ZoneHealth,
     fetch_rates: FetchRates,
     boot_times: BootTimes,
-    /// Production jobs that the last pass has left with tasks to place, in their order.
+    /// Production jobs with tasks that the last pass could not place, in queue order.
     unplaced_production: Vec<JobIndex>,
-    /// Whether something may be placed that could not be before, so that a pass is worth while.
+    /// Whether a scheduling pass is needed because tasks may be placed that could not be placed before.
     pass_requested: bool,
 }
 
 impl Scheduler {
-    /// An empty scheduler of an epoch that began now.
+    /// Creates an empty scheduler for an epoch that begins now.
     #[must_use]
     pub fn new(params: Params, epoch: Epoch, now: u64) -> Self {
         let quotas = QuotaLedger::new(&params.teams);
@@ -140,22 +143,22 @@
         }
     }
 
-    /// The time since a moment; none if it is to come.
+    /// Returns the time since `moment`, or zero if it lies in the future.
     fn elapsed_since(&self, moment: Timestamp) -> Duration {
         self.now().saturating_duration_since(moment)
     }
 
-    /// The moment to which the clock was moved last.
+    /// Returns the current time, as last set by [`Scheduler::advance_clock`].
     fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// Moves the clock.
+    /// Advances the clock to `now`, in milliseconds. The clock never goes back.
     pub fn advance_clock(&mut self, now: u64) {
         self.now = self.now.max(Timestamp::from_millis(now));
     }
 
-    /// Adds or updates the machine types that the cloud's catalogue lists, and their zones.
+    /// Adds or updates the machine types that the cloud's catalogue lists, and adds their zones.
     pub fn update_machine_types(&mut self, types: &[MachineType]) {
         for machine_type in types {
             self.machine_types.update(machine_type);
@@ -166,77 +169,77 @@
         self.pass_requested = true;
     }
 
-    /// The machine types with their indices.
+    /// Returns the machine types with their indices.
     pub fn machine_types(&self) -> impl Iterator<Item = (MachineTypeIndex, &MachineType)> {
         self.machine_types.iter()
     }
 
-    /// The machine type with an index.
+    /// Returns the machine type with an index.
     ///
     /// # Panics
     ///
-    /// If it is the index of a machine whose type the catalogue does not list.
+    /// Panics if the index stands for a type that the catalogue has never listed.
     #[must_use]
     pub fn machine_type(&self, index: MachineTypeIndex) -> &MachineType {
         self.machine_types
             .get(index)
-            .expect("the catalogue lists the type")
+            .expect("machine type is listed in the catalogue")
     }
 
-    /// The index of the machine type with a name.
+    /// Returns the index of the machine type with a name.
     #[must_use]
     pub fn machine_type_index(&self, name: &str) -> Option<MachineTypeIndex> {
         self.machine_types.index(name)
     }
 
-    /// All resources of a machine of a type.
+    /// Returns the total resources of a machine of a type.
     #[must_use]
     pub fn capacity_of_type(&self, machine_type: MachineTypeIndex) -> Resources {
         self.machine_types.capacity(machine_type)
     }
 
-    /// The index of the zone with a name.
+    /// Returns the index of the zone with a name.
     #[must_use]
     pub fn zone_index(&self, name: &str) -> Option<ZoneIndex> {
         self.zones.get(name)
     }
 
-    /// A zone's name.
+    /// Returns the name of a zone.
     #[must_use]
     pub fn zone_name(&self, zone: ZoneIndex) -> &str {
         self.zones.name(zone)
     }
 
-    /// Machines present, with their index.
+    /// Returns the machines that are present, with their indices.
     pub fn machines(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
         self.machines.iter()
     }
 
-    /// A machine's index.
+    /// Returns the index of the machine with a name.
     #[must_use]
     pub fn machine_index(&self, machine: &str) -> Option<MachineIndex> {
         self.machines.index_of(machine)
     }
 
-    /// Whether a machine is known.
+    /// Reports whether a machine with this name is present.
     #[must_use]
     pub fn is_known(&self, machine: &str) -> bool {
         self.machines.contains(machine)
     }
 
-    /// Whether something may be placed that could not be before.
+    /// Reports whether a scheduling pass is needed because tasks may be placed that could not be placed before.
     #[must_use]
     pub fn is_pass_requested(&self) -> bool {
         self.pass_requested
     }
 
-    /// Whether something may be placed or is to be sent or logged.
+    /// Reports whether a scheduling pass is requested, commands are to be sent or starts are to be logged.
     #[must_use]
     pub fn needs_pass(&self) -> bool {
         self.pass_requested || !self.pending_commands.is_empty() || self.start_log.has_unwritten()
     }
 
-    /// Whether this epoch has to end, since its numbers for attempts are used up.
+    /// Reports whether this epoch has to end because its attempt numbers are used up.
     #[must_use]
     pub fn has_exhausted_attempts(&self) -> bool {
         self.attempts >= MAX_ATTEMPTS_PER_EPOCH
@@ -258,7 +261,7 @@
         &mut self.jobs[index]
     }
 
-    /// The fencing token of a machine.
+    /// Returns the current fencing token of a machine.
     fn token(&self, machine: &Machine) -> FencingToken {
         first_token(self.epoch) + machine.commands.token_counter()
     }
