--- a/src/scheduler/index.rs
+++ b/src/scheduler/index.rs
@@ -1,20 +1,20 @@
-//! Dense indices as types of their own, and the tables they index.
+//! Typed dense indices and the tables that they index.
 //!
-//! Each kind of index is a type, so that a machine's index can't be taken for a zone's. Neither the indices nor the tables
-//! cost anything at run time.
+//! Each kind of index is a distinct type, so that a machine's index can't be confused with a zone's. Neither the indices nor
+//! the tables have any overhead at run time.
 
 use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
 
 /// An index into a dense table.
 pub trait DenseIndex: Copy + Eq {
-    /// The index of a position.
+    /// Returns the index of a table position.
     fn from_position(position: usize) -> Self;
-    /// The position in the table.
+    /// Returns the table position of this index.
     fn position(self) -> usize;
 }
 
-/// Defines a type of index.
+/// Defines an index type.
 macro_rules! dense_index {
     ($(#[$attribute:meta])* $name:ident) => {
         $(#[$attribute])*
@@ -34,7 +34,7 @@
 }
 
 dense_index! {
-    /// Index of a machine, valid while the machine is present; a later machine may get the same one.
+    /// Index of a machine, valid while the machine is present. It may be reused for a later machine.
     MachineIndex
 }
 
@@ -49,12 +49,12 @@
 }
 
 impl MachineTypeIndex {
-    /// Stands for a type that the cloud's catalogue does not list.
+    /// Index of every type that the cloud's catalogue does not list.
     pub(super) const UNKNOWN: MachineTypeIndex = MachineTypeIndex(usize::MAX);
 }
 
 dense_index! {
-    /// Index of a job, valid while the job is present; a later job may get the same one.
+    /// Index of a job, valid while the job is present. It may be reused for a later job.
     JobIndex
 }
 
@@ -63,7 +63,7 @@
     ImageIndex
 }
 
-/// A vector that is read by one type of index.
+/// A vector that is indexed by one index type.
 #[derive(Debug)]
 pub(super) struct Table<I, T> {
     rows: Vec<T>,
@@ -80,7 +80,7 @@
 }
 
 impl<I: DenseIndex, T> Table<I, T> {
-    /// A table with a value for each index below a number.
+    /// Creates a table with `len` rows that all hold `value`.
     pub(super) fn filled(value: T, len: usize) -> Self
     where
         T: Clone,
@@ -91,28 +91,28 @@
         }
     }
 
-    /// The number of rows.
+    /// Returns the number of rows.
     pub(super) fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Adds a row and returns its index.
+    /// Appends a row and returns its index.
     pub(super) fn push(&mut self, row: T) -> I {
         self.rows.push(row);
         I::from_position(self.rows.len() - 1)
     }
 
-    /// A row, if there is one.
+    /// Returns the row of an index, if there is one.
     pub(super) fn get(&self, index: I) -> Option<&T> {
         self.rows.get(index.position())
     }
 
-    /// All indices in ascending order. The table may be changed meanwhile.
+    /// Returns all indices in ascending order. The iterator does not borrow the table, which may change during the iteration.
     pub(super) fn indices(&self) -> impl Iterator<Item = I> {
         (0..self.rows.len()).map(I::from_position)
     }
 
-    /// All rows with their indices, in ascending order.
+    /// Returns all rows with their indices, in ascending order of the indices.
     pub(super) fn iter(&self) -> impl Iterator<Item = (I, &T)> {
         self.rows
             .iter()
@@ -120,12 +120,12 @@
             .map(|(position, row)| (I::from_position(position), row))
     }
 
-    /// All rows in ascending order of their indices.
+    /// Returns all rows in ascending order of their indices.
     pub(super) fn values(&self) -> impl Iterator<Item = &T> {
         self.rows.iter()
     }
 
-    /// All rows, to be changed, in ascending order of their indices.
+    /// Returns mutable references to all rows in ascending order of their indices.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.rows.iter_mut()
     }
--- a/src/scheduler/names.rs
+++ b/src/scheduler/names.rs
@@ -1,9 +1,9 @@
-//! Names mapped to dense indices.
+//! Interning of names as dense indices.
 
 use super::index::{DenseIndex, Table};
 use std::collections::HashMap;
 
-/// Names mapped to dense indices of one type. A name keeps its index for good.
+/// Maps names to dense indices of one type. Names are never removed, so a name keeps its index.
 pub(super) struct NameInterner<I> {
     indices: HashMap<String, I>,
     names: Table<I, String>,
@@ -19,7 +19,7 @@
 }
 
 impl<I: DenseIndex> NameInterner<I> {
-    /// The index of a name, which is added if it is new.
+    /// Returns the index of a name and adds the name if it is new.
     pub(super) fn intern(&mut self, name: &str) -> I {
         if let Some(index) = self.indices.get(name) {
             return *index;
@@ -29,17 +29,17 @@
         index
     }
 
-    /// The index of a known name.
+    /// Returns the index of a name, if the name is known.
     pub(super) fn get(&self, name: &str) -> Option<I> {
         self.indices.get(name).copied()
     }
 
-    /// The indices of all names, in the order in which they were added.
+    /// Returns the indices of all names, in the order in which the names were added.
     pub(super) fn indices(&self) -> impl Iterator<Item = I> {
         self.names.indices()
     }
 
-    /// The name with an index.
+    /// Returns the name with an index.
     pub(super) fn name(&self, index: I) -> &str {
         &self.names[index]
     }
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -1,26 +1,26 @@
-//! Fixed numbers of a scheduler, from the settings.
+//! Scheduler parameters, derived from the settings.
 
 use crate::config;
 use crate::resources::QuotaResources;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The kind of objectives for the time in which a job is finished.
-const FINISHED: &str = "finished";
+/// Value of [`config::Objective::kind`] for objectives on the time until a job is finished.
+const FINISH_OBJECTIVE_KIND: &str = "finished";
 
 /// A team's quota.
 #[derive(Debug, Clone)]
 pub struct TeamQuota {
-    /// Name.
+    /// Name of the team.
     pub name: String,
-    /// Guarantee.
+    /// Guaranteed resources.
     pub guarantee: QuotaResources,
-    /// Limit.
+    /// Maximum resources.
     pub limit: QuotaResources,
 }
 
 impl TeamQuota {
-    /// From the settings, where a limit of 0 means none.
+    /// Creates a quota from the settings of a team, in which a limit of 0 means no limit.
     #[must_use]
     pub fn new(team: &config::Team) -> Self {
         TeamQuota {
@@ -31,29 +31,29 @@
     }
 }
 
-/// Fixed numbers of a scheduler, from the settings.
+/// Parameters of a scheduler, fixed for its lifetime.
 #[derive(Debug, Clone)]
 pub struct Params {
-    /// Lease of the workers.
+    /// Duration of a worker's lease.
     pub lease: Duration,
-    /// Time between heartbeats.
+    /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// How long an earlier leader may have renewed leases after its own lease.
+    /// How long an earlier leader may have gone on renewing worker leases after its authority to start tasks ended.
     pub grace_period: Duration,
-    /// Capability of the fastest machine of a group over that of the slowest, at most.
+    /// Maximum ratio of the capabilities of the fastest and the slowest machine of a placement group.
     pub group_factor: f64,
-    /// The fetch rate of images until it is measured.
+    /// Assumed fetch rate of images in GB per second until it is measured.
     pub fetch_gb_per_s: f64,
-    /// Whether the transfer test applies.
+    /// Whether placement applies the transfer test.
     pub transfer_test: bool,
-    /// The quotas of the teams.
+    /// Quotas of all teams.
     pub teams: Vec<TeamQuota>,
-    /// Within which time jobs of a class are expected to be finished, for classes with such an objective.
+    /// Time within which jobs of a class should be finished, for classes with such an objective.
     pub finish_within: HashMap<String, Duration>,
 }
 
 impl Params {
-    /// From the settings.
+    /// Derives the parameters from the settings.
     #[must_use]
     pub fn new(settings: &config::Settings) -> Self {
         let deployment = &settings.platform.deployment;
@@ -70,10 +70,13 @@
     }
 }
 
-/// The shortest time of each class with an objective for finished jobs.
+/// Returns the shortest time that objectives allow until a job is finished, for each class with such an objective.
 fn finish_objectives(objectives: &[config::Objective]) -> HashMap<String, Duration> {
     let mut shortest: HashMap<String, Duration> = HashMap::new();
-    for objective in objectives.iter().filter(|o| o.kind == FINISHED) {
+    for objective in objectives
+        .iter()
+        .filter(|o| o.kind == FINISH_OBJECTIVE_KIND)
+    {
         if let (Some(class), Some(within)) = (&objective.class, objective.time_allowed()) {
             let known = shortest.entry(class.clone()).or_insert(within);
             *known = within.min(*known);
