--- a/src/scheduler/task_events.rs
+++ b/src/scheduler/task_events.rs
@@ -1,16 +1,16 @@
-//! The one function for every change of a task, and what follows from a change: usage, counts, commands.
+//! State changes of tasks and their effects on reserved resources, counts, commands and the start log.
 
 use super::attempt::{Phase, TaskAttempt, TaskEvent, TaskId, Transition};
 use super::index::MachineIndex;
 use super::Scheduler;
 
 impl Scheduler {
-    /// The attempt of a task that is or may be on a machine.
+    /// Returns the active attempt of a task: the one that is, or may be, on a machine.
     pub(super) fn attempt(&self, task: TaskId) -> Option<&TaskAttempt> {
         self.jobs[task.job].active.get(&task.number)
     }
 
-    /// The one function for every change of a task.
+    /// Applies an event to a task. Every state change of a task goes through this function.
     pub(super) fn apply_event(&mut self, task: TaskId, event: TaskEvent) {
         let old = self.attempt(task).copied();
         let new = match Transition::of(old, event, self.now()) {
@@ -22,11 +22,11 @@
         if new.is_none() {
             self.stop_broken_gang(task);
         }
-        self.count_change(task, old, new);
+        self.update_counts(task, old, new);
         self.request_follow_up(task, old, new);
     }
 
-    /// Puts a task's new state in the place of its old one.
+    /// Replaces a task's active attempt, and reserves or releases its resources accordingly.
     fn replace_attempt(
         &mut self,
         task: TaskId,
@@ -39,14 +39,14 @@
             (None, Some(new)) => {
                 job.last_placed_at = now;
                 job.active.insert(task.number, new);
-                self.reserve(task, new.machine);
+                self.reserve_resources(task, new.machine);
             }
             (Some(old), None) => {
                 job.active.remove(&task.number);
                 if !job.done.contains(task.number) {
                     job.pending.put_back(task.number);
                 }
-                self.free(task, old.machine);
+                self.release_resources(task, old.machine);
             }
             (Some(_), Some(new)) => {
                 job.active.insert(task.number, new);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A gang that has lost a task is stopped, to start again as a whole.
+    /// Stops all other tasks of a gang that has lost a task before it finished: a gang restarts only as a whole.
     fn stop_broken_gang(&mut self, task: TaskId) {
         let job = self.job(task.job);
         if !job.is_gang() || job.done.contains(task.number) {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Keeps the counts of running and stopping tasks.
-    fn count_change(&mut self, task: TaskId, old: Option<TaskAttempt>, new: Option<TaskAttempt>) {
+    /// Updates the counts of running and stopping tasks.
+    fn update_counts(&mut self, task: TaskId, old: Option<TaskAttempt>, new: Option<TaskAttempt>) {
         let is_running =
             |attempt: Option<TaskAttempt>| attempt.is_some_and(|a| a.is_running_or_stopping());
         let is_stopping = |attempt: Option<TaskAttempt>| attempt.is_some_and(|a| a.is_stopping());
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Asks for what has to follow a change: an entry in the start log, a command, a new scheduling pass.
+    /// Requests the action that a change makes necessary: a start log entry, a command or a scheduling pass.
     fn request_follow_up(
         &mut self,
         task: TaskId,
@@ -106,14 +106,14 @@
             Some(new) if new.phase == Phase::Assigned || (new.is_stopping() && !new.stop_sent) => {
                 self.pending_commands.insert(machine);
             }
-            // Only resources that have come free can let something else be placed.
+            // Only released resources can make it possible to place another task.
             None => self.pass_requested = true,
             _ => {}
         }
     }
 
-    /// A task takes its resources on a machine, and counts for its team and its zone.
-    fn reserve(&mut self, task: TaskId, machine: MachineIndex) {
+    /// Reserves the resources of a task on a machine and counts the task towards its team's quota and its zone.
+    fn reserve_resources(&mut self, task: TaskId, machine: MachineIndex) {
         let job = &mut self.jobs[task.job];
         let amount = job.task_resources;
         let service_cpu_milli = job.service_cpu_milli();
@@ -125,8 +125,9 @@
         machine.load.add(task, amount, service_cpu_milli);
     }
 
-    /// A task is proven to be on a machine no more: its resources are free, and it no longer counts.
-    fn free(&mut self, task: TaskId, machine: MachineIndex) {
+    /// Releases the resources of a task that is proven to be gone from its machine; it no longer counts towards its team's
+    /// quota and its zone.
+    fn release_resources(&mut self, task: TaskId, machine: MachineIndex) {
         let job = &mut self.jobs[task.job];
         let amount = job.task_resources;
         let service_cpu_milli = job.service_cpu_milli();
@@ -137,7 +138,8 @@
         let machine = &mut self.machines[machine];
         *job.active_by_zone.entry(machine.zone()).or_default() -= 1;
         machine.load.remove(task, service_cpu_milli, now);
-        // Computed anew: more may be there than fits, so what a task has left need not be what it took.
+        // Recomputed from the remaining tasks: a machine may hold more tasks than fit, in which case the resources that become
+        // free are less than those of the task.
         let capacity = self.machine_types.capacity(machine.machine_type());
         let free = machine
             .load
