--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -72,10 +72,10 @@
 
 /// Position of the epoch in fencing tokens and attempt numbers. The bits below it hold a counter that restarts in each epoch.
 const EPOCH_SHIFT: u32 = 24;
-/// Number of attempts after which an epoch has to end. The rest of the range is headroom for the attempts of one scheduling
-/// pass. A leader of a large fleet uses up the range within a few days. If the counter overflowed, attempt numbers would be
-/// larger than the first ones of the next epoch, and a new leader, which takes the largest attempt number of a task as the
-/// latest, would assume the task to be on a machine that it has left.
+/// Number of attempt numbers after which an epoch has to end. The rest of the range is headroom for the attempts of one
+/// scheduling pass. A leader of a large fleet uses up the range within a few days. If the counter overflowed, attempt numbers
+/// would be larger than the first ones of the next epoch, and a new leader, which takes the largest attempt number of a task
+/// as the latest, would assume the task to be on a machine that it has left.
 pub(super) const MAX_ATTEMPTS_PER_EPOCH: u64 = (1 << EPOCH_SHIFT) - (1 << 22);
 
 /// Returns the lowest fencing token of an epoch.
@@ -95,7 +95,7 @@
     jobs: JobTable,
     machines: MachineRegistry,
     quotas: QuotaLedger,
-    /// Number of attempts that were numbered in this epoch.
+    /// Number of attempt numbers used in this epoch.
     attempts: u64,
     start_log: StartLog,
     /// Machines to which starts or stops are to be sent.
