--- a/src/scheduler/machines/lifecycle.rs
+++ b/src/scheduler/machines/lifecycle.rs
@@ -13,7 +13,7 @@
     /// preempted in the meantime. Does nothing if the machine is already known or its name cannot be written to the start
     /// log.
     pub fn add_machine(&mut self, name: &str, hardware: Hardware, origin: Origin) {
-        if self.knows(name) || !is_loggable_name(name) {
+        if self.is_known(name) || !is_loggable_name(name) {
             return;
         }
         let machine_type = self
@@ -22,7 +22,7 @@
             .unwrap_or(MachineTypeIndex::UNKNOWN);
         let offer = Offer {
             machine_type,
-            zone: self.zones.add(hardware.zone),
+            zone: self.zones.intern(hardware.zone),
             spot: hardware.spot,
         };
         let capacity = self.machine_types.capacity(machine_type);
