--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -121,14 +121,14 @@
         let sample = DemandSample::new(scheduler, &utilization, demands, now);
         self.demand_history.record(sample, window);
         if !demands.is_empty() {
-            scheduler.use_surplus();
+            scheduler.restore_surplus_machines();
             return;
         }
-        scheduler.move_replica();
+        scheduler.move_surplus_replica();
         let spare = scale_in::SpareCapacity::new(&utilization, &self.demand_history, horizon);
         let surplus = spare.surplus_machine(scheduler, &utilization, window, now);
         if let Some(machine) = surplus {
-            scheduler.spare_machine(machine);
+            scheduler.drain_surplus_machine(machine);
         }
     }
 
@@ -189,9 +189,9 @@
     for machine in scheduler.utilization() {
         let [machines, cpus, used, services] = by_offer.entry(machine.offer).or_default();
         *machines += 1;
-        *cpus += machine.cpus;
-        *used += machine.used;
-        *services += machine.services;
+        *cpus += machine.cpu_milli;
+        *used += machine.used_cpu_milli;
+        *services += machine.service_cpu_milli;
     }
     tracing::debug!(pending, wanted, machines_cpus_used_services = ?by_offer, "look ahead");
 }
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -54,8 +54,8 @@
         .iter_mut()
         .filter(|machine| demand.allows(&machine.offer))
     {
-        let tasks = demand.fitting(machine.free).min(unplaced);
-        machine.free = demand.rest(machine.free, tasks);
+        let tasks = demand.count_fitting(machine.free).min(unplaced);
+        machine.free = demand.free_after(machine.free, tasks);
         unplaced -= tasks;
     }
     unplaced
@@ -74,10 +74,10 @@
             break;
         };
         let capacity = scheduler.capacity_of_type(offer.machine_type);
-        let tasks = demand.fitting(capacity).min(unplaced);
+        let tasks = demand.count_fitting(capacity).min(unplaced);
         planned.push(PlannedMachine {
             offer,
-            free: demand.rest(capacity, tasks),
+            free: demand.free_after(capacity, tasks),
         });
         unplaced -= tasks;
     }
@@ -92,7 +92,7 @@
 ) -> Option<Offer> {
     let mut best: Option<(f64, Offer)> = None;
     for (index, machine_type) in scheduler.machine_types() {
-        let fitting = demand.fitting(scheduler.capacity_of_type(index));
+        let fitting = demand.count_fitting(scheduler.capacity_of_type(index));
         if fitting == 0 {
             continue;
         }
@@ -165,7 +165,7 @@
     now: Timestamp,
 ) -> Vec<RentalRequest> {
     let utilization = scheduler.utilization();
-    let coming_up = scheduler.coming_up();
+    let coming_up = scheduler.booting_cpu_milli();
     let unreachable = scheduler.unreachable_zones();
     let mut requests = Vec::new();
     for (&zone, reserve) in reserves {
@@ -186,7 +186,7 @@
     utilization
         .iter()
         .filter(|machine| !machine.offer.spot && machine.offer.zone == zone)
-        .map(|machine| machine.cpus - machine.used)
+        .map(|machine| machine.cpu_milli - machine.used_cpu_milli)
         .sum()
 }
 
--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -36,7 +36,7 @@
         };
         self.replica.remember_final(job, final_state);
         if let Some(scheduler) = self.scheduler_at_now() {
-            scheduler.drop_job(job);
+            scheduler.stop_job(job);
         }
     }
 
--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -84,13 +84,16 @@
         };
         self.replica.remember_final(job, final_state);
         if let Some(scheduler) = self.scheduler.as_mut() {
-            scheduler.drop_job(job);
+            scheduler.stop_job(job);
         }
     }
 
     /// The results to be stored next.
     pub(in crate::controller) fn results_to_store(&self, epoch: &Guard) -> Option<ResultsWrite> {
-        let chunks = self.scheduler.as_ref()?.unsaved(self.max_batch_changes());
+        let chunks = self
+            .scheduler
+            .as_ref()?
+            .unsaved_chunks(self.max_batch_changes());
         if chunks.is_empty() {
             return None;
         }
@@ -124,7 +127,7 @@
             .is_some_and(|term| term.epoch_version == epoch.version);
         if let Some(scheduler) = self.scheduler.as_mut().filter(|_| same_term) {
             for chunk in chunks {
-                scheduler.saved(chunk);
+                scheduler.record_saved(chunk);
             }
         }
     }
@@ -176,7 +179,7 @@
     pub(in crate::controller) fn final_job_cleanup(&mut self, epoch: &Guard) -> Option<Txn> {
         let max_changes = self.max_batch_changes();
         let scheduler = self.scheduler.as_mut()?;
-        for job in scheduler.stopped_jobs() {
+        for job in scheduler.remove_stopped_jobs() {
             tracing::info!(%job, "job ended");
         }
         let mut txn = Txn {
--- a/src/controller/state/replica_changes.rs
+++ b/src/controller/state/replica_changes.rs
@@ -80,7 +80,7 @@
     fn remove_job(&mut self, id: &str) {
         self.leader_report.forget_job(id);
         if let Some(scheduler) = self.scheduler_at_now() {
-            scheduler.drop_job(id);
+            scheduler.stop_job(id);
         }
     }
 
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -86,7 +86,7 @@
         if !self.round_deadlines.take_review(now) {
             return None;
         }
-        scheduler.reconsider();
+        scheduler.request_pass();
         if has_peers && scheduler.is_isolated_from_workers() {
             return Some(StepDownReason::NoHeartbeats);
         }
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -61,7 +61,7 @@
         // The store knows that a job is final before the replica does.
         if let Ok(TxnOutcome::Failed(keys)) = outcome {
             for job in keys.iter().filter_map(|key| store::live_job(key)) {
-                scheduler.drop_job(job);
+                scheduler.stop_job(job);
             }
         }
         match (outcome, slot) {
--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -80,7 +80,7 @@
         phase: Phase,
     },
     /// Its entry in the start log is durable.
-    Log,
+    Logged,
     /// Its start is being sent.
     Send {
         /// How it is sent.
@@ -89,7 +89,7 @@
         token: FencingToken,
     },
     /// Its worker reports it in this phase.
-    Show(Phase),
+    Report(Phase),
     /// It is to be stopped.
     Stop {
         /// Whether it gets time to save its progress.
@@ -185,7 +185,7 @@
     fn of_active(attempt: TaskAttempt, event: TaskEvent, now: Timestamp) -> Transition {
         let assigned = attempt.phase == Phase::Assigned;
         match event {
-            TaskEvent::Log if assigned => Transition::To(TaskAttempt {
+            TaskEvent::Logged if assigned => Transition::To(TaskAttempt {
                 logged: true,
                 ..attempt
             }),
@@ -196,7 +196,7 @@
                     ..attempt.in_phase(Phase::Sent, now)
                 })
             }
-            TaskEvent::Show(phase)
+            TaskEvent::Report(phase)
                 if attempt.phase != phase && !assigned && !attempt.is_stopping() =>
             {
                 Transition::To(attempt.in_phase(phase, now))
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -14,7 +14,7 @@
 /// one (PROTOCOL, additions).
 const HOLDER_WAIT_LIMIT: Duration = Duration::from_secs(36);
 /// A task that has run for longer than expected is expected to run for this part of its time more.
-const OVERTIME_SHARE: f64 = 0.25;
+const OVERTIME_REMAINING_FRACTION: f64 = 0.25;
 
 impl Job {
     /// Whether its tasks may run on a machine, as far as type, zone and price are concerned.
@@ -116,7 +116,7 @@
             .load
             .tasks()
             .iter()
-            .filter_map(|task| self.expected_rest_s(*task, capability))
+            .filter_map(|task| self.expected_remaining_s(*task, capability))
             .collect();
         ends_s.sort_by(f64::total_cmp);
         let awaited = pass.awaited_slots.get(&index).copied().unwrap_or(0) as usize;
@@ -124,13 +124,13 @@
     }
 
     /// For how long a task is expected to run on; none for a replica.
-    fn expected_rest_s(&self, task: TaskId, capability: f64) -> Option<f64> {
+    fn expected_remaining_s(&self, task: TaskId, capability: f64) -> Option<f64> {
         let job = self.jobs.get(task.job)?;
         let attempt = job.active.get(&task.number)?;
         if job.is_service() {
             return None;
         }
-        let spent_s = if attempt.phase == Phase::Running {
+        let elapsed_s = if attempt.phase == Phase::Running {
             whole_millis(self.elapsed_since(attempt.since)) as f64 / 1000.0
         } else {
             0.0
@@ -138,7 +138,7 @@
         let expected_s = job.expected_run_s() / capability;
         // Of what has run for longer than expected nothing says that it will end now: believed to end within a second, such
         // slots kept others waiting for them again and again.
-        let least_s = expected_s.max(spent_s) * OVERTIME_SHARE;
-        Some((expected_s - spent_s).max(least_s))
+        let min_remaining_s = expected_s.max(elapsed_s) * OVERTIME_REMAINING_FRACTION;
+        Some((expected_s - elapsed_s).max(min_remaining_s))
     }
 }
--- a/src/scheduler/capacity_pool.rs
+++ b/src/scheduler/capacity_pool.rs
@@ -64,7 +64,7 @@
     }
 
     /// The machines that are coming up.
-    pub(super) fn of_machines_coming_up(scheduler: &Scheduler) -> CapacityPool {
+    pub(super) fn of_booting_machines(scheduler: &Scheduler) -> CapacityPool {
         let machines = scheduler
             .machines()
             .filter(|(_, machine)| scheduler.is_booting(machine))
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -44,13 +44,13 @@
 
     /// How many of the tasks fit into a machine's free resources.
     #[must_use]
-    pub fn fitting(&self, free: Resources) -> u32 {
+    pub fn count_fitting(&self, free: Resources) -> u32 {
         self.task_resources.count_fitting(free)
     }
 
     /// What is left of a machine's free resources beside a number of the tasks.
     #[must_use]
-    pub fn rest(&self, free: Resources, tasks: u32) -> Resources {
+    pub fn free_after(&self, free: Resources, tasks: u32) -> Resources {
         free.saturating_sub(self.task_resources.saturating_mul(tasks))
     }
 }
@@ -60,7 +60,7 @@
     /// Machines that accept tasks.
     accepting: CapacityPool,
     /// Machines that are coming up.
-    coming_up: CapacityPool,
+    booting: CapacityPool,
     /// What each team may still use.
     quotas: AmountByTeam,
     smallest_request: Resources,
@@ -75,7 +75,7 @@
         let queue = self.queue();
         let mut forecast = Forecast {
             accepting: CapacityPool::of_accepting_machines(self),
-            coming_up: CapacityPool::of_machines_coming_up(self),
+            booting: CapacityPool::of_booting_machines(self),
             quotas: self.quotas.available_by_team(),
             smallest_request: self.smallest_request(&queue),
             unplaceable: UnplaceableRequests::default(),
@@ -119,7 +119,7 @@
         if left == 0 {
             return None;
         }
-        let zones = self.demanded_zones(self.job(index), &planned);
+        let zones = self.eligible_zones(self.job(index), &planned);
         if preempt {
             left -= self.preempt(
                 index,
@@ -141,7 +141,7 @@
     }
 
     /// The zones in which machines are of use for a job; none: any.
-    fn demanded_zones(&self, job: &Job, planned: &PlannedByZone) -> Option<Vec<ZoneIndex>> {
+    fn eligible_zones(&self, job: &Job, planned: &PlannedByZone) -> Option<Vec<ZoneIndex>> {
         if let Some(zone) = job.zone {
             return Some(vec![zone]);
         }
@@ -168,9 +168,9 @@
             return tasks;
         }
         let left = self.accepting.allocate(scheduler, job, tasks, planned);
-        let left = self.coming_up.allocate(scheduler, job, left, planned);
+        let left = self.booting.allocate(scheduler, job, left, planned);
         self.accepting.remove_full(self.smallest_request);
-        self.coming_up.remove_full(self.smallest_request);
+        self.booting.remove_full(self.smallest_request);
         if left > 0 && !job.has_zone_rule() {
             self.unplaceable.add(job);
         }
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -103,7 +103,7 @@
         let now = self.now();
         let job = self.job_mut(j);
         job.record_failure(machine, now);
-        if !job.is_proven(now) && job.failures.machine_count() >= ACQUITTING_MACHINES {
+        if !job.is_known_to_work(now) && job.failures.machine_count() >= ACQUITTING_MACHINES {
             self.acquit_machines(j);
             return;
         }
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -244,7 +244,7 @@
             tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name(), ?phase, held, age_ms, "task");
         }
         self.hold_image(machine, image);
-        self.apply_event(task, TaskEvent::Show(phase));
+        self.apply_event(task, TaskEvent::Report(phase));
     }
 
     /// A machine has fetched the image of a task: measures the fetch rate of its type.
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 
 /// A job that has failed on so many machines, and of which no task has finished, is taken for one with a mistake.
-const FAULTY_JOB_MACHINES: usize = 3;
+const FAULTY_JOB_MIN_MACHINES: usize = 3;
 /// A task that has run for so long is no mistake.
-const PROVEN_RUN: Duration = Duration::from_secs(30);
+const MIN_WORKING_RUN: Duration = Duration::from_secs(30);
 /// An unfinished job, or a cancelled one of which something may still run.
 pub struct Job {
     /// Its record.
@@ -203,13 +203,13 @@
 
     /// Whether it fails wherever it is tried: submitted with a mistake, it goes on failing until its user cancels it.
     pub(super) fn fails_everywhere(&self, now: Timestamp) -> bool {
-        self.failures.machine_count() >= FAULTY_JOB_MACHINES && !self.is_proven(now)
+        self.failures.machine_count() >= FAULTY_JOB_MIN_MACHINES && !self.is_known_to_work(now)
     }
 
     /// Whether a task of it has finished or has run for a while, so that what fails is the machine's fault.
-    pub(super) fn is_proven(&self, now: Timestamp) -> bool {
+    pub(super) fn is_known_to_work(&self, now: Timestamp) -> bool {
         let has_run = |attempt: &TaskAttempt| {
-            attempt.phase == Phase::Running && now > attempt.since + PROVEN_RUN
+            attempt.phase == Phase::Running && now > attempt.since + MIN_WORKING_RUN
         };
         self.done.count() > 0 || self.active.values().any(has_run)
     }
--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -6,30 +6,30 @@
 use std::time::Duration;
 
 /// The first pause between two tries of a job that fails everywhere; it doubles with each failure.
-const FIRST_RETRY_DELAY: Duration = Duration::from_secs(1);
+const BASE_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Longest pause between two tries of a job that fails everywhere.
-const LONGEST_RETRY_DELAY: Duration = Duration::from_mins(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_mins(1);
 /// Doublings of the pause after which it stays the same.
-const RETRY_DELAY_DOUBLINGS: u32 = 6;
+const MAX_RETRY_DELAY_DOUBLINGS: u32 = 6;
 
 /// Which tasks of a job to start next, without a list of them all.
 #[derive(Debug, Default)]
 pub(super) struct PendingTasks {
-    /// The tasks below have all been looked at; those of them that are pending again are in `returned`.
-    first_new: u32,
+    /// The tasks below have all been looked at; those of them that are pending again are in `requeued`.
+    next_new: u32,
     /// Tasks that were active and have to run again.
-    returned: BTreeSet<u32>,
+    requeued: BTreeSet<u32>,
 }
 
 impl PendingTasks {
-    /// Takes the next task of a job with a number of tasks: one that has returned, or the first new one that `is_new` confirms.
+    /// Takes the next task of a job with a number of tasks: one that has requeued, or the first new one that `is_new` confirms.
     pub(super) fn take_next(&mut self, tasks: u32, is_new: impl Fn(u32) -> bool) -> Option<u32> {
-        if let Some(number) = self.returned.pop_first() {
+        if let Some(number) = self.requeued.pop_first() {
             return Some(number);
         }
-        while self.first_new < tasks {
-            let number = self.first_new;
-            self.first_new += 1;
+        while self.next_new < tasks {
+            let number = self.next_new;
+            self.next_new += 1;
             if is_new(number) {
                 return Some(number);
             }
@@ -38,13 +38,13 @@
     }
 
     /// A task is no longer active, and not done.
-    pub(super) fn put_back(&mut self, number: u32) {
-        self.returned.insert(number);
+    pub(super) fn requeue(&mut self, number: u32) {
+        self.requeued.insert(number);
     }
 
     /// A task has finished.
     pub(super) fn remove(&mut self, number: u32) {
-        self.returned.remove(&number);
+        self.requeued.remove(&number);
     }
 }
 
@@ -92,8 +92,8 @@
 
     /// The pause before the next try of a job that fails everywhere.
     pub(super) fn retry_delay(&self) -> Duration {
-        let doublings = self.consecutive.min(RETRY_DELAY_DOUBLINGS);
-        (FIRST_RETRY_DELAY * (1 << doublings)).min(LONGEST_RETRY_DELAY)
+        let doublings = self.consecutive.min(MAX_RETRY_DELAY_DOUBLINGS);
+        (BASE_RETRY_DELAY * (1 << doublings)).min(MAX_RETRY_DELAY)
     }
 
     /// Whether a task of the job has failed on a machine.
--- a/src/scheduler/job_table.rs
+++ b/src/scheduler/job_table.rs
@@ -33,12 +33,12 @@
 pub(super) struct JobTable {
     jobs: Table<JobIndex, Option<Job>>,
     /// Indices of jobs that are gone, for new ones.
-    free: Vec<JobIndex>,
+    free_indices: Vec<JobIndex>,
     by_id: HashMap<String, JobIndex>,
     /// All jobs, the oldest submission first.
     by_submission: Vec<JobIndex>,
     /// Chunks with results that are not stored yet, and since when.
-    unsaved: BTreeMap<ChunkId, Timestamp>,
+    unsaved_since: BTreeMap<ChunkId, Timestamp>,
 }
 
 impl JobTable {
@@ -46,7 +46,10 @@
     pub(super) fn insert(&mut self, job: Job) -> JobIndex {
         let submitted_at = job.submitted_at;
         let id = job.id().to_string();
-        let index = self.free.pop().unwrap_or_else(|| self.jobs.push(None));
+        let index = self
+            .free_indices
+            .pop()
+            .unwrap_or_else(|| self.jobs.push(None));
         self.jobs[index] = Some(job);
         let position = self
             .by_submission
@@ -60,8 +63,8 @@
     pub(super) fn remove(&mut self, index: JobIndex) -> Option<Job> {
         let job = self.jobs[index].take()?;
         self.by_submission.retain(|other| *other != index);
-        self.free.push(index);
-        self.unsaved.retain(|chunk, _| chunk.job != index);
+        self.free_indices.push(index);
+        self.unsaved_since.retain(|chunk, _| chunk.job != index);
         self.by_id.remove(job.id());
         Some(job)
     }
@@ -119,14 +122,14 @@
             job: task.job,
             chunk: task.number / TASKS_PER_CHUNK,
         };
-        self.unsaved.entry(chunk).or_insert(now);
+        self.unsaved_since.entry(chunk).or_insert(now);
     }
 
     /// Results that are not stored yet, at most `max_chunks`, the oldest first. Those of complete jobs are left out: the jobs
     /// are made final as a whole.
-    pub(super) fn unsaved(&self, max_chunks: usize) -> Vec<DoneChunk> {
+    pub(super) fn unsaved_chunks(&self, max_chunks: usize) -> Vec<DoneChunk> {
         let mut oldest: Vec<(Timestamp, ChunkId)> = self
-            .unsaved
+            .unsaved_since
             .iter()
             .map(|(chunk, since)| (*since, *chunk))
             .collect();
@@ -163,26 +166,26 @@
             chunk: stored.chunk,
         };
         if all_saved {
-            self.unsaved.remove(&chunk);
+            self.unsaved_since.remove(&chunk);
         } else {
             // What has finished meanwhile takes its turn behind the others.
-            self.unsaved.insert(chunk, now);
+            self.unsaved_since.insert(chunk, now);
         }
     }
 }
 
-const PRESENT: &str = "indices of jobs are only kept while the job is present";
+const JOB_IS_PRESENT: &str = "indices of jobs are only kept while the job is present";
 
 impl Index<JobIndex> for JobTable {
     type Output = Job;
 
     fn index(&self, index: JobIndex) -> &Job {
-        self.jobs[index].as_ref().expect(PRESENT)
+        self.jobs[index].as_ref().expect(JOB_IS_PRESENT)
     }
 }
 
 impl IndexMut<JobIndex> for JobTable {
     fn index_mut(&mut self, index: JobIndex) -> &mut Job {
-        self.jobs[index].as_mut().expect(PRESENT)
+        self.jobs[index].as_mut().expect(JOB_IS_PRESENT)
     }
 }
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -95,7 +95,7 @@
     }
 
     /// A job is no longer unfinished: what runs of it is stopped, and counts until it is proven gone.
-    pub fn drop_job(&mut self, id: &str) {
+    pub fn stop_job(&mut self, id: &str) {
         if let Some(index) = self.jobs.index_of(id) {
             self.cancel(index);
         }
@@ -112,7 +112,7 @@
     }
 
     /// Removes cancelled jobs of which nothing can run any more. Those still listed in the store may be dropped there.
-    pub fn stopped_jobs(&mut self) -> Vec<String> {
+    pub fn remove_stopped_jobs(&mut self) -> Vec<String> {
         let mut ids = Vec::new();
         for index in self.jobs.stopped() {
             self.unplaced_production.retain(|other| *other != index);
@@ -142,12 +142,12 @@
 
     /// Results that are not stored yet, at most `max_chunks`, the oldest first.
     #[must_use]
-    pub fn unsaved(&self, max_chunks: usize) -> Vec<DoneChunk> {
-        self.jobs.unsaved(max_chunks)
+    pub fn unsaved_chunks(&self, max_chunks: usize) -> Vec<DoneChunk> {
+        self.jobs.unsaved_chunks(max_chunks)
     }
 
     /// Results are durable.
-    pub fn saved(&mut self, stored: &DoneChunk) {
+    pub fn record_saved(&mut self, stored: &DoneChunk) {
         let now = self.now();
         self.jobs.record_saved(stored, now);
     }
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -13,24 +13,24 @@
 use std::time::Duration;
 
 /// A start counts for its users if nothing stops the task within this time.
-const SETTLED_RUN: Duration = Duration::from_secs(30);
+const MIN_COUNTED_RUN: Duration = Duration::from_secs(30);
 
 /// Searches for tasks to preempt that found too few. The next job like it would find none.
 #[derive(Default)]
-pub(super) struct FailedPreemptions(Vec<Claim>);
+pub(super) struct FailedPreemptions(Vec<PreemptionKey>);
 
 /// What decides which tasks a job may preempt, beside its zones and types.
 #[derive(Debug, Clone, PartialEq)]
-struct Claim {
+struct PreemptionKey {
     priority: Priority,
     within_guarantee: bool,
     team: Option<TeamIndex>,
     task_resources: Resources,
 }
 
-impl Claim {
-    fn of(job: &Job) -> Claim {
-        Claim {
+impl PreemptionKey {
+    fn of(job: &Job) -> PreemptionKey {
+        PreemptionKey {
             priority: job.spec().priority,
             within_guarantee: job.within_guarantee,
             team: job.team,
@@ -57,10 +57,10 @@
     priority: Reverse<Priority>,
     preemptions: u32,
     /// Its start would not count any more.
-    unsettled: bool,
+    recently_started: bool,
     /// What comes free is of no use for the other job.
-    useless: bool,
-    lost: Duration,
+    unusable: bool,
+    lost_run: Duration,
     task: TaskId,
 }
 
@@ -96,21 +96,21 @@
         let job = self.job(index);
         let Some(team) = job.team else { return };
         let more = job.task_resources.quota().saturating_mul(tasks);
-        let mut missing = self.quotas.missing(team, more);
+        let mut shortfall = self.quotas.shortfall(team, more);
         let being_evicted = being_evicted.of(team);
-        let covered = missing.min(*being_evicted);
-        missing -= covered;
+        let covered = shortfall.min(*being_evicted);
+        shortfall -= covered;
         *being_evicted -= covered;
-        if missing == QuotaResources::ZERO {
+        if shortfall == QuotaResources::ZERO {
             return;
         }
         for victim in self.quota_victims(index, team) {
-            if missing == QuotaResources::ZERO {
+            if shortfall == QuotaResources::ZERO {
                 break;
             }
             let freed = self.job(victim.task.job).task_resources.quota();
-            self.stop_for(victim.task, index, "preempted for quota");
-            missing = missing.saturating_sub(freed);
+            self.preempt_task(victim.task, index, "preempted for quota");
+            shortfall = shortfall.saturating_sub(freed);
         }
     }
 
@@ -136,9 +136,9 @@
                 victims.push(QuotaVictim {
                     priority: Reverse(other.spec().priority),
                     preemptions: other.preemptions_of(number),
-                    unsettled: self.now() < attempt.since + SETTLED_RUN,
-                    useless: !usable,
-                    lost: if other.saves_checkpoints() {
+                    recently_started: self.now() < attempt.since + MIN_COUNTED_RUN,
+                    unusable: !usable,
+                    lost_run: if other.saves_checkpoints() {
                         Duration::ZERO
                     } else {
                         has_run
@@ -163,21 +163,21 @@
         planned: &mut PlannedByZone,
         failed: &mut FailedPreemptions,
     ) -> u32 {
-        let claim = Claim::of(self.job(index));
-        if failed.0.contains(&claim) {
+        let key = PreemptionKey::of(self.job(index));
+        if failed.0.contains(&key) {
             return 0;
         }
-        let mut won = 0;
+        let mut satisfied = 0;
         for machine in self.preemption_candidates(index) {
-            if won == tasks {
+            if satisfied == tasks {
                 break;
             }
-            won += self.preempt_on(machine, index, tasks - won, pool, planned);
+            satisfied += self.preempt_on(machine, index, tasks - satisfied, pool, planned);
         }
-        if won < tasks {
-            failed.0.push(claim);
+        if satisfied < tasks {
+            failed.0.push(key);
         }
-        won
+        satisfied
     }
 
     /// Machines on which a job might preempt others: holders of its image first, so that what is freed is used at once.
@@ -210,8 +210,8 @@
         let zone = self.machine(machine).zone();
         let task_resources = self.job(index).task_resources;
         let mut victims = self.victims_on(machine, index).into_iter();
-        let mut won = 0;
-        while won < tasks && planned.allowance(self.job(index), zone) > 0 {
+        let mut satisfied = 0;
+        while satisfied < tasks && planned.allowance(self.job(index), zone) > 0 {
             let mut free = pool.free(machine);
             let mut chosen = Vec::new();
             while !task_resources.fits(free) {
@@ -223,13 +223,13 @@
                 break;
             }
             for victim in chosen {
-                self.stop_for(victim.task, index, "preempted");
+                self.preempt_task(victim.task, index, "preempted");
             }
             pool.set_free(machine, free.saturating_sub(task_resources));
             planned.add(zone, 1);
-            won += 1;
+            satisfied += 1;
         }
-        won
+        satisfied
     }
 
     /// Tasks on a machine that a job may preempt, in the order in which they are stopped.
@@ -255,7 +255,7 @@
     }
 
     /// Stops a task to free resources for a job.
-    fn stop_for(&mut self, victim: TaskId, for_job: JobIndex, reason: &'static str) {
+    fn preempt_task(&mut self, victim: TaskId, for_job: JobIndex, reason: &'static str) {
         let job = self.job(victim.job);
         let save = job.saves_checkpoints();
         tracing::info!(job = %job.id(), task = victim.number, for_job = %self.job(for_job).id(), "{reason}");
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -72,7 +72,7 @@
 
     /// What a team would have to free to use `more` in addition. Where limits are lifted or lowered the team may be over its
     /// limit; then nothing of this helps.
-    pub(super) fn missing(&self, team: TeamIndex, more: QuotaResources) -> QuotaResources {
+    pub(super) fn shortfall(&self, team: TeamIndex, more: QuotaResources) -> QuotaResources {
         let TeamAccount { quota, in_use, .. } = &self.teams[team.0];
         in_use.saturating_add(more).saturating_sub(quota.limit)
     }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Most tasks of one job placed in one pass; the rest follows in the next one, milliseconds later.
-const PLACED_PER_PASS: u32 = 2000;
+const MAX_PLACED_PER_PASS: u32 = 2000;
 
 /// What a pass looks up once.
 pub(super) struct Pass {
@@ -25,7 +25,7 @@
 }
 
 /// How many tasks of a job are to be placed.
-struct Goal {
+struct PlacementGoal {
     tasks: u32,
     /// Others are left for the next pass.
     has_more: bool,
@@ -41,7 +41,7 @@
     }
 
     /// Asks for a new scheduling pass, since time has passed.
-    pub fn reconsider(&mut self) {
+    pub fn request_pass(&mut self) {
         self.pass_requested = true;
     }
 
@@ -129,7 +129,7 @@
             return;
         }
         if job.spec().single_zone && job.active_by_zone.values().all(|count| *count == 0) {
-            self.keep_roomiest_zone(&mut candidates);
+            self.keep_zone_with_most_slots(&mut candidates);
         }
         let request = self.placement_request(job, &goal, &candidates);
         let plan = placement::plan(candidates, request);
@@ -150,16 +150,16 @@
     }
 
     /// How many tasks of a job to place; none if there are none, or a gang that can't start now.
-    fn placement_goal(&self, job: &Job) -> Option<Goal> {
+    fn placement_goal(&self, job: &Job) -> Option<PlacementGoal> {
         let wanted = job.placeable(self.now()).min(self.quota_allowance(job));
         let tasks = if job.is_gang() {
             wanted
         } else {
-            wanted.min(PLACED_PER_PASS)
+            wanted.min(MAX_PLACED_PER_PASS)
         };
         // A gang starts whole or not at all: what is left of an earlier try must be gone first.
         let gang_blocked = job.is_gang() && (tasks < job.pending() || !job.active.is_empty());
-        (tasks > 0 && !gang_blocked).then_some(Goal {
+        (tasks > 0 && !gang_blocked).then_some(PlacementGoal {
             tasks,
             has_more: wanted > tasks,
         })
@@ -167,24 +167,26 @@
 
     /// Keeps the candidates of the zone with the most free slots. A job whose tasks stay together gets its zone with its first
     /// task.
-    fn keep_roomiest_zone(&self, candidates: &mut Vec<Candidate<MachineIndex>>) {
+    fn keep_zone_with_most_slots(&self, candidates: &mut Vec<Candidate<MachineIndex>>) {
         let mut slots: BTreeMap<ZoneIndex, u64> = BTreeMap::new();
         for candidate in candidates.iter() {
             let zone = self.machine(candidate.machine).zone();
             *slots.entry(zone).or_default() += u64::from(candidate.free_slots);
         }
-        let roomiest = slots
+        let zone_with_most_slots = slots
             .iter()
             .max_by_key(|(_, slots)| **slots)
             .map(|(zone, _)| *zone);
-        candidates.retain(|candidate| Some(self.machine(candidate.machine).zone()) == roomiest);
+        candidates.retain(|candidate| {
+            Some(self.machine(candidate.machine).zone()) == zone_with_most_slots
+        });
     }
 
     /// What `placement` has to know of a job.
     fn placement_request(
         &self,
         job: &Job,
-        goal: &Goal,
+        goal: &PlacementGoal,
         candidates: &[Candidate<MachineIndex>],
     ) -> Request {
         let machine_type = self.machine(candidates[0].machine).machine_type();
--- a/src/scheduler/start_log.rs
+++ b/src/scheduler/start_log.rs
@@ -230,7 +230,7 @@
         self.start_log.slots.insert(write.slot, slot);
         for entry in write.new_entries {
             if self.is_current(&entry) {
-                self.apply_event(entry.task, TaskEvent::Log);
+                self.apply_event(entry.task, TaskEvent::Logged);
             }
         }
     }
--- a/src/scheduler/task_events.rs
+++ b/src/scheduler/task_events.rs
@@ -44,7 +44,7 @@
             (Some(old), None) => {
                 job.active.remove(&task.number);
                 if !job.done.contains(task.number) {
-                    job.pending.put_back(task.number);
+                    job.pending.requeue(task.number);
                 }
                 self.free(task, old.machine);
             }
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -232,7 +232,7 @@
     /// Moves the clock and runs a round of the leader: a scheduling pass whose starts are durable.
     pub(super) fn run_round(&mut self, now: u64) {
         self.scheduler.tick(now);
-        self.scheduler.reconsider();
+        self.scheduler.request_pass();
         self.scheduler.place();
         self.write_start_log();
     }
--- a/src/scheduler/tests/direct_commands.rs
+++ b/src/scheduler/tests/direct_commands.rs
@@ -93,7 +93,7 @@
     let got = starts(&sent[0].commands);
     let line = |state, reason| [(got[0].0.as_str(), got[0].1, state, reason)];
     cluster.respond(&sent[0], &line(TaskState::Running, None));
-    cluster.scheduler.drop_job("wk-1");
+    cluster.scheduler.stop_job("wk-1");
     let r = cluster.report(
         "n-1",
         first_token(EPOCH),
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -8,7 +8,7 @@
     cluster.add_machine("n-1", "a");
     for (n, id) in ["wk-1", "wk-2"].into_iter().enumerate() {
         cluster.submit(spec(id, 1), 101 + n as u64);
-        cluster.scheduler.reconsider();
+        cluster.scheduler.request_pass();
         let now = 1000 + n as u64 * 6_000;
         cluster.scheduler.tick(now);
         let mut got = starts(&cluster.heartbeat("n-1", &[]));
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -82,7 +82,7 @@
         running.extend(more);
     }
     cluster.heartbeat("n-1", &as_running(&running));
-    cluster.scheduler.drop_job("wk-1");
+    cluster.scheduler.stop_job("wk-1");
     let mut stopped = Vec::new();
     while let Some(sent) = cluster.scheduler.direct_commands(9).pop() {
         assert!(sent.commands.len() <= 300);
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -97,14 +97,14 @@
         true,
     );
     cluster.replay(&[("n-1", "wk-1/0", 7)]);
-    assert!(cluster.scheduler.stopped_jobs().is_empty());
+    assert!(cluster.scheduler.remove_stopped_jobs().is_empty());
     assert_eq!(
         stops(&cluster.heartbeat("n-1", &[("wk-1/0", 7, TaskState::Running, None)])),
         1
     );
-    assert!(cluster.scheduler.stopped_jobs().is_empty());
+    assert!(cluster.scheduler.remove_stopped_jobs().is_empty());
     cluster.heartbeat("n-1", &[]);
-    assert_eq!(cluster.scheduler.stopped_jobs().len(), 1);
+    assert_eq!(cluster.scheduler.remove_stopped_jobs().len(), 1);
 }
 
 #[test]
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -18,7 +18,7 @@
     let line = [(running.0.as_str(), running.1, TaskState::Running, None)];
     cluster.heartbeat("n-9", &line);
     // Cancelled work counts until it is proven gone.
-    cluster.scheduler.drop_job("wk-2");
+    cluster.scheduler.stop_job("wk-2");
     cluster.submit(spec("wk-3", 4), 102);
     cluster.run_round(1600);
     let commands = cluster.heartbeat("n-9", &line);
@@ -33,9 +33,9 @@
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
     let got = starts(&cluster.heartbeat("n-1", &[]));
-    cluster.scheduler.drop_job("wk-1");
+    cluster.scheduler.stop_job("wk-1");
     // The start was in flight when its user cancelled: it is stopped once it shows.
-    assert!(cluster.scheduler.stopped_jobs().is_empty());
+    assert!(cluster.scheduler.remove_stopped_jobs().is_empty());
     assert_eq!(
         stops(&cluster.heartbeat("n-1", &[("wk-1/0", got[0].1, TaskState::Fetching, None)])),
         1
@@ -49,7 +49,10 @@
             Some(ExitReason::Stopped),
         )],
     );
-    assert_eq!(cluster.scheduler.stopped_jobs(), vec!["wk-1".to_string()]);
+    assert_eq!(
+        cluster.scheduler.remove_stopped_jobs(),
+        vec!["wk-1".to_string()]
+    );
     assert!(starts(&cluster.heartbeat("n-1", &[])).is_empty());
 }
 
@@ -216,7 +219,7 @@
             ),
             None => cluster.heartbeat("n-1", &[]),
         };
-        cluster.scheduler.reconsider();
+        cluster.scheduler.request_pass();
         let got = starts(&cluster.heartbeat("n-1", &[]));
         begun = got.iter().any(|g| g.0.starts_with("wk-1/")).then_some(now);
         running = got.into_iter().next();
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -99,14 +99,14 @@
             .copied()
             .collect();
         cluster.heartbeat("n-1", &kept);
-        cluster.scheduler.drop_job(&id);
-        cluster.scheduler.stopped_jobs();
+        cluster.scheduler.stop_job(&id);
+        cluster.scheduler.remove_stopped_jobs();
         let back = starts(&cluster.heartbeat("n-1", &kept));
         let kept: Vec<(String, u64)> = kept.iter().map(|k| (k.0.to_string(), k.1)).collect();
         got = kept.into_iter().chain(back).collect();
         if got.len() < 4 {
             let lines = as_running(&got);
-            cluster.scheduler.reconsider();
+            cluster.scheduler.request_pass();
             let more = starts(&cluster.heartbeat("n-1", &lines));
             got.extend(more);
         }
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -11,7 +11,7 @@
     cluster.submit(spec("wk-1", 1), 50);
     cluster.replay(&[("n-1", "wk-1/0", 7)]);
     cluster.heartbeat("n-9", &[]);
-    cluster.scheduler.reconsider();
+    cluster.scheduler.request_pass();
     assert!(starts(&cluster.heartbeat("n-9", &[])).is_empty());
     cluster.scheduler.machine_gone("n-1");
     assert_eq!(starts(&cluster.heartbeat("n-9", &[])).len(), 1);
@@ -74,9 +74,9 @@
     let run = |i: usize| (got[i].0.as_str(), got[i].1, TaskState::Running, None);
     assert!(cluster.heartbeat("n-1", &[done(0), run(1)]).is_empty());
     assert!(cluster.scheduler.complete_jobs().is_empty());
-    let rows = cluster.scheduler.unsaved(9);
+    let rows = cluster.scheduler.unsaved_chunks(9);
     assert_eq!(rows.len(), 1);
-    cluster.scheduler.saved(&rows[0]);
+    cluster.scheduler.record_saved(&rows[0]);
     let commands = cluster.heartbeat("n-1", &[done(0), run(1)]);
     assert!(matches!(commands[..], [Command::Forget { .. }]));
     assert!(cluster.scheduler.complete_jobs().is_empty());
@@ -184,7 +184,7 @@
         .scheduler
         .handle_heartbeat(&r, HeartbeatSource::DirectResponse);
     cluster.submit(spec("wk-1", 1), 101);
-    cluster.scheduler.reconsider();
+    cluster.scheduler.request_pass();
     cluster.scheduler.place();
     cluster.write_start_log();
     let sent = cluster.scheduler.direct_commands(9);
--- a/src/scheduler/tests/responsiveness.rs
+++ b/src/scheduler/tests/responsiveness.rs
@@ -104,7 +104,7 @@
         .set_machine_state(i, MachineState::Releasing, "silent");
     cluster.add_machine("n-2", "a");
     cluster.scheduler.machine_gone("n-1");
-    cluster.scheduler.reconsider();
+    cluster.scheduler.request_pass();
     assert_eq!(starts(&cluster.heartbeat("n-2", &[])).len(), 1);
 }
 
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -97,7 +97,7 @@
     assert_eq!(append.jobs, vec![logged("wk-1", 101), logged("wk-2", 102)]);
     // Another node has confirmed the cancellation of one, which this one's replica does not show yet: the write is refused,
     // and says why.
-    cluster.scheduler.drop_job("wk-1");
+    cluster.scheduler.stop_job("wk-1");
     cluster.scheduler.log_write_failed(append, None);
     let again = cluster.scheduler.next_log_write(8000, 60).unwrap();
     assert_eq!(again.jobs, vec![logged("wk-2", 102)]);
--- a/src/scheduler/utilization.rs
+++ b/src/scheduler/utilization.rs
@@ -14,13 +14,13 @@
     /// The offer that it was rented from.
     pub offer: Offer,
     /// Since when it is known.
-    pub since: u64,
+    pub known_since_ms: u64,
     /// All its CPUs in thousandths.
-    pub cpus: u64,
+    pub cpu_milli: u64,
     /// CPUs in use in thousandths.
-    pub used: u64,
+    pub used_cpu_milli: u64,
     /// CPUs in use by services in thousandths.
-    pub services: u64,
+    pub service_cpu_milli: u64,
 }
 
 impl Scheduler {
@@ -41,7 +41,7 @@
 
     /// CPUs in thousandths of ordinary machines that are coming up, by zone.
     #[must_use]
-    pub fn coming_up(&self) -> HashMap<ZoneIndex, u64> {
+    pub fn booting_cpu_milli(&self) -> HashMap<ZoneIndex, u64> {
         let mut by_zone = HashMap::new();
         for (_, machine) in self.machines() {
             if !machine.is_spot() && self.is_booting(machine) {
@@ -57,30 +57,30 @@
         self.machines()
             .filter(|(_, machine)| machine.is_available())
             .map(|(index, machine)| {
-                let cpus = self
+                let cpu_milli = self
                     .machine_types
                     .capacity(machine.machine_type())
                     .cpu_milli;
                 Utilization {
                     machine: index,
                     offer: machine.offer(),
-                    since: machine.boot.known_since().as_millis(),
-                    cpus,
-                    used: cpus.saturating_sub(machine.load.free().cpu_milli),
-                    services: machine.load.service_cpu_milli(),
+                    known_since_ms: machine.boot.known_since().as_millis(),
+                    cpu_milli,
+                    used_cpu_milli: cpu_milli.saturating_sub(machine.load.free().cpu_milli),
+                    service_cpu_milli: machine.load.service_cpu_milli(),
                 }
             })
             .collect()
     }
 
     /// Takes a machine out of use because there is more than is needed.
-    pub fn spare_machine(&mut self, index: MachineIndex) {
+    pub fn drain_surplus_machine(&mut self, index: MachineIndex) {
         self.set_machine_state(index, MachineState::Draining, "surplus");
         self.machine_mut(index).eviction.set_surplus(true);
     }
 
     /// Takes surplus machines back into use.
-    pub fn use_surplus(&mut self) {
+    pub fn restore_surplus_machines(&mut self) {
         let usable =
             |machine: &Machine| machine.drains_as_surplus() && !machine.eviction.has_notice();
         for index in self.machines.indices() {
@@ -92,12 +92,12 @@
     }
 
     /// Moves one replica off a surplus machine on which nothing else is left, if a holder of its image has enough free.
-    pub fn move_replica(&mut self) {
+    pub fn move_surplus_replica(&mut self) {
         let movable = self
             .machines()
             .filter(|(_, machine)| machine.drains_as_surplus())
-            .filter_map(|(_, machine)| Some((machine, self.first_of_replicas(machine)?)))
-            .find(|(machine, task)| self.has_other_host(*task, machine))
+            .filter_map(|(_, machine)| Some((machine, self.first_task_if_all_replicas(machine)?)))
+            .find(|(machine, task)| self.can_run_elsewhere(*task, machine))
             .map(|(_, task)| task);
         if let Some(task) = movable {
             self.apply_event(task, TaskEvent::Stop { save: false });
@@ -105,7 +105,7 @@
     }
 
     /// The first task of a machine with only replicas.
-    fn first_of_replicas(&self, machine: &Machine) -> Option<TaskId> {
+    fn first_task_if_all_replicas(&self, machine: &Machine) -> Option<TaskId> {
         let only_replicas = machine
             .load
             .tasks()
@@ -120,7 +120,7 @@
     }
 
     /// Whether a task could run on another machine, without fetching its image and within its zone rules.
-    fn has_other_host(&self, task: TaskId, current: &Machine) -> bool {
+    fn can_run_elsewhere(&self, task: TaskId, current: &Machine) -> bool {
         let job = self.job(task.job);
         self.machines().any(|(_, machine)| {
             let zone_allowed = machine.zone() == current.zone() || !job.has_zone_rule();
