--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -47,10 +47,7 @@
         demands: &[UnmetDemand],
         now: Timestamp,
     ) -> DemandSample {
-        let used: u64 = utilization
-            .iter()
-            .map(|machine| machine.used_cpu_milli)
-            .sum();
+        let used: u64 = utilization.iter().map(|machine| machine.used_cpus).sum();
         let unmet: u64 = demands
             .iter()
             .map(|demand| demand.task_resources.cpu_milli * u64::from(demand.tasks))
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -189,9 +189,9 @@
     for machine in scheduler.utilization() {
         let [machines, cpus, used, services] = by_offer.entry(machine.offer).or_default();
         *machines += 1;
-        *cpus += machine.cpu_milli;
-        *used += machine.used_cpu_milli;
-        *services += machine.service_cpu_milli;
+        *cpus += machine.cpus;
+        *used += machine.used_cpus;
+        *services += machine.service_cpus;
     }
     tracing::debug!(pending, wanted, machines_cpus_used_services = ?by_offer, "look ahead");
 }
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -48,11 +48,11 @@
         let (mut ordinary_cpus, mut ordinary_free) = (CpusByZone::new(), CpusByZone::new());
         for machine in utilization.iter().filter(|machine| !machine.offer.spot) {
             let zone = machine.offer.zone;
-            *ordinary_free.entry(zone).or_default() += machine.cpu_milli - machine.used_cpu_milli;
-            *ordinary_cpus.entry(zone).or_default() += machine.cpu_milli;
+            *ordinary_free.entry(zone).or_default() += machine.cpus - machine.used_cpus;
+            *ordinary_cpus.entry(zone).or_default() += machine.cpus;
         }
         SpareCapacity {
-            cpus: utilization.iter().map(|machine| machine.cpu_milli).sum(),
+            cpus: utilization.iter().map(|machine| machine.cpus).sum(),
             peak: history.peak(),
             ordinary_cpus,
             zone_peaks: history.zone_peaks(),
@@ -74,9 +74,7 @@
         utilization
             .iter()
             .filter(|machine| now > known_since(machine) + window)
-            .filter(|machine| {
-                machine.service_cpu_milli * SURPLUS_CPUS_PER_SERVICE_CPU <= machine.cpu_milli
-            })
+            .filter(|machine| machine.service_cpus * SURPLUS_CPUS_PER_SERVICE_CPU <= machine.cpus)
             .filter(|machine| self.is_enough_without(machine))
             .max_by(|a, b| idle_price(a).total_cmp(&idle_price(b)))
             .map(|machine| machine.machine)
@@ -85,14 +83,14 @@
     /// Whether the other machines cover the peak and, if this one is an ordinary machine, what services need in its zone.
     fn is_enough_without(&self, machine: &Utilization) -> bool {
         let Offer { zone, spot, .. } = machine.offer;
-        if self.cpus - machine.cpu_milli < self.peak {
+        if self.cpus - machine.cpus < self.peak {
             return false;
         }
         if spot {
             return true;
         }
-        let others_in_zone = cpus_in(&self.ordinary_cpus, zone) - machine.cpu_milli;
-        let kept_free = cpus_in(&self.reserves, zone) + machine.cpu_milli;
+        let others_in_zone = cpus_in(&self.ordinary_cpus, zone) - machine.cpus;
+        let kept_free = cpus_in(&self.reserves, zone) + machine.cpus;
         others_in_zone >= cpus_in(&self.zone_peaks, zone)
             && cpus_in(&self.ordinary_free, zone) >= kept_free
     }
@@ -101,7 +99,7 @@
 /// What is paid in an hour for the part of a machine that is not used.
 fn idle_price(scheduler: &Scheduler, machine: &Utilization) -> f64 {
     let machine_type = scheduler.machine_type(machine.offer.machine_type);
-    let used = machine.used_cpu_milli as f64 / machine.cpu_milli.max(1) as f64;
+    let used = machine.used_cpus as f64 / machine.cpus.max(1) as f64;
     hourly_price(machine_type, machine.offer.spot) * (1.0 - used)
 }
 
@@ -170,10 +168,9 @@
     fn new(scheduler: &Scheduler, reserves: &'a CpusByZone) -> FreeCapacity<'a> {
         let (mut free, mut machine_cpus) = (CpusByZone::new(), HashMap::new());
         for machine in scheduler.utilization() {
-            machine_cpus.insert(machine.machine, machine.cpu_milli);
+            machine_cpus.insert(machine.machine, machine.cpus);
             if !machine.offer.spot {
-                *free.entry(machine.offer.zone).or_default() +=
-                    machine.cpu_milli - machine.used_cpu_milli;
+                *free.entry(machine.offer.zone).or_default() += machine.cpus - machine.used_cpus;
             }
         }
         FreeCapacity {
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -165,7 +165,7 @@
     now: Timestamp,
 ) -> Vec<RentalRequest> {
     let utilization = scheduler.utilization();
-    let coming_up = scheduler.booting_cpu_milli();
+    let coming_up = scheduler.booting_cpus();
     let unreachable = scheduler.unreachable_zones();
     let mut requests = Vec::new();
     for (&zone, reserve) in reserves {
@@ -186,7 +186,7 @@
     utilization
         .iter()
         .filter(|machine| !machine.offer.spot && machine.offer.zone == zone)
-        .map(|machine| machine.cpu_milli - machine.used_cpu_milli)
+        .map(|machine| machine.cpus - machine.used_cpus)
         .sum()
 }
 
--- a/src/scheduler/utilization.rs
+++ b/src/scheduler/utilization.rs
@@ -1,4 +1,4 @@
-//! How much of the machines is used, for the autoscaler, and machines that are more than is needed.
+//! CPU utilization of the machines, for the autoscaler, and the draining of surplus machines.
 
 use super::attempt::{TaskEvent, TaskId};
 use super::index::{MachineIndex, ZoneIndex};
@@ -6,25 +6,25 @@
 use super::Scheduler;
 use std::collections::HashMap;
 
-/// How much of a machine is used.
+/// CPU utilization of a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct Utilization {
-    /// Index.
+    /// Index of the machine.
     pub machine: MachineIndex,
-    /// The offer that it was rented from.
+    /// The offer under which the machine was rented.
     pub offer: Offer,
-    /// Since when it is known.
+    /// When the machine became known, in milliseconds of the scheduler's clock.
     pub known_since_ms: u64,
-    /// All its CPUs in thousandths.
-    pub cpu_milli: u64,
-    /// CPUs in use in thousandths.
-    pub used_cpu_milli: u64,
-    /// CPUs in use by services in thousandths.
-    pub service_cpu_milli: u64,
+    /// CPUs of the machine, in thousandths.
+    pub cpus: u64,
+    /// CPUs in use, in thousandths.
+    pub used_cpus: u64,
+    /// CPUs in use by services, in thousandths.
+    pub service_cpus: u64,
 }
 
 impl Scheduler {
-    /// CPUs in thousandths that the services of all unfinished jobs ask for, and those that they hold in each zone.
+    /// Returns the CPUs, in thousandths, that all services request, and those that their active replicas hold in each zone.
     #[must_use]
     pub fn service_demand(&self) -> (u64, HashMap<ZoneIndex, u64>) {
         let mut demanded = 0;
@@ -39,9 +39,9 @@
         (demanded, held)
     }
 
-    /// CPUs in thousandths of ordinary machines that are coming up, by zone.
+    /// Returns the free CPUs, in thousandths, of ordinary (not spot) machines that are booting, by zone.
     #[must_use]
-    pub fn booting_cpu_milli(&self) -> HashMap<ZoneIndex, u64> {
+    pub fn booting_cpus(&self) -> HashMap<ZoneIndex, u64> {
         let mut by_zone = HashMap::new();
         for (_, machine) in self.machines() {
             if !machine.is_spot() && self.is_booting(machine) {
@@ -51,13 +51,13 @@
         by_zone
     }
 
-    /// The utilization of the machines that take tasks.
+    /// Returns the utilization of the available machines.
     #[must_use]
     pub fn utilization(&self) -> Vec<Utilization> {
         self.machines()
             .filter(|(_, machine)| machine.is_available())
             .map(|(index, machine)| {
-                let cpu_milli = self
+                let cpus = self
                     .machine_types
                     .capacity(machine.machine_type())
                     .cpu_milli;
@@ -65,21 +65,21 @@
                     machine: index,
                     offer: machine.offer(),
                     known_since_ms: machine.boot.known_since().as_millis(),
-                    cpu_milli,
-                    used_cpu_milli: cpu_milli.saturating_sub(machine.load.free().cpu_milli),
-                    service_cpu_milli: machine.load.service_cpu_milli(),
+                    cpus,
+                    used_cpus: cpus.saturating_sub(machine.load.free().cpu_milli),
+                    service_cpus: machine.load.service_cpu_milli(),
                 }
             })
             .collect()
     }
 
-    /// Takes a machine out of use because there is more than is needed.
+    /// Starts to drain a machine that is surplus: it gets no new tasks until it is released or restored.
     pub fn drain_surplus_machine(&mut self, index: MachineIndex) {
         self.set_machine_state(index, MachineState::Draining, "surplus");
         self.machine_mut(index).eviction.set_surplus(true);
     }
 
-    /// Takes surplus machines back into use.
+    /// Lets draining surplus machines accept tasks again, except those with an eviction notice.
     pub fn restore_surplus_machines(&mut self) {
         let usable =
             |machine: &Machine| machine.drains_as_surplus() && !machine.eviction.has_notice();
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Moves one replica off a surplus machine on which nothing else is left, if a holder of its image has enough free.
+    /// Stops one replica on a surplus machine that has only replicas left, if another machine that holds its image has enough
+    /// free resources, so that it is placed there.
     pub fn move_surplus_replica(&mut self) {
         let movable = self
             .machines()
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The first task of a machine with only replicas.
+    /// Returns the first task of a machine if all its tasks are replicas.
     fn first_task_if_all_replicas(&self, machine: &Machine) -> Option<TaskId> {
         let only_replicas = machine
             .load
@@ -119,7 +120,8 @@
             .filter(|_| only_replicas)
     }
 
-    /// Whether a task could run on another machine, without fetching its image and within its zone rules.
+    /// Reports whether a task could run on another machine that holds its image. If the job has a zone rule, only machines in
+    /// the current zone count.
     fn can_run_elsewhere(&self, task: TaskId, current: &Machine) -> bool {
         let job = self.job(task.job);
         self.machines().any(|(_, machine)| {
