--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -1,4 +1,4 @@
-//! An unfinished job: which of its tasks are done, which are pending, and which are or may be on a machine.
+//! The state of one unfinished job: its done and pending tasks, and the active ones, which are or may be on a machine.
 
 use super::attempt::{Phase, TaskAttempt};
 use super::index::{ImageIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
@@ -13,52 +13,54 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// A job that has failed on so many machines, and of which no task has finished, is taken for one with a mistake.
+/// Number of machines on which a job must have failed to be considered faulty itself, unless it is known to work.
 const FAULTY_JOB_MIN_MACHINES: usize = 3;
-/// A task that has run for so long is no mistake.
+/// A task that has been running for longer than this shows that its job works.
 const MIN_WORKING_RUN: Duration = Duration::from_secs(30);
-/// An unfinished job, or a cancelled one of which something may still run.
+
+/// An unfinished job, or a cancelled job with tasks that may still be running.
 pub struct Job {
-    /// Its record.
+    /// The job's record in the store.
     pub record: LiveRecord,
-    /// The version of its record.
+    /// Version of the job's record.
     pub(super) version: Revision,
     pub(super) submitted_at: Timestamp,
+    /// The job's team, or none if the settings do not name it: tasks of such a job are not placed.
     pub(super) team: Option<TeamIndex>,
     pub(super) image: ImageIndex,
-    /// The resource class in which machines are measured for it.
+    /// Resource class whose measured machine capability applies to the job.
     pub(super) class: ResourceClass,
-    /// What one task takes.
+    /// Resources of one task.
     pub(super) task_resources: Resources,
-    /// Allowed machine types; none: any.
+    /// Allowed machine types; `None` allows any.
     pub(super) machine_types: Option<Vec<MachineTypeIndex>>,
-    /// The zone that it has to be in; none: any.
+    /// Required zone; `None` allows any.
     pub(super) zone: Option<ZoneIndex>,
-    /// Cancelled: only to be stopped.
+    /// Whether the job is cancelled: its active tasks are being stopped and none is placed.
     pub(super) cancelled: bool,
     /// Tasks that have finished.
     pub(super) done: TaskBitmap,
-    /// Tasks whose result is durable.
+    /// Finished tasks whose result is stored durably.
     pub(super) saved: TaskBitmap,
-    /// Tasks that are or may be on a machine.
+    /// Tasks that are or may be on a machine, by their number.
     pub(super) active: BTreeMap<u32, TaskAttempt>,
     pub(super) pending: PendingTasks,
     pub(super) active_by_zone: HashMap<ZoneIndex, u32>,
-    /// How many of the active tasks run or save.
+    /// Number of active tasks that are running or being stopped.
     pub(super) running: u32,
     pub(super) run_times: RunTimes,
     pub(super) failures: Failures,
-    /// Nothing of it is placed before.
+    /// No task of the job is placed before this time.
     pub(super) retry_at: Timestamp,
-    /// When a task of it last found a place, or it became known here.
+    /// When a task of the job was last assigned to a machine; until then, when the job was added to the scheduler.
     pub(super) last_placed_at: Timestamp,
-    /// Whether its team's guarantee covers it, as of the last look at the queue.
+    /// Whether the team's guarantee covers the job, as of the last computation of the queue.
     pub(super) within_guarantee: bool,
-    /// How often each task was stopped to make room for others.
+    /// How often each task was preempted.
     pub(super) preemptions: BTreeMap<u32, u32>,
 }
 
-/// What a job is made of beside its record.
+/// The placement constraints of a job, with the names of its specification resolved.
 pub(super) struct JobPlacement {
     pub(super) team: Option<TeamIndex>,
     pub(super) image: ImageIndex,
@@ -69,7 +71,7 @@
 }
 
 impl Job {
-    /// A job of which nothing is known but its record and its stored results.
+    /// Returns a job without active tasks; `results` are the finished tasks that the store records.
     pub(super) fn new(
         record: LiveRecord,
         version: Revision,
@@ -104,32 +106,32 @@
         }
     }
 
-    /// What its user asked for.
+    /// Returns the specification that the user submitted.
     pub(super) fn spec(&self) -> &JobSpec {
         &self.record.spec
     }
 
-    /// Its id.
+    /// Returns the job's id.
     pub(super) fn id(&self) -> &str {
         &self.record.spec.id
     }
 
-    /// The number of its tasks.
+    /// Returns the number of tasks of the job.
     pub(super) fn tasks(&self) -> u32 {
         self.record.spec.tasks
     }
 
-    /// How many of its tasks have not finished.
+    /// Returns the number of tasks that have not finished.
     pub(super) fn unfinished(&self) -> u32 {
         self.tasks() - self.done.count()
     }
 
-    /// Whether all its tasks have finished.
+    /// Reports whether all tasks have finished.
     pub(super) fn is_complete(&self) -> bool {
         self.done.count() == self.tasks()
     }
 
-    /// Tasks that are neither done nor on a machine.
+    /// Returns the number of tasks that are neither done nor active; 0 for a cancelled job.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -142,12 +144,12 @@
         self.unfinished() - self.active.len() as u32
     }
 
-    /// Whether its tasks start together or not at all.
+    /// Reports whether the job is a gang: its tasks start together or not at all.
     pub(super) fn is_gang(&self) -> bool {
         self.spec().kind == JobKind::Gang
     }
 
-    /// CPUs that one of its tasks takes as a replica of a service, in thousandths; 0 for other tasks.
+    /// Returns the CPUs of one replica in thousandths if the job is a service, otherwise 0.
     pub(super) fn service_cpu_milli(&self) -> u64 {
         if self.is_service() {
             self.task_resources.cpu_milli
@@ -156,32 +158,33 @@
         }
     }
 
-    /// Whether its tasks are replicas that never end.
+    /// Reports whether the job is a service: its tasks are replicas that run until they are stopped.
     pub(super) fn is_service(&self) -> bool {
         self.spec().kind == JobKind::Service
     }
 
-    /// Whether it is of the highest priority.
+    /// Reports whether the job has the highest priority.
     pub(super) fn is_production(&self) -> bool {
         self.spec().priority == Priority::Production
     }
 
-    /// Whether its tasks save their progress when they are stopped with time to do so.
+    /// Reports whether the job's tasks write a checkpoint when they are given time to stop.
     pub(super) fn saves_checkpoints(&self) -> bool {
         self.spec().checkpoint_interval_s > 0.0
     }
 
-    /// Whether the number of its tasks in a zone is limited.
+    /// Reports whether a zone rule limits how many tasks of the job may be in one zone.
     pub(super) fn has_zone_rule(&self) -> bool {
         self.spec().spread_zones || self.spec().single_zone
     }
 
-    /// Its tasks that are or may be on machines of a zone.
+    /// Returns the number of active tasks in a zone.
     pub(super) fn active_in(&self, zone: ZoneIndex) -> u32 {
         self.active_by_zone.get(&zone).copied().unwrap_or(0)
     }
 
-    /// How many more tasks its zone rules allow in a zone.
+    /// Returns how many more tasks the job's zone rules allow in a zone. A job spread over zones may have at most half of its
+    /// tasks in one, rounded up.
     pub(super) fn zone_allowance(&self, zone: ZoneIndex) -> u32 {
         let elsewhere = |(other, count): (&ZoneIndex, &u32)| *count > 0 && *other != zone;
         if self.spec().single_zone && self.active_by_zone.iter().any(elsewhere) {
@@ -196,17 +199,19 @@
         u32::MAX
     }
 
-    /// How often a task was stopped to make room for others.
+    /// Returns how often a task was preempted.
     pub(super) fn preemptions_of(&self, number: u32) -> u32 {
         self.preemptions.get(&number).copied().unwrap_or(0)
     }
 
-    /// Whether it fails wherever it is tried: submitted with a mistake, it goes on failing until its user cancels it.
+    /// Reports whether the job is faulty: it has failed on several machines and is not known to work, so it will probably
+    /// fail until its user cancels it.
     pub(super) fn fails_everywhere(&self, now: Timestamp) -> bool {
         self.failures.machine_count() >= FAULTY_JOB_MIN_MACHINES && !self.is_known_to_work(now)
     }
 
-    /// Whether a task of it has finished or has run for a while, so that what fails is the machine's fault.
+    /// Reports whether a task has finished or has been running for a while, so that failures are attributed to machines
+    /// rather than to the job.
     pub(super) fn is_known_to_work(&self, now: Timestamp) -> bool {
         let has_run = |attempt: &TaskAttempt| {
             attempt.phase == Phase::Running && now > attempt.since + MIN_WORKING_RUN
@@ -214,8 +219,8 @@
         self.done.count() > 0 || self.active.values().any(has_run)
     }
 
-    /// Tasks that should find a place now: of a job that fails everywhere one at a time, so that it neither takes the room
-    /// of others nor has machines rented.
+    /// Returns how many tasks may be placed now. A job that fails everywhere, other than a gang, is limited to one active task
+    /// at a time, so that it neither takes resources from other jobs nor causes machines to be rented.
     pub(super) fn placeable(&self, now: Timestamp) -> u32 {
         let pending = self.pending();
         if !self.is_gang() && self.fails_everywhere(now) {
@@ -228,16 +233,17 @@
         pending
     }
 
-    /// Takes the next pending task, which is to become active.
+    /// Removes and returns the next pending task; the caller makes it active.
     pub(super) fn take_pending(&mut self) -> Option<u32> {
         let (tasks, done, active) = (self.record.spec.tasks, &self.done, &self.active);
         let is_new = |number| !done.contains(number) && !active.contains_key(&number);
         self.pending.take_next(tasks, is_new)
     }
 
-    /// Expected task time on a machine with capability 1, in seconds. A replica has none that could be shorter elsewhere:
-    /// only when it can start counts. Taken for very long, a hundredth in capability outweighed every transfer, and replicas
-    /// waited for places on full machines while others had room.
+    /// Returns the expected run time of a task on a machine with capability 1, in seconds: the mean of the finished tasks,
+    /// or the user's estimate until one has finished. It is 0 for a replica, for which only the time of its start matters:
+    /// with a very long run time, a difference of 1 % in capability outweighed any image transfer, and replicas waited for
+    /// slots on full machines while others had free resources.
     pub(super) fn expected_run_s(&self) -> f64 {
         match self.spec().kind {
             JobKind::Service => 0.0,
@@ -248,14 +254,14 @@
         }
     }
 
-    /// A task has finished.
+    /// Records that a task has finished.
     pub(super) fn record_result(&mut self, number: u32) {
         self.done.insert(number);
         self.pending.remove(number);
         self.failures.record_success();
     }
 
-    /// A task has failed on a machine. If the job fails everywhere, it is tried again only after a pause.
+    /// Records that a task has failed on a machine. If the job fails everywhere, its next attempt is delayed.
     pub(super) fn record_failure(&mut self, machine: MachineIndex, now: Timestamp) {
         self.failures.record(machine);
         if self.fails_everywhere(now) {
