--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: how they become known, are cancelled, and end.
+//! The life cycle of jobs in the scheduler: adding, stopping and removing them, and saving their results.
 
 use super::attempt::{TaskEvent, TaskId};
 use super::index::{JobIndex, MachineTypeIndex};
@@ -12,29 +12,29 @@
 use crate::store::{LiveRecord, Revision};
 use std::time::Duration;
 
-/// A job of which every task is done.
+/// A job whose tasks have all finished.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompleteJob {
-    /// Id.
+    /// The job's id.
     pub id: String,
-    /// Version of its record.
+    /// Version of the job's record.
     pub version: Revision,
-    /// The number of its tasks.
+    /// Number of tasks of the job.
     pub tasks: u32,
 }
 
-/// How many tasks of a job are done and running, for display.
+/// Numbers of done and running tasks of a job, for display.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TaskCounts {
-    /// Tasks that have finished.
+    /// Number of tasks that have finished.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of tasks that are running or being stopped.
     pub running: u32,
 }
 
 impl Scheduler {
-    /// Adds a job. `results` holds its stored chunks; `unix_millis` is the time of day now; if it is `cancelled`, only what
-    /// runs of it matters.
+    /// Adds a job unless it is present. `results` holds the stored chunks of its finished tasks, and `unix_millis` is the
+    /// current Unix time, from which the job's age follows. Of a `cancelled` job, present or not, the tasks are only stopped.
     pub fn add_job(
         &mut self,
         record: LiveRecord,
@@ -64,7 +64,7 @@
         self.pass_requested = true;
     }
 
-    /// Resolves the names in a job's specification.
+    /// Resolves the names of team, machine types, image and zone in a job's specification.
     fn job_placement(&mut self, spec: &JobSpec) -> JobPlacement {
         let task_resources = Resources::requested(spec.cpus, spec.gpus, spec.memory_gb);
         let machine_type = |name: &String| {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The most that any machine type has of each resource.
+    /// Returns the largest amount of each resource that any machine type has.
     fn largest_machine(&self) -> Resources {
         self.machine_types
             .iter()
@@ -94,7 +94,7 @@
             })
     }
 
-    /// A job is no longer unfinished: what runs of it is stopped, and counts until it is proven gone.
+    /// Stops the tasks of a job that was cancelled or is complete. Each counts for its team and zone until it is proven gone.
     pub fn stop_job(&mut self, id: &str) {
         if let Some(index) = self.jobs.index_of(id) {
             self.cancel(index);
@@ -111,7 +111,8 @@
         self.pass_requested = true;
     }
 
-    /// Removes cancelled jobs of which nothing can run any more. Those still listed in the store may be dropped there.
+    /// Removes cancelled jobs whose tasks are all proven gone, and returns their ids. Where the store still lists one of them,
+    /// the entry may be deleted.
     pub fn remove_stopped_jobs(&mut self) -> Vec<String> {
         let mut ids = Vec::new();
         for index in self.jobs.stopped() {
@@ -126,7 +127,7 @@
         ids
     }
 
-    /// Jobs of which every task is done, the oldest first.
+    /// Returns the jobs whose tasks have all finished, the oldest submission first.
     #[must_use]
     pub fn complete_jobs(&self) -> Vec<CompleteJob> {
         self.jobs
@@ -140,30 +141,30 @@
             .collect()
     }
 
-    /// Results that are not stored yet, at most `max_chunks`, the oldest first.
+    /// Returns at most `max_chunks` chunks with results that are not stored yet, the longest waiting first.
     #[must_use]
     pub fn unsaved_chunks(&self, max_chunks: usize) -> Vec<DoneChunk> {
         self.jobs.unsaved_chunks(max_chunks)
     }
 
-    /// Results are durable.
+    /// Records that the results of a chunk are stored durably.
     pub fn record_saved(&mut self, stored: &DoneChunk) {
         let now = self.now();
         self.jobs.record_saved(stored, now);
     }
 
-    /// Unfinished jobs.
+    /// Returns all jobs that are unfinished or still being stopped.
     pub fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// Whether a job is unfinished, or being stopped here.
+    /// Reports whether a job is unfinished or still being stopped.
     #[must_use]
     pub fn has_job(&self, id: &str) -> bool {
         self.jobs.index_of(id).is_some()
     }
 
-    /// A job's done and running tasks, for display.
+    /// Returns the numbers of done and running tasks of a job, for display.
     #[must_use]
     pub fn task_counts(&self, id: &str) -> Option<TaskCounts> {
         self.jobs
@@ -171,7 +172,7 @@
             .map(|index| self.job(index).task_counts())
     }
 
-    /// The done and running tasks of every job, with its id.
+    /// Returns the numbers of done and running tasks of every job, with its id.
     pub fn all_task_counts(&self) -> impl Iterator<Item = (&str, TaskCounts)> {
         self.jobs().map(|job| (job.id(), job.task_counts()))
     }
