--- a/src/scheduler/job_table.rs
+++ b/src/scheduler/job_table.rs
@@ -1,4 +1,4 @@
-//! The table of all unfinished jobs, in the order of their age, and of their results that are not durable yet.
+//! The table of all jobs in the scheduler, in the order of their submission, with the results that are not durable yet.
 
 use super::attempt::TaskId;
 use super::index::{JobIndex, Table};
@@ -8,41 +8,41 @@
 use std::collections::{BTreeMap, HashMap};
 use std::ops::{Index, IndexMut};
 
-/// A range of a job's tasks whose results are stored together.
+/// Identifies a range of a job's tasks whose results are stored as one value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ChunkId {
     job: JobIndex,
     chunk: u32,
 }
 
-/// Results of a range of a job's tasks, to be stored.
+/// The results of one chunk of a job's tasks, to be written to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DoneChunk {
-    /// Job.
+    /// Id of the job.
     pub job: String,
-    /// Version of its record.
+    /// Version of the job's record.
     pub version: Revision,
-    /// Chunk.
+    /// Number of the chunk.
     pub chunk: u32,
-    /// Bits to be stored.
+    /// The value to be stored: one bit for each task, set if the task has finished.
     pub bits: Vec<u8>,
 }
 
-/// All unfinished jobs, and cancelled ones of which something may still run.
+/// All unfinished jobs, and cancelled jobs with tasks that may still be running.
 #[derive(Default)]
 pub(super) struct JobTable {
     jobs: Table<JobIndex, Option<Job>>,
-    /// Indices of jobs that are gone, for new ones.
+    /// Indices of removed jobs, to be reused.
     free_indices: Vec<JobIndex>,
     by_id: HashMap<String, JobIndex>,
     /// All jobs, the oldest submission first.
     by_submission: Vec<JobIndex>,
-    /// Chunks with results that are not stored yet, and since when.
+    /// Chunks with results that are not stored yet, and since when they have waited.
     unsaved_since: BTreeMap<ChunkId, Timestamp>,
 }
 
 impl JobTable {
-    /// Adds a job.
+    /// Inserts a job and returns its index.
     pub(super) fn insert(&mut self, job: Job) -> JobIndex {
         let submitted_at = job.submitted_at;
         let id = job.id().to_string();
@@ -59,7 +59,7 @@
         index
     }
 
-    /// Removes a job.
+    /// Removes and returns a job. Its index may be reused.
     pub(super) fn remove(&mut self, index: JobIndex) -> Option<Job> {
         let job = self.jobs[index].take()?;
         self.by_submission.retain(|other| *other != index);
@@ -69,44 +69,44 @@
         Some(job)
     }
 
-    /// A job, if it is present.
+    /// Returns a job, if it is present.
     pub(super) fn get(&self, index: JobIndex) -> Option<&Job> {
         self.jobs.get(index)?.as_ref()
     }
 
-    /// The index of the job with an id.
+    /// Returns the index of the job with an id.
     pub(super) fn index_of(&self, id: &str) -> Option<JobIndex> {
         self.by_id.get(id).copied()
     }
 
-    /// All jobs.
+    /// Returns all jobs in the order of their indices.
     pub(super) fn values(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().flatten()
     }
 
-    /// All jobs, to be changed.
+    /// Returns mutable references to all jobs.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Job> {
         self.jobs.values_mut().flatten()
     }
 
-    /// All jobs with their indices, the oldest submission first.
+    /// Returns all jobs with their indices, the oldest submission first.
     pub(super) fn by_submission(&self) -> impl Iterator<Item = (JobIndex, &Job)> {
         self.by_submission
             .iter()
             .map(|index| (*index, &self[*index]))
     }
 
-    /// How many jobs there are.
+    /// Returns the number of jobs.
     pub(super) fn len(&self) -> usize {
         self.by_submission.len()
     }
 
-    /// The job at a position in the order of submission.
+    /// Returns the job at a position in the order of submission.
     pub(super) fn nth_oldest(&self, position: usize) -> JobIndex {
         self.by_submission[position]
     }
 
-    /// Cancelled jobs of which nothing can run any more.
+    /// Returns the cancelled jobs whose tasks are all proven gone.
     pub(super) fn stopped(&self) -> Vec<JobIndex> {
         let stopped = |job: &Job| job.cancelled && job.active.is_empty();
         self.jobs
@@ -116,7 +116,7 @@
             .collect()
     }
 
-    /// A task has finished, and its result has to be stored.
+    /// Records that a task has finished and its result has to be stored.
     pub(super) fn mark_unsaved(&mut self, task: TaskId, now: Timestamp) {
         let chunk = ChunkId {
             job: task.job,
@@ -125,8 +125,8 @@
         self.unsaved_since.entry(chunk).or_insert(now);
     }
 
-    /// Results that are not stored yet, at most `max_chunks`, the oldest first. Those of complete jobs are left out: the jobs
-    /// are made final as a whole.
+    /// Returns at most `max_chunks` chunks with results that are not stored yet, the longest waiting first. Chunks of complete
+    /// jobs are left out, since such a job is recorded as finished as a whole.
     pub(super) fn unsaved_chunks(&self, max_chunks: usize) -> Vec<DoneChunk> {
         let mut oldest: Vec<(Timestamp, ChunkId)> = self
             .unsaved_since
@@ -153,7 +153,7 @@
         })
     }
 
-    /// Results are durable.
+    /// Records that the results of a chunk are stored durably.
     pub(super) fn record_saved(&mut self, stored: &DoneChunk, now: Timestamp) {
         let Some(index) = self.index_of(&stored.job) else {
             return;
@@ -168,7 +168,7 @@
         if all_saved {
             self.unsaved_since.remove(&chunk);
         } else {
-            // What has finished meanwhile takes its turn behind the others.
+            // More tasks have finished since the chunk was read: it waits again, behind the other chunks.
             self.unsaved_since.insert(chunk, now);
         }
     }
