--- a/src/scheduler/job_progress.rs
+++ b/src/scheduler/job_progress.rs
@@ -1,28 +1,29 @@
-//! What a job's tasks have shown so far: which are pending, how long they run, and where they fail.
+//! Progress of a job's tasks: which of them to start next, how long they run, and on which machines they fail.
 
 use super::index::MachineIndex;
 use crate::time::whole_millis;
 use std::collections::{BTreeSet, HashSet};
 use std::time::Duration;
 
-/// The first pause between two tries of a job that fails everywhere; it doubles with each failure.
+/// Base of the delay before a job that fails everywhere is tried again; it doubles with each consecutive failure.
 const BASE_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Longest pause between two tries of a job that fails everywhere.
+/// Upper limit of the delay before a job that fails everywhere is tried again.
 const MAX_RETRY_DELAY: Duration = Duration::from_mins(1);
-/// Doublings of the pause after which it stays the same.
+/// Number of doublings after which the delay stays the same; 6 already exceed [`MAX_RETRY_DELAY`].
 const MAX_RETRY_DELAY_DOUBLINGS: u32 = 6;
 
-/// Which tasks of a job to start next, without a list of them all.
+/// Selects the tasks of a job to start next without keeping a list of all its pending tasks.
 #[derive(Debug, Default)]
 pub(super) struct PendingTasks {
-    /// The tasks below have all been looked at; those of them that are pending again are in `requeued`.
+    /// The first task that was not considered yet. Lower-numbered tasks that are pending again are in `requeued`.
     next_new: u32,
-    /// Tasks that were active and have to run again.
+    /// Tasks that were active and have to be run again.
     requeued: BTreeSet<u32>,
 }
 
 impl PendingTasks {
-    /// Takes the next task of a job with a number of tasks: one that has requeued, or the first new one that `is_new` confirms.
+    /// Removes and returns the next pending task of a job with a number of tasks: the lowest requeued one, or else the first
+    /// that was not considered yet and for which `is_new` holds.
     pub(super) fn take_next(&mut self, tasks: u32, is_new: impl Fn(u32) -> bool) -> Option<u32> {
         if let Some(number) = self.requeued.pop_first() {
             return Some(number);
@@ -37,18 +38,18 @@
         None
     }
 
-    /// A task is no longer active, and not done.
+    /// Makes a task pending again that is no longer active and has not finished.
     pub(super) fn requeue(&mut self, number: u32) {
         self.requeued.insert(number);
     }
 
-    /// A task has finished.
+    /// Removes a task that has finished.
     pub(super) fn remove(&mut self, number: u32) {
         self.requeued.remove(&number);
     }
 }
 
-/// How long a job's finished tasks have run.
+/// Run times of a job's finished tasks.
 #[derive(Debug, Default)]
 pub(super) struct RunTimes {
     count: u32,
@@ -56,12 +57,13 @@
 }
 
 impl RunTimes {
-    /// The mean run time in seconds, if any task has finished.
+    /// Returns the mean run time in seconds, if any task has finished.
     pub(super) fn mean_s(&self) -> Option<f64> {
         (self.count > 0).then(|| self.mean_ms / 1000.0)
     }
 
-    /// A task has run for this long. Returns this over the mean of all, if they can be compared.
+    /// Records the run time of a finished task. Returns its ratio to the mean, which includes it, or `None` if it is the
+    /// first or the mean is 0.
     pub(super) fn record(&mut self, took: Duration) -> Option<f64> {
         let took_ms = whole_millis(took) as f64;
         self.count += 1;
@@ -79,34 +81,34 @@
 }
 
 impl Failures {
-    /// A task has failed on a machine.
+    /// Records that a task has failed on a machine.
     pub(super) fn record(&mut self, machine: MachineIndex) {
         self.consecutive += 1;
         self.machines.insert(machine);
     }
 
-    /// A task has finished.
+    /// Records that a task has finished, which ends the sequence of consecutive failures.
     pub(super) fn record_success(&mut self) {
         self.consecutive = 0;
     }
 
-    /// The pause before the next try of a job that fails everywhere.
+    /// Returns the delay before a job that fails everywhere is tried again.
     pub(super) fn retry_delay(&self) -> Duration {
         let doublings = self.consecutive.min(MAX_RETRY_DELAY_DOUBLINGS);
         (BASE_RETRY_DELAY * (1 << doublings)).min(MAX_RETRY_DELAY)
     }
 
-    /// Whether a task of the job has failed on a machine.
+    /// Reports whether a task of the job has failed on a machine.
     pub(super) fn includes_machine(&self, machine: MachineIndex) -> bool {
         self.machines.contains(&machine)
     }
 
-    /// On how many machines tasks of the job have failed.
+    /// Returns the number of machines on which tasks of the job have failed.
     pub(super) fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// A machine is gone.
+    /// Forgets the failures on a machine that is gone.
     pub(super) fn remove_machine(&mut self, machine: MachineIndex) {
         self.machines.remove(&machine);
     }
