--- a/src/scheduler/attempt.rs
+++ b/src/scheduler/attempt.rs
@@ -1,108 +1,109 @@
-//! The state machine of a task that is or may be on a machine.
+//! The state machine of an active task: its attempt on a machine, the events, and the transitions that they cause.
 
 use super::index::{JobIndex, MachineIndex};
 use crate::protocol::FencingToken;
 use crate::time::Timestamp;
 
-/// A task of a present job.
+/// Identifies a task of a job in the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// Its job.
+    /// Index of the job.
     pub job: JobIndex,
-    /// Its number in the job, from 0 on.
+    /// Number of the task in its job, from 0.
     pub number: u32,
 }
 
-/// Where an active task stands.
+/// The phase of an active task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Its resources are reserved; nothing was sent.
+    /// Resources are reserved on the machine; the start command was not sent.
     Assigned,
-    /// The start was sent.
+    /// The start command was sent.
     Sent,
-    /// The worker fetches the image.
+    /// The worker is fetching the image.
     Fetching,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It is being stopped.
+    /// The task is being stopped.
     Stopping {
-        /// Whether it gets time to save its progress.
+        /// Whether it is given time to write a checkpoint.
         save: bool,
     },
 }
 
-/// How commands get to a worker.
+/// How commands reach a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Route {
-    /// In the reply to its heartbeat.
+    /// In the reply to its heartbeat; the worker polls for them.
     HeartbeatReply,
-    /// In a request to the worker.
+    /// In a request that the scheduler sends to the worker.
     Direct,
 }
 
-/// A task that is or may be on a machine.
+/// An attempt to run a task, which is or may be on a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskAttempt {
     pub(super) machine: MachineIndex,
     pub(super) attempt: u64,
     pub(super) phase: Phase,
-    /// Since when it is in this phase.
+    /// When the attempt entered its phase.
     pub(super) since: Timestamp,
-    /// How its start was sent.
+    /// How the start command was sent.
     pub(super) route: Route,
-    /// Its entry in the start log is durable: before that it is not sent.
+    /// Whether its start-log entry is durable; until then the start command is not sent.
     pub(super) logged: bool,
-    /// The token under which the start was sent; zero: by an earlier epoch.
+    /// Fencing token of the start command; zero if this epoch has not sent one.
     pub(super) token: FencingToken,
-    /// The stop was sent straight to the worker.
+    /// Whether the stop command was sent in a request to the worker.
     pub(super) stop_sent: bool,
-    /// Its worker has reported it.
+    /// Whether the worker has reported the attempt.
     pub(super) reported: bool,
 }
 
-/// Everything that can happen to a task.
+/// An event that may change the state of a task.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum TaskEvent {
-    /// It is to start on a machine.
+    /// The task is assigned to a machine.
     Assign {
         /// The machine.
         machine: MachineIndex,
-        /// The new attempt.
+        /// Number of the new attempt.
         attempt: u64,
     },
-    /// It is, or may be, on a machine since before this epoch, or without having been started by it.
+    /// The task is or may be on a machine, but this epoch has not started it there: an earlier one did, or its worker
+    /// reports it unexpectedly.
     Adopt {
         /// The machine.
         machine: MachineIndex,
-        /// Its attempt there.
+        /// Number of the attempt on that machine.
         attempt: u64,
-        /// What is known of it.
+        /// Last known phase of the attempt.
         phase: Phase,
     },
-    /// Its entry in the start log is durable.
+    /// The start-log entry of the task is durable.
     Logged,
-    /// Its start is being sent.
+    /// The start command is being sent.
     Send {
-        /// How it is sent.
+        /// How the command is sent.
         route: Route,
-        /// The token of the message.
+        /// Fencing token of the message.
         token: FencingToken,
     },
-    /// Its worker reports it in this phase.
+    /// The worker reports the task in this phase.
     Report(Phase),
-    /// It is to be stopped.
+    /// The task is to be stopped.
     Stop {
-        /// Whether it gets time to save its progress.
+        /// Whether it is given time to write a checkpoint.
         save: bool,
     },
-    /// It is proven to be on no machine.
+    /// The task is proven to be on no machine.
     Gone,
-    /// It has finished.
+    /// The task has finished.
     Finished,
 }
 
 impl TaskAttempt {
-    /// An attempt that is assigned to a machine.
+    /// Returns a new attempt that is assigned to a machine.
     fn assigned(machine: MachineIndex, attempt: u64, now: Timestamp) -> TaskAttempt {
         TaskAttempt {
             machine,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// An attempt that another epoch has started.
+    /// Returns an attempt that this epoch has not started.
     fn adopted(machine: MachineIndex, attempt: u64, phase: Phase, now: Timestamp) -> TaskAttempt {
         TaskAttempt {
             phase,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The same attempt in another phase from now on.
+    /// Returns the attempt after it has entered a phase now.
     fn in_phase(self, phase: Phase, now: Timestamp) -> TaskAttempt {
         TaskAttempt {
             phase,
@@ -136,29 +137,29 @@
         }
     }
 
-    /// Whether it is running, or being stopped.
+    /// Reports whether the task is running or being stopped.
     pub(super) fn is_running_or_stopping(&self) -> bool {
         matches!(self.phase, Phase::Running | Phase::Stopping { .. })
     }
 
-    /// Whether it is being stopped.
+    /// Reports whether the task is being stopped.
     pub(super) fn is_stopping(&self) -> bool {
         matches!(self.phase, Phase::Stopping { .. })
     }
 }
 
-/// What an event makes of a task.
+/// The effect of an event on a task.
 pub(super) enum Transition {
-    /// Nothing changes.
+    /// The event has no effect.
     Unchanged,
-    /// It is, or may be, on a machine in this state.
+    /// The task is or may be on a machine, in this new state.
     To(TaskAttempt),
-    /// It is on no machine any more.
+    /// The task is no longer on any machine.
     Gone,
 }
 
 impl Transition {
-    /// What an event makes of a task.
+    /// Returns the effect of an event on a task, where `current` is its attempt if it is active.
     pub(super) fn of(current: Option<TaskAttempt>, event: TaskEvent, now: Timestamp) -> Transition {
         match current {
             Some(attempt) => Transition::of_active(attempt, event, now),
@@ -166,7 +167,7 @@
         }
     }
 
-    /// What an event makes of a task that is on no machine.
+    /// Returns the effect of an event on a task that is not active.
     fn of_inactive(event: TaskEvent, now: Timestamp) -> Transition {
         match event {
             TaskEvent::Assign { machine, attempt } => {
@@ -181,7 +182,7 @@
         }
     }
 
-    /// What an event makes of a task that is, or may be, on a machine.
+    /// Returns the effect of an event on an active task.
     fn of_active(attempt: TaskAttempt, event: TaskEvent, now: Timestamp) -> Transition {
         let assigned = attempt.phase == Phase::Assigned;
         match event {
@@ -201,7 +202,7 @@
             {
                 Transition::To(attempt.in_phase(phase, now))
             }
-            // Never sent, so it cannot be anywhere.
+            // The start command was never sent, so the task cannot be on a machine.
             TaskEvent::Stop { .. } if assigned => Transition::Gone,
             TaskEvent::Stop { save } => Transition::of_stop(attempt, save, now),
             TaskEvent::Gone | TaskEvent::Finished => Transition::Gone,
@@ -209,7 +210,8 @@
         }
     }
 
-    /// Stops a task that was sent. One that gets time to save may still be stopped at once, but not the other way round.
+    /// Returns the effect of a stop on a task whose start command was sent. A task that is writing its checkpoint may still be
+    /// stopped at once, but a task that is being stopped at once is not given time for a checkpoint.
     fn of_stop(attempt: TaskAttempt, save: bool, now: Timestamp) -> Transition {
         match attempt.phase {
             Phase::Stopping { save: false } => Transition::Unchanged,
