--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,6 +1,6 @@
-//! The quota ledger: what each team uses, how much of that is being evicted, and what it may use.
+//! The quota ledger: the resources that each team uses, how much of them is being evicted, and its limit and guarantee.
 //!
-//! A task counts for its team from its assignment until it is proven gone.
+//! A task is charged to its team from its assignment until it is proven gone.
 
 use super::params::TeamQuota;
 use crate::resources::QuotaResources;
@@ -9,27 +9,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct TeamIndex(usize);
 
-/// A team's quota and what it uses.
+/// A team's quota and resource usage.
 #[derive(Debug)]
 struct TeamAccount {
     quota: TeamQuota,
     in_use: QuotaResources,
-    /// What of it is being evicted.
+    /// The part of `in_use` that belongs to tasks being stopped.
     being_evicted: QuotaResources,
 }
 
-/// The quotas of all teams and what they use.
+/// Quotas and resource usage of all teams.
 #[derive(Debug)]
 pub(super) struct QuotaLedger {
     teams: Vec<TeamAccount>,
 }
 
-/// An amount for each team.
+/// An amount of resources for each team.
 #[derive(Debug, Clone)]
 pub(super) struct AmountByTeam(Vec<QuotaResources>);
 
 impl QuotaLedger {
-    /// A ledger of teams that use nothing.
+    /// Returns a ledger in which no team uses any resources.
     pub(super) fn new(quotas: &[TeamQuota]) -> QuotaLedger {
         let account = |quota: &TeamQuota| TeamAccount {
             quota: quota.clone(),
@@ -41,81 +41,81 @@
         }
     }
 
-    /// The team with a name.
+    /// Returns the team with a name, if the settings have one.
     pub(super) fn team(&self, name: &str) -> Option<TeamIndex> {
         let position = self.teams.iter().position(|team| team.quota.name == name)?;
         Some(TeamIndex(position))
     }
 
-    /// What a team uses.
+    /// Returns the resources that a team uses.
     #[cfg(test)]
     pub(super) fn in_use(&self, team: TeamIndex) -> QuotaResources {
         self.teams[team.0].in_use
     }
 
-    /// What of a team's use is being evicted.
+    /// Returns the resources of a team's tasks that are being stopped.
     #[cfg(test)]
     pub(super) fn being_evicted(&self, team: TeamIndex) -> QuotaResources {
         self.teams[team.0].being_evicted
     }
 
-    /// A team's guarantee.
+    /// Returns a team's guaranteed resources.
     pub(super) fn guarantee(&self, team: TeamIndex) -> QuotaResources {
         self.teams[team.0].quota.guarantee
     }
 
-    /// What a team may use in addition.
+    /// Returns the resources that a team may use in addition; zero for a resource that is at or over its limit.
     pub(super) fn available(&self, team: TeamIndex) -> QuotaResources {
         let TeamAccount { quota, in_use, .. } = &self.teams[team.0];
         quota.limit.saturating_sub(*in_use)
     }
 
-    /// What a team would have to free to use `more` in addition. Where limits are lifted or lowered the team may be over its
-    /// limit; then nothing of this helps.
+    /// Returns the resources that a team would have to free to use `more` in addition. After a change of its limit a team may
+    /// be over it, and then has to free that excess as well.
     pub(super) fn shortfall(&self, team: TeamIndex, more: QuotaResources) -> QuotaResources {
         let TeamAccount { quota, in_use, .. } = &self.teams[team.0];
         in_use.saturating_add(more).saturating_sub(quota.limit)
     }
 
-    /// A task counts from now on.
+    /// Charges a task's resources to a team.
     pub(super) fn charge(&mut self, team: TeamIndex, amount: QuotaResources) {
         self.teams[team.0].in_use += amount;
     }
 
-    /// A task is gone.
+    /// Releases the resources of a task that is proven gone.
     pub(super) fn release(&mut self, team: TeamIndex, amount: QuotaResources) {
         self.teams[team.0].in_use -= amount;
     }
 
-    /// A task is being stopped.
+    /// Counts the resources of a task that is now being stopped.
     pub(super) fn begin_eviction(&mut self, team: TeamIndex, amount: QuotaResources) {
         self.teams[team.0].being_evicted += amount;
     }
 
-    /// A task that was being stopped is gone.
+    /// Stops counting the resources of a task that was being stopped and is gone.
     pub(super) fn end_eviction(&mut self, team: TeamIndex, amount: QuotaResources) {
         self.teams[team.0].being_evicted -= amount;
     }
 
-    /// Nothing for each team.
+    /// Returns a zero amount for each team.
     pub(super) fn zero_by_team(&self) -> AmountByTeam {
         AmountByTeam(vec![QuotaResources::ZERO; self.teams.len()])
     }
 
-    /// What each team may use in addition.
+    /// Returns the resources that each team may use in addition.
     pub(super) fn available_by_team(&self) -> AmountByTeam {
         let available = |position| self.available(TeamIndex(position));
         AmountByTeam((0..self.teams.len()).map(available).collect())
     }
 
-    /// What is being evicted of each team.
+    /// Returns the resources of each team's tasks that are being stopped.
     pub(super) fn being_evicted_by_team(&self) -> AmountByTeam {
         AmountByTeam(self.teams.iter().map(|team| team.being_evicted).collect())
     }
 }
 
 impl AmountByTeam {
-    /// A team's amount.
+    /// Returns the amount of a team, to be read or changed.
     pub(super) fn of(&mut self, team: TeamIndex) -> &mut QuotaResources {
         &mut self.0[team.0]
     }
