--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption: which tasks are stopped to free resources for others, or to let a team at its limit run what matters more.
+//! Preemption: stops tasks to free resources for jobs with a higher claim, or to free quota of a team at its limit for the
+//! team's jobs of higher priority.
 
 use super::attempt::{TaskEvent, TaskId};
 use super::capacity_pool::{CapacityPool, PlannedByZone};
@@ -12,14 +13,14 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// A start counts for its users if nothing stops the task within this time.
+/// A task start counts for the users only if the task is not stopped within this time.
 const MIN_COUNTED_RUN: Duration = Duration::from_secs(30);
 
-/// Searches for tasks to preempt that found too few. The next job like it would find none.
+/// Searches for preemption victims that found too few. A job with the same key would find none, so the search is skipped.
 #[derive(Default)]
 pub(super) struct FailedPreemptions(Vec<PreemptionKey>);
 
-/// What decides which tasks a job may preempt, beside its zones and types.
+/// The properties of a job that determine which tasks it may preempt, apart from its zones and machine types.
 #[derive(Debug, Clone, PartialEq)]
 struct PreemptionKey {
     priority: Priority,
@@ -39,34 +40,35 @@
     }
 }
 
-/// A task that may be stopped for others; the least is stopped first.
+/// A task that may be preempted to free resources on its machine; the smallest in order is stopped first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
-    /// The lowest priority first.
+    /// Tasks of the lowest priority are stopped first.
     priority: Reverse<Priority>,
-    /// Those stopped least often first, lest the same work begin anew for ever.
+    /// Tasks preempted least often are stopped first, so that the same task is not restarted again and again.
     preemptions: u32,
-    /// The one that loses the least first.
+    /// The task that entered its phase last is stopped first, since it loses the least progress.
     since: Reverse<Timestamp>,
     task: TaskId,
 }
 
-/// A task of a team at its limit that may be stopped for another one of the team; the least is stopped first.
+/// A task that may be preempted to free quota for a job of the same team; the smallest in order is stopped first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QuotaVictim {
     priority: Reverse<Priority>,
     preemptions: u32,
-    /// Its start would not count any more.
+    /// Whether the task entered its phase so recently that its start would no longer count; such tasks are stopped later.
     recently_started: bool,
-    /// What comes free is of no use for the other job.
+    /// Whether the job cannot use the machine at once: it is not allowed there, or its image is missing.
     unusable: bool,
+    /// Time in the current phase that the stop loses; zero if the task writes a checkpoint.
     lost_run: Duration,
     task: TaskId,
 }
 
 impl Scheduler {
-    /// Stops tasks of lower priority at once for production tasks for which nothing is free. They do not wait for machines
-    /// that are coming up, nor for the next look at the demand, which waits for the cloud's answers.
+    /// Preempts tasks at once for the production jobs that the last scheduling pass could not place. Production waits neither
+    /// for booting machines nor for the next computation of the demand, which waits for responses of the cloud.
     pub fn preempt_for_production(&mut self) {
         let queue = std::mem::take(&mut self.unplaced_production);
         if queue.is_empty() {
@@ -74,7 +76,7 @@
         }
         let mut pool = CapacityPool::of_accepting_machines(self);
         let mut failed = FailedPreemptions::default();
-        // What is being evicted of a team, less what the jobs before in the queue will use of it.
+        // Resources being evicted of each team, less those that jobs earlier in the queue will use.
         let mut being_evicted = self.quotas.being_evicted_by_team();
         for index in queue {
             let job = self.job(index);
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Stops tasks of lower priority of a job's own team, which is at its limit, for up to `tasks` of its tasks.
+    /// Stops tasks of lower priority of the job's own team, which is at its limit, to free quota for `tasks` tasks of the job.
+    /// Quota of tasks that are already being stopped is used first.
     fn preempt_for_quota(&mut self, index: JobIndex, tasks: u32, being_evicted: &mut AmountByTeam) {
         let job = self.job(index);
         let Some(team) = job.team else { return };
@@ -109,12 +112,16 @@
                 break;
             }
             let freed = self.job(victim.task.job).task_resources.quota();
-            self.preempt_task(victim.task, index, "preempted for quota");
+            self.preempt_task(
+                victim.task,
+                index,
+                "preempting task: team at its limit, quota is freed for another job of the team",
+            );
             shortfall = shortfall.saturating_sub(freed);
         }
     }
 
-    /// Tasks of a team with a lower priority, in the order in which they are stopped for a job of the same team.
+    /// Returns the team's tasks of lower priority than the job, in the order in which they are stopped to free quota for it.
     fn quota_victims(&self, index: JobIndex, team: TeamIndex) -> Vec<QuotaVictim> {
         let job = self.job(index);
         let holders = self.image_holders.get(job.image);
@@ -154,7 +161,8 @@
         victims
     }
 
-    /// Stops other tasks for up to `tasks` tasks of a job, and plans these in the pool; returns for how many.
+    /// Preempts other tasks for up to `tasks` tasks of a job and allocates the freed resources in the pool. Returns for how many
+    /// of the tasks there are resources now.
     pub(super) fn preempt(
         &mut self,
         index: JobIndex,
@@ -180,7 +188,8 @@
         satisfied
     }
 
-    /// Machines on which a job might preempt others: holders of its image first, so that what is freed is used at once.
+    /// Returns the machines on which a job might preempt tasks. Those that hold its image come first, since the job can use
+    /// them without a transfer.
     fn preemption_candidates(&self, index: JobIndex) -> Vec<MachineIndex> {
         let job = self.job(index);
         let holders = self.image_holders.get(job.image);
@@ -198,7 +207,8 @@
         candidates.into_iter().map(|(_, machine)| machine).collect()
     }
 
-    /// Stops other tasks on one machine for up to `tasks` tasks of a job, and plans these in the pool; returns for how many.
+    /// Preempts other tasks on one machine for up to `tasks` tasks of a job and allocates the freed resources in the pool.
+    /// Returns for how many of the tasks there are resources now. Nothing is stopped unless it makes another task fit.
     fn preempt_on(
         &mut self,
         machine: MachineIndex,
@@ -223,7 +233,11 @@
                 break;
             }
             for victim in chosen {
-                self.preempt_task(victim.task, index, "preempted");
+                self.preempt_task(
+                    victim.task,
+                    index,
+                    "preempting task: its resources are freed for another job",
+                );
             }
             pool.set_free(machine, free.saturating_sub(task_resources));
             planned.add(zone, 1);
@@ -232,7 +246,7 @@
         satisfied
     }
 
-    /// Tasks on a machine that a job may preempt, in the order in which they are stopped.
+    /// Returns the tasks on a machine that a job may preempt, in the order in which they are stopped.
     fn victims_on(&self, machine: MachineIndex, index: JobIndex) -> Vec<Victim> {
         let job = self.job(index);
         let mut victims = Vec::new();
@@ -254,7 +268,7 @@
         victims
     }
 
-    /// Stops a task to free resources for a job.
+    /// Stops a task for another job and counts the preemption. `reason` is the text of the log event.
     fn preempt_task(&mut self, victim: TaskId, for_job: JobIndex, reason: &'static str) {
         let job = self.job(victim.job);
         let save = job.saves_checkpoints();
@@ -269,8 +283,10 @@
 }
 
 impl Job {
-    /// Whether tasks of another job may be stopped for this one: those of a lower priority, which a guarantee protects from
-    /// all but production; and those that use what this job's guarantee covers.
+    /// Reports whether tasks of another job may be preempted for this one. They may if the other job has a lower priority,
+    /// unless its team's guarantee covers it and this job is not production. They also may, whatever the priority, if this
+    /// job is within its team's guarantee and the other one belongs to another team, is beyond its guarantee and is not
+    /// production.
     fn may_preempt(&self, other: &Job) -> bool {
         let lower = other.spec().priority > self.spec().priority
             && (!other.within_guarantee || self.is_production());
