--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -10,29 +10,29 @@
 use crate::resources::Resources;
 use std::collections::{BTreeMap, HashMap};
 
-/// Most tasks of one job placed in one pass; the rest follows in the next one, milliseconds later.
+/// Maximum number of tasks of one job that are placed in one pass. The rest follows in the next pass, milliseconds later.
 const MAX_PLACED_PER_PASS: u32 = 2000;
 
-/// What a pass looks up once.
+/// Data that a scheduling pass computes once, and what it has learned so far.
 pub(super) struct Pass {
-    /// Machines that accept tasks and may have free resources for one.
+    /// Machines that accept tasks and have free resources for at least the smallest request.
     pub(super) machines: Vec<MachineIndex>,
-    /// Mean capability of the measured machines; 1 without any.
+    /// Mean capability of the measured machines; 1 if none is measured.
     pub(super) mean_capability: ByClass<f64>,
-    /// Slots on full holders that tasks wait for already.
+    /// Slots on full image holders for which tasks placed earlier in the pass wait.
     pub(super) awaited_slots: HashMap<MachineIndex, u32>,
     unplaceable: UnplaceableRequests,
 }
 
-/// How many tasks of a job are to be placed.
+/// Number of tasks of a job to be placed in this pass.
 struct PlacementGoal {
     tasks: u32,
-    /// Others are left for the next pass.
+    /// Whether more tasks of the job are left for the next pass.
     has_more: bool,
 }
 
 impl Scheduler {
-    /// How many tasks of a job may be added for its team's limit.
+    /// Returns how many more tasks of a job its team's limit allows; 0 if the settings do not name the team.
     pub(super) fn quota_allowance(&self, job: &Job) -> u32 {
         job.team.map_or(0, |team| {
             let per_task = job.task_resources.quota();
@@ -40,12 +40,13 @@
         })
     }
 
-    /// Asks for a new scheduling pass, since time has passed.
+    /// Requests a scheduling pass. Needed where only time has passed, such as at the end of a retry delay.
     pub fn request_pass(&mut self) {
         self.pass_requested = true;
     }
 
-    /// Places what can be placed now. True if there was something to look at.
+    /// Runs a scheduling pass if one is requested and placement is allowed, and assigns the tasks that can start now. Returns
+    /// whether a pass was run.
     pub fn place(&mut self) -> bool {
         if self.now < self.placement_allowed_from
             || self.is_exhausted()
@@ -74,14 +75,14 @@
             if is_production {
                 self.unplaced_production.push(index);
             }
-            // What has filled up meanwhile is not looked at again.
+            // Machines that have become full are not considered for the remaining jobs.
             pass.machines
                 .retain(|machine| smallest_request.fits(self.machine(*machine).load.free()));
         }
         true
     }
 
-    /// Looks up what a pass needs of the machines.
+    /// Collects the machines of a pass and the mean capability in each resource class.
     fn begin_pass(&self, smallest_request: Resources) -> Pass {
         let mut machines = Vec::new();
         let mut sums: ByClass<(f64, u32)> = ByClass::default();
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Places tasks of one job.
+    /// Plans and assigns tasks of one job.
     fn place_job(&mut self, index: JobIndex, pass: &mut Pass) {
         let job = self.job(index);
         let Some(goal) = self.placement_goal(job) else {
@@ -141,7 +142,7 @@
         if job.is_gang() && placed < u64::from(goal.tasks) {
             return;
         }
-        // Where so many have found a place, others may as well.
+        // Some tasks were placed and more are left: the next pass may place them as well.
         self.pass_requested |= goal.has_more && !plan.start_now.is_empty();
         for share in plan.wait_for {
             *pass.awaited_slots.entry(share.machine).or_default() += share.tasks;
@@ -149,7 +150,7 @@
         self.assign_shares(index, &plan.start_now, goal.tasks);
     }
 
-    /// How many tasks of a job to place; none if there are none, or a gang that can't start now.
+    /// Returns how many tasks of a job to place, or `None` if there are none or the job is a gang that cannot start now.
     fn placement_goal(&self, job: &Job) -> Option<PlacementGoal> {
         let wanted = job.placeable(self.now()).min(self.quota_allowance(job));
         let tasks = if job.is_gang() {
@@ -157,7 +158,7 @@
         } else {
             wanted.min(MAX_PLACED_PER_PASS)
         };
-        // A gang starts whole or not at all: what is left of an earlier try must be gone first.
+        // A gang starts as a whole or not at all, so the tasks of an earlier attempt must be gone first.
         let gang_blocked = job.is_gang() && (tasks < job.pending() || !job.active.is_empty());
         (tasks > 0 && !gang_blocked).then_some(PlacementGoal {
             tasks,
@@ -165,24 +166,22 @@
         })
     }
 
-    /// Keeps the candidates of the zone with the most free slots. A job whose tasks stay together gets its zone with its first
-    /// task.
+    /// Keeps only the candidates of the zone with the most free slots. A job whose tasks must share a zone is bound to that
+    /// zone by its first task.
     fn keep_zone_with_most_slots(&self, candidates: &mut Vec<Candidate<MachineIndex>>) {
         let mut slots: BTreeMap<ZoneIndex, u64> = BTreeMap::new();
         for candidate in candidates.iter() {
             let zone = self.machine(candidate.machine).zone();
             *slots.entry(zone).or_default() += u64::from(candidate.free_slots);
         }
-        let zone_with_most_slots = slots
+        let best_zone = slots
             .iter()
             .max_by_key(|(_, slots)| **slots)
             .map(|(zone, _)| *zone);
-        candidates.retain(|candidate| {
-            Some(self.machine(candidate.machine).zone()) == zone_with_most_slots
-        });
+        candidates.retain(|candidate| Some(self.machine(candidate.machine).zone()) == best_zone);
     }
 
-    /// What `placement` has to know of a job.
+    /// Returns the job's request to [`placement::plan`].
     fn placement_request(
         &self,
         job: &Job,
@@ -191,7 +190,7 @@
     ) -> Request {
         let machine_type = self.machine(candidates[0].machine).machine_type();
         let fetch_gb_per_s = self.fetch_rates.gb_per_s(machine_type);
-        // With a zone rule a machine may get less than planned; the plan then covers all machines.
+        // A job spread over zones may get fewer tasks on a machine than planned, so the plan covers all machines.
         let slots = if job.spec().spread_zones {
             u32::MAX
         } else {
@@ -207,10 +206,10 @@
         }
     }
 
-    /// Assigns up to `tasks` tasks of a job to machines, as its zone rules allow.
+    /// Assigns up to `tasks` pending tasks of a job to the planned machines, as far as its zone rules allow.
     fn assign_shares(&mut self, index: JobIndex, shares: &[Share<MachineIndex>], tasks: u32) {
         let is_gang = self.job(index).is_gang();
-        // A gang's tasks share an attempt.
+        // All tasks of a gang share one attempt number.
         self.attempts += u64::from(is_gang);
         let mut left = tasks;
         for share in shares {
