--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines that a job's tasks may go to, as candidates for `placement`.
+//! Selects the machines on which a job's tasks may run, as candidates for [`crate::placement`].
 
 use super::attempt::{Phase, TaskId};
 use super::index::MachineIndex;
@@ -10,14 +10,14 @@
 use crate::time::whole_millis;
 use std::time::Duration;
 
-/// A job that has waited for this long takes any machine that fits: 40 % of the 90 s for which a job may wait while there is
-/// one (PROTOCOL, additions).
+/// A job that has waited for this long no longer waits for a holder of its image and takes any machine that fits. This is
+/// 40 % of the 90 s for which a job may wait while a machine fits (PROTOCOL, additions).
 const HOLDER_WAIT_LIMIT: Duration = Duration::from_secs(36);
-/// A task that has run for longer than expected is expected to run for this part of its time more.
+/// Lower limit of a task's expected remaining time, as a fraction of its expected or elapsed run time, whichever is longer.
 const OVERTIME_REMAINING_FRACTION: f64 = 0.25;
 
 impl Job {
-    /// Whether its tasks may run on a machine, as far as type, zone and price are concerned.
+    /// Reports whether the job's specification allows a machine by its type, its zone and whether it is a spot machine.
     pub(super) fn allows_machine(&self, machine: &Machine) -> bool {
         (self.spec().spot || !machine.is_spot())
             && self
@@ -29,7 +29,8 @@
 }
 
 impl Scheduler {
-    /// Machines with free resources for a job's tasks, and full ones that hold its image.
+    /// Returns the allowed machines with free resources for a task of the job and, unless waiting for an image holder is
+    /// pointless, the full ones that hold its image.
     pub(super) fn candidates(&self, job: &Job, pass: &Pass) -> Vec<Candidate<MachineIndex>> {
         let holders = self.image_holders.get(job.image);
         let mut candidates = Vec::new();
@@ -67,10 +68,11 @@
         candidates
     }
 
-    /// A machine as a candidate that holds the image and has no free slots.
+    /// Returns a machine as a candidate that holds the image and has no free slots; callers override these fields.
     fn candidate(&self, index: MachineIndex, job: &Job, pass: &Pass) -> Candidate<MachineIndex> {
         let machine = self.machine(index);
-        // Services go together, since only they keep a machine from being returned; other tasks fill the fullest machine.
+        // Services are packed together, since only they keep a machine from being returned; other tasks go to the fullest
+        // machine.
         let spare_cpu_milli = if job.is_service() {
             self.cpu_milli_without_services(machine)
         } else {
@@ -87,20 +89,20 @@
             next_slots_s: Vec::new(),
             preference: Preference {
                 has_failed: job.failures.includes_machine(index),
-                // Spot machines first where they are allowed.
+                // Spot machines are preferred where they are allowed.
                 ordinary: !machine.is_spot(),
                 spare_cpu_milli,
             },
         }
     }
 
-    /// Whether a job has waited so long that it takes what is free. Slots on holders are expected to come free again and
-    /// again, and over a slow link the wait for one may seem worth while for longer than a job may be left waiting.
+    /// Reports whether a job has waited so long that it takes any free machine. Slots on image holders are expected to become
+    /// free again and again, and over a slow link waiting for one can look better for longer than a job may be kept waiting.
     pub(super) fn has_waited_long(&self, job: &Job) -> bool {
         self.elapsed_since(job.last_placed_at) > HOLDER_WAIT_LIMIT
     }
 
-    /// CPUs of a machine that no service uses.
+    /// Returns the CPUs of a machine that are not used by services, in thousandths.
     fn cpu_milli_without_services(&self, machine: &Machine) -> u64 {
         self.machine_types
             .capacity(machine.machine_type())
@@ -108,7 +110,8 @@
             .saturating_sub(machine.load.service_cpu_milli())
     }
 
-    /// When a machine's tasks are expected to end, in seconds from now, without the slots that others wait for already.
+    /// Returns when the tasks of a machine are expected to end, in seconds from now in ascending order, without the slots for
+    /// which other tasks wait already.
     fn next_slots_s(&self, index: MachineIndex, job: &Job, pass: &Pass) -> Vec<f64> {
         let machine = self.machine(index);
         let capability = machine.capability.get(job.class).unwrap_or(1.0);
@@ -123,7 +126,7 @@
         ends_s.split_off(ends_s.len().min(awaited))
     }
 
-    /// For how long a task is expected to run on; none for a replica.
+    /// Returns the expected remaining run time of a task in seconds, or `None` for a replica, which does not end by itself.
     fn expected_remaining_s(&self, task: TaskId, capability: f64) -> Option<f64> {
         let job = self.jobs.get(task.job)?;
         let attempt = job.active.get(&task.number)?;
@@ -136,8 +139,8 @@
             0.0
         };
         let expected_s = job.expected_run_s() / capability;
-        // Of what has run for longer than expected nothing says that it will end now: believed to end within a second, such
-        // slots kept others waiting for them again and again.
+        // A task that has run for longer than expected need not end soon. When such tasks were expected to end within a second,
+        // other tasks waited for their slots again and again.
         let min_remaining_s = expected_s.max(elapsed_s) * OVERTIME_REMAINING_FRACTION;
         Some((expected_s - elapsed_s).max(min_remaining_s))
     }
