--- a/src/scheduler/capacity_pool.rs
+++ b/src/scheduler/capacity_pool.rs
@@ -1,4 +1,4 @@
-//! A scratch copy of machines' free resources, on which placements are tried.
+//! A copy of the machines' free resources in which allocations are planned without changing the machines.
 
 use super::attempt::TaskAttempt;
 use super::index::{MachineIndex, Table, ZoneIndex};
@@ -8,31 +8,31 @@
 use crate::resources::Resources;
 use std::collections::HashMap;
 
-/// How many tasks of a job are planned in each zone, in addition to its active ones.
+/// Number of tasks of a job that are planned in each zone, in addition to its active tasks.
 #[derive(Default)]
 pub(super) struct PlannedByZone(HashMap<ZoneIndex, u32>);
 
 impl PlannedByZone {
-    /// Plans tasks in a zone.
+    /// Adds planned tasks in a zone.
     pub(super) fn add(&mut self, zone: ZoneIndex, tasks: u32) {
         *self.0.entry(zone).or_default() += tasks;
     }
 
-    /// How many more tasks of the job may be in a zone.
+    /// Returns how many more tasks of the job its zone rules allow in a zone.
     pub(super) fn allowance(&self, job: &Job, zone: ZoneIndex) -> u32 {
         let planned = self.0.get(&zone).copied().unwrap_or(0);
         job.zone_allowance(zone).saturating_sub(planned)
     }
 }
 
-/// Machines in the order in which they are filled, spot machines first, and what is left of their free resources.
+/// Machines in the order in which they are filled, spot machines first, with their remaining free resources.
 pub(super) struct CapacityPool {
     order: Vec<MachineIndex>,
     free: Table<MachineIndex, Resources>,
 }
 
 impl CapacityPool {
-    /// A pool of machines with their free resources.
+    /// Returns a pool of machines with their free resources.
     fn new(
         scheduler: &Scheduler,
         machines: impl Iterator<Item = (MachineIndex, Resources)>,
@@ -54,7 +54,7 @@
         pool
     }
 
-    /// The machines that accept tasks, with what is free there or being freed.
+    /// Returns a pool of the machines that accept tasks. Resources of tasks being stopped count as free.
     pub(super) fn of_accepting_machines(scheduler: &Scheduler) -> CapacityPool {
         let machines = scheduler
             .machines()
@@ -63,7 +63,7 @@
         CapacityPool::new(scheduler, machines)
     }
 
-    /// The machines that are coming up.
+    /// Returns a pool of the machines that are booting.
     pub(super) fn of_booting_machines(scheduler: &Scheduler) -> CapacityPool {
         let machines = scheduler
             .machines()
@@ -72,7 +72,8 @@
         CapacityPool::new(scheduler, machines)
     }
 
-    /// Allocates resources for up to `tasks` tasks of a job, as its zone rules allow; returns for how many there are none.
+    /// Allocates resources for up to `tasks` tasks of a job, as far as its zone rules allow. Returns for how many tasks there
+    /// were none.
     pub(super) fn allocate(
         &mut self,
         scheduler: &Scheduler,
@@ -101,17 +102,17 @@
         left
     }
 
-    /// What is left of a machine's free resources.
+    /// Returns the remaining free resources of a machine.
     pub(super) fn free(&self, machine: MachineIndex) -> Resources {
         self.free[machine]
     }
 
-    /// Changes what is left of a machine's free resources.
+    /// Sets the remaining free resources of a machine.
     pub(super) fn set_free(&mut self, machine: MachineIndex, free: Resources) {
         self.free[machine] = free;
     }
 
-    /// Removes machines that have too little left for the smallest request.
+    /// Removes the machines whose remaining resources do not fit the smallest request.
     pub(super) fn remove_full(&mut self, smallest_request: Resources) {
         let free = &self.free;
         self.order
@@ -120,7 +121,7 @@
 }
 
 impl Scheduler {
-    /// What is free on a machine, with what is being stopped there.
+    /// Returns the free resources of a machine, including those of tasks being stopped there.
     fn free_after_stops(&self, machine: &Machine) -> Resources {
         if !machine.load.has_stopping_tasks() {
             return machine.load.free();
