--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which jobs with tasks to place are served.
+//! The queue of jobs with tasks to place, and its order.
 
 use super::index::JobIndex;
 use super::job::Job;
@@ -8,13 +8,13 @@
 use crate::time::{duration, millis, Timestamp};
 use std::time::Duration;
 
-/// A job that has waited for this long for its first task comes first: 40 % of the 240 s within which the largest jobs,
-/// too, must begin (PROTOCOL, additions).
+/// A job whose first task has waited for this long is overdue. This is 40 % of the 240 s within which even the largest jobs
+/// must begin (PROTOCOL, additions).
 const FIRST_TASK_WAIT_LIMIT: Duration = Duration::from_secs(96);
-/// A job that is unfinished after this many times its deadline is very late.
+/// A job that is unfinished after this many times its deadline is overdue.
 const VERY_LATE_FACTOR: u32 = 3;
 
-/// A job's place in the queue; the least is served first.
+/// Sort key of a job in the queue; the smallest is served first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     below_production: bool,
@@ -24,21 +24,23 @@
     job: JobIndex,
 }
 
-/// A job's place among its equals; the least is served first.
+/// Order of jobs with equal guarantee and priority; the smallest is served first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// It has waited long for its first task or is very late: otherwise the largest would never begin beside a stream of small
-    /// ones. The oldest first.
+    /// The job has waited long for its first task or is far beyond its deadline; the oldest is served first. Without this the
+    /// largest jobs would never begin beside a stream of small ones.
     Overdue { submitted_at: Timestamp },
-    /// It can still be in time, or is a service. The shortest first, since a team's limit or a full fleet makes some late and
-    /// service-level objectives count jobs. The order is the expected work in milliseconds, for a service its submission.
+    /// The job can still meet its deadline, has none, or is a service; the smallest order is served first. The order is the
+    /// expected work in milliseconds, or the time of submission for a service. The shortest job comes first because
+    /// service-level objectives count jobs, and some are late whenever a team's limit is reached or the fleet is full.
     InTime { order: u64 },
-    /// It is late. The oldest first.
+    /// The job has missed its deadline; the oldest is served first.
     Late { submitted_at: Timestamp },
 }
 
 impl Scheduler {
-    /// Jobs with tasks to place, in the order in which they are served. Notes which jobs are within their team's guarantee.
+    /// Returns the jobs with tasks to place, in the order in which they are served. Updates which jobs are within their team's
+    /// guarantee: it covers a team's jobs in the order of submission, each with all its unfinished tasks.
     pub(super) fn queue(&mut self) -> Vec<JobIndex> {
         let now = self.now();
         let mut requested = self.quotas.zero_by_team();
@@ -98,7 +100,8 @@
         }
     }
 
-    /// The time within which a job should be finished, if there is one: its own deadline or its class's objective.
+    /// Returns the time after submission by which a job should be finished: its own deadline or else the objective of its
+    /// class, if there is one.
     fn deadline(&self, job: &Job) -> Option<Duration> {
         let spec = job.spec();
         spec.deadline_s
@@ -106,7 +109,8 @@
             .or_else(|| self.params.finish_within.get(&spec.class).copied())
     }
 
-    /// The least that a task of these jobs takes of each resource. What has less is of no use for any of them.
+    /// Returns the smallest amount of each resource that a task of these jobs requests. A machine with less free of any
+    /// resource fits none of them.
     pub(super) fn smallest_request(&self, queue: &[JobIndex]) -> Resources {
         queue
             .iter()
