--- a/src/scheduler/unplaceable.rs
+++ b/src/scheduler/unplaceable.rs
@@ -1,14 +1,14 @@
-//! Requests for which no machine was found, so that others like them need not be tried.
+//! Requests for which no machine was found, so that equal or more demanding ones are not tried.
 
 use super::index::{MachineTypeIndex, ZoneIndex};
 use super::job::Job;
 use crate::resources::Resources;
 
-/// Most requests that are remembered.
+/// Maximum number of requests that are remembered.
 const MAX_REQUESTS: usize = 64;
 
-/// Requests that found no machine in a pass. Free resources only shrink in a pass, so a job that asks for as much or more,
-/// with as little choice or less, need not be tried.
+/// Requests that found no machine in a pass. Free resources only shrink during a pass, so a job that requests as many resources
+/// or more, and allows the same machines or fewer, need not be tried.
 #[derive(Default)]
 pub(super) struct UnplaceableRequests(Vec<UnplaceableRequest>);
 
@@ -20,7 +20,7 @@
 }
 
 impl UnplaceableRequest {
-    /// Whether a job, too, would find no machine.
+    /// Reports whether a job requests at least as much and allows no other machines, so that it would find none either.
     fn covers(&self, job: &Job) -> bool {
         job.task_resources.covers(self.task_resources)
             && (self.spot || !job.spec().spot)
@@ -30,12 +30,12 @@
 }
 
 impl UnplaceableRequests {
-    /// Whether a job is known to find no machine.
+    /// Reports whether a job is known to find no machine.
     pub(super) fn covers(&self, job: &Job) -> bool {
         self.0.iter().any(|request| request.covers(job))
     }
 
-    /// A job has found no machine.
+    /// Records that a job has found no machine.
     pub(super) fn add(&mut self, job: &Job) {
         if self.0.len() < MAX_REQUESTS {
             self.0.push(UnplaceableRequest {
