--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,4 +1,4 @@
-//! Demand: tasks for which no machine is in sight, so that machines are rented for them.
+//! Demand: tasks that fit neither the available nor the booting machines, so that machines have to be rented for them.
 
 use super::capacity_pool::{CapacityPool, PlannedByZone};
 use super::index::{JobIndex, MachineTypeIndex, ZoneIndex};
@@ -10,25 +10,25 @@
 use super::Scheduler;
 use crate::resources::Resources;
 
-/// Tasks of a job for which no machine is in sight.
+/// Tasks of a job that fit neither the available nor the booting machines.
 #[derive(Debug, Clone)]
 pub struct UnmetDemand {
-    /// What one takes.
+    /// Resources of one task.
     pub task_resources: Resources,
-    /// How many.
+    /// Number of tasks.
     pub tasks: u32,
     /// Whether spot machines are allowed.
     pub spot: bool,
-    /// Allowed machine types; none: any.
+    /// Allowed machine types; `None` allows any.
     pub types: Option<Vec<MachineTypeIndex>>,
-    /// Allowed zones; none: any.
+    /// Allowed zones; `None` allows any.
     pub zones: Option<Vec<ZoneIndex>>,
-    /// A service's tasks never end.
+    /// Whether the tasks are replicas of a service, which do not end by themselves.
     pub service: bool,
 }
 
 impl UnmetDemand {
-    /// Whether machines of an offer may run these tasks.
+    /// Reports whether machines of an offer may run these tasks.
     #[must_use]
     pub fn allows(&self, offer: &Offer) -> bool {
         (self.spot || !offer.spot)
@@ -42,26 +42,26 @@
                 .is_none_or(|zones| zones.contains(&offer.zone))
     }
 
-    /// How many of the tasks fit into a machine's free resources.
+    /// Returns how many of the tasks fit into the free resources of a machine.
     #[must_use]
     pub fn count_fitting(&self, free: Resources) -> u32 {
         self.task_resources.count_fitting(free)
     }
 
-    /// What is left of a machine's free resources beside a number of the tasks.
+    /// Returns the free resources of a machine that remain after a number of the tasks are placed there.
     #[must_use]
     pub fn free_after(&self, free: Resources, tasks: u32) -> Resources {
         free.saturating_sub(self.task_resources.saturating_mul(tasks))
     }
 }
 
-/// What is left of everything while the demand is computed, job by job.
+/// Resources and quotas that remain while the demand is computed job by job.
 struct Forecast {
     /// Machines that accept tasks.
     accepting: CapacityPool,
-    /// Machines that are coming up.
+    /// Machines that are booting.
     booting: CapacityPool,
-    /// What each team may still use.
+    /// Resources that each team may still use within its limit.
     quotas: AmountByTeam,
     smallest_request: Resources,
     unplaceable: UnplaceableRequests,
@@ -69,8 +69,8 @@
 }
 
 impl Scheduler {
-    /// Looks ahead: stops tasks where a job of higher priority or a guarantee has a claim (if `preempt`), and returns the
-    /// tasks for which nothing is free even on the machines that are coming up.
+    /// Returns the tasks that fit neither the machines that accept tasks nor those that are booting. If `preempt` is set, it
+    /// first preempts other tasks for them where priorities and guarantees allow it.
     pub fn unmet_demand(&mut self, preempt: bool) -> Vec<UnmetDemand> {
         let queue = self.queue();
         let mut forecast = Forecast {
@@ -91,8 +91,8 @@
         demands
     }
 
-    /// How many tasks of a job its team's quota allows, which they take from then on. None of a gang that it doesn't allow as a
-    /// whole.
+    /// Returns how many tasks of a job fit into what is left of its team's quota, and takes them from it. A gang that does not
+    /// fit as a whole counts as 0.
     fn tasks_within_quota(&self, index: JobIndex, quotas: &mut AmountByTeam) -> u32 {
         let job = self.job(index);
         let Some(team) = job.team else { return 0 };
@@ -106,7 +106,7 @@
         tasks
     }
 
-    /// The tasks of a job, of `tasks` that are to be placed, for which nothing is in sight.
+    /// Returns those of a job's `tasks` tasks for which no machine is available or booting.
     fn unmet_demand_of(
         &mut self,
         index: JobIndex,
@@ -140,7 +140,7 @@
         })
     }
 
-    /// The zones in which machines are of use for a job; none: any.
+    /// Returns the zones in which more tasks of a job may be placed; `None` if any zone is allowed.
     fn eligible_zones(&self, job: &Job, planned: &PlannedByZone) -> Option<Vec<ZoneIndex>> {
         if let Some(zone) = job.zone {
             return Some(vec![zone]);
@@ -155,7 +155,8 @@
 }
 
 impl Forecast {
-    /// Allocates resources for tasks of a job; returns for how many there are none.
+    /// Allocates resources for tasks of a job, on booting machines only after the available ones. Returns for how many tasks
+    /// there were none.
     fn allocate(
         &mut self,
         scheduler: &Scheduler,
