--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -16,7 +16,7 @@
 /// A task start counts for the users only if the task is not stopped within this time.
 const MIN_COUNTED_RUN: Duration = Duration::from_secs(30);
 
-/// Searches for preemption victims that found too few. A job with the same key would find none, so the search is skipped.
+/// Searches for preemption victims that found too few. A later job with the same key is assumed to find none and is skipped.
 #[derive(Default)]
 pub(super) struct FailedPreemptions(Vec<PreemptionKey>);
 
