--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -48,7 +48,7 @@
         let (mut ordinary_cpus, mut ordinary_free) = (CpusByZone::new(), CpusByZone::new());
         for machine in utilization.iter().filter(|machine| !machine.offer.spot) {
             let zone = machine.offer.zone;
-            *ordinary_free.entry(zone).or_default() += machine.cpus - machine.used;
+            *ordinary_free.entry(zone).or_default() += machine.cpus - machine.used_cpus;
             *ordinary_cpus.entry(zone).or_default() += machine.cpus;
         }
         SpareCapacity {
@@ -69,12 +69,12 @@
         window: Duration,
         now: Timestamp,
     ) -> Option<MachineIndex> {
-        let known_since = |machine: &Utilization| Timestamp::from_millis(machine.since);
+        let known_since = |machine: &Utilization| Timestamp::from_millis(machine.known_since_ms);
         let idle_price = |machine: &Utilization| idle_price(scheduler, machine);
         utilization
             .iter()
             .filter(|machine| now > known_since(machine) + window)
-            .filter(|machine| machine.services * SURPLUS_CPUS_PER_SERVICE_CPU <= machine.cpus)
+            .filter(|machine| machine.service_cpus * SURPLUS_CPUS_PER_SERVICE_CPU <= machine.cpus)
             .filter(|machine| self.is_enough_without(machine))
             .max_by(|a, b| idle_price(a).total_cmp(&idle_price(b)))
             .map(|machine| machine.machine)
@@ -99,7 +99,7 @@
 /// What is paid in an hour for the part of a machine that is not used.
 fn idle_price(scheduler: &Scheduler, machine: &Utilization) -> f64 {
     let machine_type = scheduler.machine_type(machine.offer.machine_type);
-    let used = machine.used as f64 / machine.cpus.max(1) as f64;
+    let used = machine.used_cpus as f64 / machine.cpus.max(1) as f64;
     hourly_price(machine_type, machine.offer.spot) * (1.0 - used)
 }
 
@@ -170,7 +170,7 @@
         for machine in scheduler.utilization() {
             machine_cpus.insert(machine.machine, machine.cpus);
             if !machine.offer.spot {
-                *free.entry(machine.offer.zone).or_default() += machine.cpus - machine.used;
+                *free.entry(machine.offer.zone).or_default() += machine.cpus - machine.used_cpus;
             }
         }
         FreeCapacity {
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -67,7 +67,7 @@
         // A failed guard on a job shows that the job is no longer unfinished, which the replica may not contain yet.
         if let Ok(TxnOutcome::Failed(keys)) = outcome {
             for job in keys.iter().filter_map(|key| store::live_job(key)) {
-                scheduler.drop_job(job);
+                scheduler.stop_job(job);
             }
         }
         match (outcome, stored) {
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -104,7 +104,9 @@
         let now = self.now();
         let job = self.job_mut(job_index);
         job.record_failure(machine, now);
-        if !job.is_proven(now) && job.failures.machine_count() >= MIN_MACHINES_TO_DISCARD_FAILURES {
+        if !job.is_known_to_work(now)
+            && job.failures.machine_count() >= MIN_MACHINES_TO_DISCARD_FAILURES
+        {
             self.discard_failures_of_job(job_index);
             return;
         }
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -251,7 +251,7 @@
             tracing::info!(job = %job.record.spec.id, task = task.number, machine = %machine.name(), ?phase, held, age_ms, "task changed phase");
         }
         self.record_image_holder(machine, image);
-        self.apply_event(task, TaskEvent::Show(phase));
+        self.apply_event(task, TaskEvent::Report(phase));
     }
 
     /// Records the fetch rate of a machine's type, after the machine has fetched the image of a task.
--- a/src/scheduler/utilization.rs
+++ b/src/scheduler/utilization.rs
@@ -1,4 +1,4 @@
-//! How much of the machines is used, for the autoscaler, and machines that are more than is needed.
+//! CPU utilization of the machines, for the autoscaler, and the draining of surplus machines.
 
 use super::attempt::{TaskEvent, TaskId};
 use super::index::{MachineIndex, ZoneIndex};
@@ -6,25 +6,25 @@
 use super::Scheduler;
 use std::collections::HashMap;
 
-/// How much of a machine is used.
+/// CPU utilization of a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct Utilization {
-    /// Index.
+    /// Index of the machine.
     pub machine: MachineIndex,
-    /// The offer that it was rented from.
+    /// The offer under which the machine was rented.
     pub offer: Offer,
-    /// Since when it is known.
-    pub since: u64,
-    /// All its CPUs in thousandths.
+    /// When the machine became known, in milliseconds of the scheduler's clock.
+    pub known_since_ms: u64,
+    /// CPUs of the machine, in thousandths.
     pub cpus: u64,
-    /// CPUs in use in thousandths.
-    pub used: u64,
-    /// CPUs in use by services in thousandths.
-    pub services: u64,
+    /// CPUs in use, in thousandths.
+    pub used_cpus: u64,
+    /// CPUs in use by services, in thousandths.
+    pub service_cpus: u64,
 }
 
 impl Scheduler {
-    /// CPUs in thousandths that the services of all unfinished jobs ask for, and those that they hold in each zone.
+    /// Returns the CPUs, in thousandths, that all services request, and those that their active replicas hold in each zone.
     #[must_use]
     pub fn service_demand(&self) -> (u64, HashMap<ZoneIndex, u64>) {
         let mut demanded = 0;
@@ -39,9 +39,9 @@
         (demanded, held)
     }
 
-    /// CPUs in thousandths of ordinary machines that are coming up, by zone.
+    /// Returns the free CPUs, in thousandths, of ordinary (not spot) machines that are booting, by zone.
     #[must_use]
-    pub fn coming_up(&self) -> HashMap<ZoneIndex, u64> {
+    pub fn booting_cpus(&self) -> HashMap<ZoneIndex, u64> {
         let mut by_zone = HashMap::new();
         for (_, machine) in self.machines() {
             if !machine.is_spot() && self.is_booting(machine) {
@@ -51,7 +51,7 @@
         by_zone
     }
 
-    /// The utilization of the machines that take tasks.
+    /// Returns the utilization of the available machines.
     #[must_use]
     pub fn utilization(&self) -> Vec<Utilization> {
         self.machines()
@@ -64,23 +64,23 @@
                 Utilization {
                     machine: index,
                     offer: machine.offer(),
-                    since: machine.boot.known_since().as_millis(),
+                    known_since_ms: machine.boot.known_since().as_millis(),
                     cpus,
-                    used: cpus.saturating_sub(machine.load.free().cpu_milli),
-                    services: machine.load.service_cpu_milli(),
+                    used_cpus: cpus.saturating_sub(machine.load.free().cpu_milli),
+                    service_cpus: machine.load.service_cpu_milli(),
                 }
             })
             .collect()
     }
 
-    /// Takes a machine out of use because there is more than is needed.
-    pub fn spare_machine(&mut self, index: MachineIndex) {
+    /// Starts to drain a machine that is surplus: it gets no new tasks until it is released or restored.
+    pub fn drain_surplus_machine(&mut self, index: MachineIndex) {
         self.set_machine_state(index, MachineState::Draining, "surplus");
         self.machine_mut(index).eviction.set_surplus(true);
     }
 
-    /// Takes surplus machines back into use.
-    pub fn use_surplus(&mut self) {
+    /// Lets draining surplus machines accept tasks again, except those with an eviction notice.
+    pub fn restore_surplus_machines(&mut self) {
         let usable =
             |machine: &Machine| machine.drains_as_surplus() && !machine.eviction.has_notice();
         for index in self.machines.indices() {
@@ -91,21 +91,22 @@
         }
     }
 
-    /// Moves one replica off a surplus machine on which nothing else is left, if a holder of its image has enough free.
-    pub fn move_replica(&mut self) {
+    /// Stops one replica on a surplus machine that has only replicas left, if another machine that holds its image has enough
+    /// free resources, so that it is placed there.
+    pub fn move_surplus_replica(&mut self) {
         let movable = self
             .machines()
             .filter(|(_, machine)| machine.drains_as_surplus())
-            .filter_map(|(_, machine)| Some((machine, self.first_of_replicas(machine)?)))
-            .find(|(machine, task)| self.has_other_host(*task, machine))
+            .filter_map(|(_, machine)| Some((machine, self.first_task_if_all_replicas(machine)?)))
+            .find(|(machine, task)| self.can_run_elsewhere(*task, machine))
             .map(|(_, task)| task);
         if let Some(task) = movable {
             self.apply_event(task, TaskEvent::Stop { save: false });
         }
     }
 
-    /// The first task of a machine with only replicas.
-    fn first_of_replicas(&self, machine: &Machine) -> Option<TaskId> {
+    /// Returns the first task of a machine if all its tasks are replicas.
+    fn first_task_if_all_replicas(&self, machine: &Machine) -> Option<TaskId> {
         let only_replicas = machine
             .load
             .tasks()
@@ -119,8 +120,9 @@
             .filter(|_| only_replicas)
     }
 
-    /// Whether a task could run on another machine, without fetching its image and within its zone rules.
-    fn has_other_host(&self, task: TaskId, current: &Machine) -> bool {
+    /// Reports whether a task could run on another machine that holds its image. If the job has a zone rule, only machines in
+    /// the current zone count.
+    fn can_run_elsewhere(&self, task: TaskId, current: &Machine) -> bool {
         let job = self.job(task.job);
         self.machines().any(|(_, machine)| {
             let zone_allowed = machine.zone() == current.zone() || !job.has_zone_rule();
