--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -1,7 +1,7 @@
-//! Recent demand, and the head-room that it calls for: the peak that machines in use must cover, and the free capacity that
-//! is kept in each zone for replicas to come.
+//! The recent demand, and the headroom derived from it: the peak that the machines must cover, and the free capacity that is
+//! reserved in each zone for forecast replicas of services.
 //!
-//! All CPUs here are counted in thousandths.
+//! All amounts of CPUs are in thousandths.
 
 #[cfg(test)]
 mod tests;
@@ -11,36 +11,36 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Capacity kept in relation to the recent peak.
-const HEADROOM: f64 = 1.1;
-/// Time covered by one sample of demand. When a sample was kept for each decision, hundreds were read at every one.
+/// Capacity to keep, as a multiple of the recent peak of demand.
+const HEADROOM_FACTOR: f64 = 1.1;
+/// Time covered by one sample of demand. With a sample for each decision, every decision would have to read hundreds of them.
 const SAMPLE_LENGTH: Duration = Duration::from_secs(1);
 
-/// What a whole CPU counts.
+/// Number of thousandths in a CPU.
 pub(super) const MILLI_PER_CPU: f64 = 1000.0;
 
-/// CPUs by the index of their zone.
+/// Thousandths of CPUs by zone.
 pub(super) type CpusByZone = HashMap<ZoneIndex, u64>;
 
-/// The CPUs of a zone.
+/// Returns the CPUs of a zone, 0 if the map does not contain it.
 pub(super) fn cpus_in(cpus: &CpusByZone, zone: ZoneIndex) -> u64 {
     cpus.get(&zone).copied().unwrap_or(0)
 }
 
-/// Demand at a moment, or the largest of each amount within [`SAMPLE_LENGTH`].
+/// The demand at one time, or the maximum of each amount within [`SAMPLE_LENGTH`].
 #[derive(Debug)]
 pub(super) struct DemandSample {
     at: Timestamp,
-    /// What is in use, and unmet demand.
+    /// CPUs in use, and those that unmet demand needs.
     total: u64,
-    /// What the services of all unfinished jobs ask for.
+    /// CPUs that the services of all unfinished jobs request.
     services: u64,
-    /// What services hold in each zone.
+    /// CPUs that replicas of services occupy in each zone.
     placed_services: CpusByZone,
 }
 
 impl DemandSample {
-    /// The demand of now.
+    /// Returns the current demand.
     pub(super) fn new(
         scheduler: &Scheduler,
         utilization: &[Utilization],
@@ -61,34 +61,35 @@
         }
     }
 
-    /// Raises each amount to that of a later sample.
+    /// Merges a later sample into this one, which keeps the maximum of each amount.
     fn merge(&mut self, later: &DemandSample) {
         self.total = self.total.max(later.total);
         self.services = self.services.max(later.services);
-        raise_to(&mut self.placed_services, &later.placed_services);
+        merge_max(&mut self.placed_services, &later.placed_services);
     }
 }
 
-/// Raises the amount of each zone to that of another map.
-fn raise_to(cpus: &mut CpusByZone, other: &CpusByZone) {
+/// Merges another map into `cpus`, which keeps the maximum for each zone.
+fn merge_max(cpus: &mut CpusByZone, other: &CpusByZone) {
     for (zone, other_cpus) in other {
-        let largest = cpus.entry(*zone).or_default();
-        *largest = (*largest).max(*other_cpus);
+        let maximum = cpus.entry(*zone).or_default();
+        *maximum = (*maximum).max(*other_cpus);
     }
 }
 
+/// Adds the headroom of [`HEADROOM_FACTOR`].
 fn with_headroom(cpus: u64) -> u64 {
-    super::floor(cpus as f64 * HEADROOM)
+    super::floor_to_u64(cpus as f64 * HEADROOM_FACTOR)
 }
 
-/// Samples of recent demand, the oldest first.
+/// Samples of recent demand, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct DemandHistory {
     samples: VecDeque<DemandSample>,
 }
 
 impl DemandHistory {
-    /// Adds a sample, and forgets those from before the window.
+    /// Adds a sample, and drops samples that are older than the window.
     pub(super) fn record(&mut self, sample: DemandSample, window: Duration) {
         let now = sample.at;
         let last = self.samples.back_mut();
@@ -102,13 +103,13 @@
         }
     }
 
-    /// The CPUs that cover the largest recent demand, with head-room.
+    /// Returns the CPUs that cover the recent peak of total demand, with headroom.
     pub(super) fn peak(&self) -> u64 {
         let peak = self.samples.iter().map(|sample| sample.total).max();
         with_headroom(peak.unwrap_or(0))
     }
 
-    /// The CPUs that cover the most that services have recently held in each zone, with head-room.
+    /// Returns the CPUs that cover the recent peak of placed services in each zone, with headroom.
     pub(super) fn zone_peaks(&self) -> CpusByZone {
         let mut peaks = self.largest_placed_services();
         for cpus in peaks.values_mut() {
@@ -117,11 +118,12 @@
         peaks
     }
 
-    /// How many CPUs of ordinary machines should be free in each zone for replicas to come: the largest recent rise within
-    /// the horizon, divided as recent replicas are.
+    /// Returns the CPUs of on-demand machines to keep free in each zone for forecast replicas: the largest recent rise of the
+    /// services' demand within the horizon, divided among the zones in proportion to the recent peaks of placed services.
     ///
-    /// What counts is what jobs ask for, not what machines report: after a failover, or when a zone was reachable again, the
-    /// replicas that reappeared were once taken for new ones, and capacity for as many more was rented.
+    /// The rise is computed from the requests of jobs and not from the tasks that machines report. Otherwise the replicas that
+    /// reappear after a failover, or when a zone becomes reachable again, would count as new ones, and capacity for as many
+    /// more would be rented.
     pub(super) fn reserves(&self, horizon: Duration) -> CpusByZone {
         let rise = self.largest_service_rise(horizon);
         let mut shares = self.largest_placed_services();
@@ -133,11 +135,11 @@
         shares
     }
 
-    /// The largest rise of the services' demand within a time: the largest difference of a sample to the lowest one of the
-    /// time before it.
+    /// Returns the largest rise of the services' demand within the horizon: the maximum, over all samples, of the difference
+    /// between a sample and the lowest sample of the horizon before it.
     fn largest_service_rise(&self, horizon: Duration) -> u64 {
-        let mut largest = 0;
-        // Candidates for the lowest sample of the horizon: each is older and lower than the next.
+        let mut largest_rise = 0;
+        // Sliding-window minimum: candidates for the lowest sample of the horizon, each older and lower than the next.
         let mut minima: VecDeque<(Timestamp, u64)> = VecDeque::new();
         for sample in &self.samples {
             while minima
@@ -153,17 +155,19 @@
             {
                 minima.pop_front();
             }
-            let lowest = minima.front().map_or(sample.services, |(_, low)| *low);
-            largest = largest.max(sample.services - lowest);
+            let lowest = minima
+                .front()
+                .map_or(sample.services, |(_, services)| *services);
+            largest_rise = largest_rise.max(sample.services - lowest);
         }
-        largest
+        largest_rise
     }
 
-    /// The most that services have recently held in each zone, so that a zone that is isolated keeps its share.
+    /// Returns the recent peak of placed services in each zone. Peaks are used so that an isolated zone keeps its share.
     fn largest_placed_services(&self) -> CpusByZone {
         let mut largest = CpusByZone::new();
         for sample in &self.samples {
-            raise_to(&mut largest, &sample.placed_services);
+            merge_max(&mut largest, &sample.placed_services);
         }
         largest
     }
--- a/src/autoscaler/headroom/tests.rs
+++ b/src/autoscaler/headroom/tests.rs
@@ -1,4 +1,4 @@
-//! The head-room that recent demand calls for.
+//! Tests of the headroom derived from recent demand.
 
 use super::*;
 use crate::scheduler::DenseIndex;
@@ -9,7 +9,7 @@
     ZoneIndex::from_position(position)
 }
 
-/// The demand of a second: everything, what services ask for, and what they hold in two zones.
+/// Returns the demand at a second: in total, as requested by services, and as placed for services in two zones.
 fn sample(second: u64, total: u64, services: u64, placed: [u64; 2]) -> DemandSample {
     DemandSample {
         at: Timestamp::from_millis(second * 1000),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_peak_is_that_of_the_window_with_headroom() {
+fn peaks_are_the_maxima_of_the_window_with_headroom() {
     let mut history = history(vec![
         sample(1, 9000, 0, [4000, 0]),
         sample(40, 2000, 0, [1000, 500]),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn samples_of_a_second_are_one_with_the_largest_amounts() {
+fn samples_within_a_second_are_merged_to_their_maxima() {
     let mut history = history(vec![sample(1, 5000, 3000, [1000, 0])]);
     let half_a_second_later = DemandSample {
         at: Timestamp::from_millis(1500),
@@ -55,17 +55,17 @@
 }
 
 #[test]
-fn the_reserve_is_the_largest_rise_within_the_horizon_in_the_shares_of_the_zones() {
+fn reserves_divide_the_largest_rise_within_the_horizon_among_the_zones() {
     let history = history(vec![
         sample(1, 0, 1000, [3000, 1000]),
         sample(10, 0, 5000, [3000, 1000]),
-        // A fall calls for nothing, and what comes after it is counted from there.
+        // A fall needs no reserve. The rise after it counts from the lower level.
         sample(20, 0, 2000, [0, 1000]),
         sample(30, 0, 8000, [0, 1000]),
     ]);
     let reserves = |seconds| history.reserves(Duration::from_secs(seconds));
     assert_eq!(reserves(10), [(zone(0), 4500), (zone(1), 1500)].into());
-    // Slower rises than the horizon need no reserve: machines come up meanwhile.
+    // A rise that takes longer than the horizon needs no reserve, since machines that are rented for it come up in time.
     assert_eq!(reserves(5), [(zone(0), 0), (zone(1), 0)].into());
     assert_eq!(reserves(40), [(zone(0), 5250), (zone(1), 1750)].into());
 }
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,10 +1,12 @@
-//! The autoscaler: which machines to rent and which to return.
+//! The autoscaler decides which machines to rent and which to return.
 //!
-//! Pure logic: the scheduler's view of machines and demand in, state changes of machines and rental requests out. No I/O and
-//! no clock; the controller carries the requests out and releases what the scheduler holds for release.
+//! It does no I/O and reads no clock. It reads machines and demand from the scheduler, changes the states of machines there,
+//! and returns rental requests. The controller sends these requests to the cloud, and releases the machines that are marked for
+//! release in the scheduler.
 //!
-//! [`Autoscaler::decide`] joins the steps: `scale_in` cordons and releases machines, `scale_out` plans rentals for unmet
-//! demand and for the head-room that `headroom` forecasts, `offers` keeps away from what the cloud refuses.
+//! [`Autoscaler::decide`] combines the parts: `scale_in` cordons machines and marks them for release, `scale_out` plans rentals
+//! for unmet demand and for the headroom that `headroom` forecasts, and `offers` avoids offers that the cloud has refused or
+//! whose machines do not come up.
 
 mod headroom;
 mod offers;
@@ -24,30 +26,32 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A longer nominal boot time is not waited for.
+/// Maximum nominal boot time that the forecast takes into account.
 const MAX_BOOT_TIME_S: f64 = 600.0;
-/// The forecast covers the nominal boot time by this factor and margin, which leaves time for slow machines.
-const HORIZON_MILLIS_PER_SECOND: f64 = 1500.0;
+/// Milliseconds of the forecast horizon for each second of the nominal boot time. With [`HORIZON_MARGIN`], the horizon also
+/// covers machines that boot more slowly.
+const HORIZON_MILLIS_PER_BOOT_SECOND: f64 = 1500.0;
+/// Added to the forecast horizon.
 const HORIZON_MARGIN: Duration = Duration::from_secs(5);
 
-/// How long a machine may be silent or idle.
+/// Time limits after which machines are released.
 #[derive(Debug, Clone, Copy)]
 pub struct ScalingPolicy {
-    /// A machine that is silent for longer is released, unless most of its zone is silent.
+    /// A machine that is silent for longer is released, unless most machines of its zone are silent.
     pub silence_limit: Duration,
-    /// A machine that is silent for longer is released though its whole zone is silent: machines that are dead are listed as
-    /// failed, and what is isolated for so long is not worth its price.
+    /// A machine that is silent for longer is released even if its whole zone is silent. The cloud lists dead machines as failed,
+    /// so such machines are probably isolated, but after this time they are not worth their price.
     pub zone_silence_limit: Duration,
-    /// A machine without tasks for longer is returned.
+    /// A machine that has no tasks for longer is released, unless its free capacity is needed as headroom.
     pub idle_limit: Duration,
 }
 
 impl ScalingPolicy {
-    /// The policy that the settings of a deployment imply.
+    /// Derives the policy from the settings of the deployment.
     #[must_use]
     pub fn new(settings: &Settings) -> ScalingPolicy {
         let workers = &settings.platform.deployment.workers;
-        // Long enough for two probes; a machine silent for longer rarely comes back within its lease.
+        // Long enough for two probes. A machine that is silent for longer rarely reports again before its lease expires.
         let silence_limit_s = (2.0 * workers.report_s + 2.0).max(0.4 * workers.lease_s);
         ScalingPolicy {
             silence_limit: duration(silence_limit_s),
@@ -57,7 +61,7 @@
     }
 }
 
-/// What the autoscaler remembers between decisions.
+/// The autoscaler, with the state that it keeps between decisions.
 #[derive(Debug, Default)]
 pub struct Autoscaler {
     offers: OfferBackoffs,
@@ -65,8 +69,8 @@
 }
 
 impl Autoscaler {
-    /// Decides what to return and what to rent. Machines to be returned are moved towards their release in the scheduler, and
-    /// lower work is preempted where higher work has a claim; the rentals are returned, the most urgent first.
+    /// Decides which machines to return and which to rent. In the scheduler, drains machines or marks them for release, and
+    /// preempts tasks where a job of higher priority or a guarantee has a claim. Returns the rental requests, most urgent first.
     pub fn decide(
         &mut self,
         scheduler: &mut Scheduler,
@@ -87,18 +91,19 @@
         requests
     }
 
-    /// The request to carry out next: the most urgent one whose offer was not asked for within the last `rest`, or else the
-    /// most urgent one.
+    /// Returns the request to send next: the most urgent one whose offer was not requested within the last `cooldown`, or the
+    /// most urgent one if there is none.
     pub fn next_request(
         &mut self,
         requests: Vec<RentalRequest>,
-        rest: Duration,
+        cooldown: Duration,
         now: Timestamp,
     ) -> Option<RentalRequest> {
-        self.offers.next_request(requests, rest, now)
+        self.offers.next_request(requests, cooldown, now)
     }
 
-    /// The cloud has answered a request with a number of machines. An offer that was not filled is left alone for a while.
+    /// Records that the cloud has answered a request with `rented` machines. If these are fewer than requested, the offer is not
+    /// used during a backoff.
     pub fn record_rental(&mut self, request: &RentalRequest, rented: usize, now: Timestamp) {
         if rented < request.count as usize {
             self.offers.record_shortage(request.offer, now);
@@ -107,8 +112,9 @@
         }
     }
 
-    /// Records the present demand. Without unmet demand, cordons the machine that costs most for what it does if the others
-    /// cover the peak of the window; with unmet demand, takes such machines back into use.
+    /// Records the current demand. If any demand is unmet, takes surplus machines back into use. Otherwise moves a replica off a
+    /// surplus machine, and cordons at most one further machine: the one with the most expensive unused capacity among those
+    /// without which the others cover the peak of the window.
     fn cordon_surplus(
         &mut self,
         scheduler: &mut Scheduler,
@@ -132,7 +138,8 @@
         }
     }
 
-    /// Moves machines that are not needed, or did not come up, towards their release.
+    /// Marks machines that are not needed or have not come up for release, and avoids the offers of the latter if they are
+    /// doubtful.
     fn release_unneeded(
         &mut self,
         scheduler: &mut Scheduler,
@@ -166,7 +173,7 @@
     }
 }
 
-/// The nominal boot time of the machine type that boots soonest, in seconds.
+/// Returns the shortest nominal boot time of all machine types, in seconds, limited to [`MAX_BOOT_TIME_S`].
 fn shortest_boot_time_s(scheduler: &Scheduler) -> f64 {
     let boot_times = scheduler.machine_types().map(|(_, t)| t.boot_s);
     boot_times
@@ -174,9 +181,9 @@
         .min(MAX_BOOT_TIME_S)
 }
 
-/// How far ahead replicas are planned for: until a machine that is rented now is up.
+/// Returns how far ahead the replicas of services are forecast: until a machine that is rented now has come up.
 fn forecast_horizon(boot_time_s: f64) -> Duration {
-    duration_from_millis(boot_time_s * HORIZON_MILLIS_PER_SECOND) + HORIZON_MARGIN
+    duration_from_millis(boot_time_s * HORIZON_MILLIS_PER_BOOT_SECOND) + HORIZON_MARGIN
 }
 
 fn log_demand(scheduler: &Scheduler, demands: &[UnmetDemand]) {
@@ -193,15 +200,20 @@
         *used += machine.used;
         *services += machine.services;
     }
-    tracing::debug!(pending, wanted, machines_cpus_used_services = ?by_offer, "look ahead");
+    tracing::debug!(
+        pending,
+        wanted,
+        machines_cpus_used_services = ?by_offer,
+        "unmet demand and utilization by offer"
+    );
 }
 
-/// The largest whole number that is not above a value; what is negative or no number is 0.
+/// Rounds a value down to a whole number. Negative values and NaN become 0.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "float to integer casts saturate, which is what is wanted"
 )]
-fn floor(value: f64) -> u64 {
+fn floor_to_u64(value: f64) -> u64 {
     value as u64
 }
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -1,4 +1,4 @@
-//! Which offers of the cloud are worth a request now: backoff after refusals, and a rest after each request.
+//! Selection of the cloud's offers to request: backoff after shortages and failed boots, and a cooldown after each request.
 
 use super::RentalRequest;
 use crate::scheduler::Offer;
@@ -6,20 +6,23 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Backoff after the first refusal; doubled with each further one.
+/// Backoff after the first shortage. It doubles with each further one.
 const FIRST_BACKOFF: Duration = Duration::from_secs(8);
+/// Maximum backoff, for shortages and for offers whose machines do not come up.
 const MAX_BACKOFF: Duration = Duration::from_mins(1);
 
+/// Backoff of one offer.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
+    /// When the offer becomes available again.
     until: Timestamp,
-    /// The length of the last backoff.
+    /// Length of the last backoff after a shortage, from which the next one is computed.
     length: Duration,
 }
 
 impl Backoff {
-    /// A backoff whose first step will be [`FIRST_BACKOFF`].
-    fn starting(until: Timestamp) -> Backoff {
+    /// Returns the state before the first shortage, whose backoff will be [`FIRST_BACKOFF`].
+    fn initial(until: Timestamp) -> Backoff {
         Backoff {
             until,
             length: FIRST_BACKOFF / 2,
@@ -27,64 +30,66 @@
     }
 }
 
-/// What is remembered of offers.
+/// Backoffs and latest requests by offer.
 #[derive(Debug, Default)]
 pub(super) struct OfferBackoffs {
     backoffs: HashMap<Offer, Backoff>,
-    /// When each offer was last asked for.
+    /// When each offer was last requested.
     requested_at: HashMap<Offer, Timestamp>,
 }
 
 impl OfferBackoffs {
-    /// An offer was refused, or filled only in part.
+    /// Records that the cloud refused a request for an offer or filled it only in part, and starts a backoff.
     pub(super) fn record_shortage(&mut self, offer: Offer, now: Timestamp) {
         let backoff = self
             .backoffs
             .entry(offer)
-            .or_insert(Backoff::starting(Timestamp::ZERO));
+            .or_insert(Backoff::initial(Timestamp::ZERO));
         backoff.length = (backoff.length * 2).min(MAX_BACKOFF);
         backoff.until = now + backoff.length;
     }
 
-    /// An offer was filled.
+    /// Records that the cloud filled a request for an offer, and ends its backoff.
     pub(super) fn record_filled(&mut self, offer: Offer) {
         self.backoffs.remove(&offer);
     }
 
-    /// Machines of an offer do not come up: others are asked for during a time.
+    /// Makes an offer whose machines do not come up unavailable for at least `length`, or [`MAX_BACKOFF`] if that is shorter.
     pub(super) fn avoid(&mut self, offer: Offer, length: Duration, now: Timestamp) {
         let until = now + length.min(MAX_BACKOFF);
         let backoff = self
             .backoffs
             .entry(offer)
-            .or_insert(Backoff::starting(until));
+            .or_insert(Backoff::initial(until));
         backoff.until = backoff.until.max(until);
     }
 
-    /// Whether an offer may be asked for.
+    /// Reports whether an offer may be requested.
     pub(super) fn is_available(&self, offer: Offer, now: Timestamp) -> bool {
         self.backoffs
             .get(&offer)
             .is_none_or(|backoff| backoff.until <= now)
     }
 
-    /// The request to carry out next: the most urgent one whose offer was not asked for within the last `rest`, or else the
-    /// most urgent one.
+    /// Returns the request to send next: the most urgent one whose offer was not requested within the last `cooldown`, or the
+    /// most urgent one if there is none.
     ///
-    /// While urgent jobs stream in, each call for them alone would bring a few machines only and all other work would wait;
-    /// after the rest, one call brings what has accumulated.
+    /// Without the cooldown, a steady arrival of urgent jobs would use up every call to the cloud for a few machines each, and
+    /// less urgent jobs would wait. After the cooldown, one call rents the machines for all urgent jobs that have accumulated.
     pub(super) fn next_request(
         &mut self,
         requests: Vec<RentalRequest>,
-        rest: Duration,
+        cooldown: Duration,
         now: Timestamp,
     ) -> Option<RentalRequest> {
-        let rests = |request: &RentalRequest| {
+        let is_cooling_down = |request: &RentalRequest| {
             self.requested_at
                 .get(&request.offer)
-                .is_some_and(|at| now < *at + rest)
+                .is_some_and(|at| now < *at + cooldown)
         };
-        let position = requests.iter().position(|request| !rests(request));
+        let position = requests
+            .iter()
+            .position(|request| !is_cooling_down(request));
         let next = requests.into_iter().nth(position.unwrap_or(0))?;
         self.requested_at.insert(next.offer, now);
         Some(next)
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -1,6 +1,6 @@
-//! Scale in: which machines are released, and which take no new tasks because the others are enough.
+//! Scale-in: selection of the machines to release, and of surplus machines to drain because the others suffice.
 //!
-//! All CPUs here are counted in thousandths.
+//! All amounts of CPUs are in thousandths.
 
 use super::headroom::{cpus_in, CpusByZone, DemandHistory};
 use super::scale_out::hourly_price;
@@ -12,10 +12,11 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A machine on which services use more than one CPU in so many is not surplus: their replicas would have to be moved.
+/// A machine is surplus only if it has at least this many CPUs for each CPU that services use on it, since their replicas have
+/// to be moved before the machine can be released.
 const SURPLUS_CPUS_PER_SERVICE_CPU: u64 = 4;
 
-/// Moves machines that have been silent for too long to their release.
+/// Marks machines that have been silent for too long for release.
 pub fn release_silent_machines(scheduler: &mut Scheduler, policy: &ScalingPolicy) {
     let silent = scheduler.unresponsive_machines(policy.silence_limit, policy.zone_silence_limit);
     for machine in silent {
@@ -23,45 +24,47 @@
     }
 }
 
-/// The capacity of the machines that take tasks, beside what they have to cover.
+/// Capacity of the machines that accept tasks, and the demand that it has to cover.
 pub(super) struct SpareCapacity {
-    /// All CPUs.
+    /// CPUs of all machines.
     cpus: u64,
-    /// Recent peak of all demand.
+    /// Recent peak of total demand, with headroom.
     peak: u64,
-    /// CPUs of ordinary machines.
-    ordinary_cpus: CpusByZone,
-    /// Recent peak of services.
+    /// CPUs of on-demand machines.
+    on_demand_cpus: CpusByZone,
+    /// Recent peaks of placed services, with headroom.
     zone_peaks: CpusByZone,
-    /// Free CPUs of ordinary machines.
-    ordinary_free: CpusByZone,
-    /// Free CPUs to be kept for replicas to come.
+    /// Free CPUs of on-demand machines.
+    on_demand_free: CpusByZone,
+    /// Free CPUs to keep for forecast replicas.
     reserves: CpusByZone,
 }
 
 impl SpareCapacity {
+    /// Computes the capacity from the utilization, and the demand from the history.
     pub(super) fn new(
         utilization: &[Utilization],
         history: &DemandHistory,
         horizon: Duration,
     ) -> SpareCapacity {
-        let (mut ordinary_cpus, mut ordinary_free) = (CpusByZone::new(), CpusByZone::new());
+        let (mut on_demand_cpus, mut on_demand_free) = (CpusByZone::new(), CpusByZone::new());
         for machine in utilization.iter().filter(|machine| !machine.offer.spot) {
             let zone = machine.offer.zone;
-            *ordinary_free.entry(zone).or_default() += machine.cpus - machine.used;
-            *ordinary_cpus.entry(zone).or_default() += machine.cpus;
+            *on_demand_free.entry(zone).or_default() += machine.cpus - machine.used;
+            *on_demand_cpus.entry(zone).or_default() += machine.cpus;
         }
         SpareCapacity {
             cpus: utilization.iter().map(|machine| machine.cpus).sum(),
             peak: history.peak(),
-            ordinary_cpus,
+            on_demand_cpus,
             zone_peaks: history.zone_peaks(),
-            ordinary_free,
+            on_demand_free,
             reserves: history.reserves(horizon),
         }
     }
 
-    /// The machine that costs most for what it does, among those without which the others still cover everything.
+    /// Returns the machine with the most expensive unused capacity, among the machines that have been known for longer than
+    /// `window` and that can be spared.
     pub(super) fn surplus_machine(
         &self,
         scheduler: &Scheduler,
@@ -75,13 +78,14 @@
             .iter()
             .filter(|machine| now > known_since(machine) + window)
             .filter(|machine| machine.services * SURPLUS_CPUS_PER_SERVICE_CPU <= machine.cpus)
-            .filter(|machine| self.is_enough_without(machine))
+            .filter(|machine| self.can_spare(machine))
             .max_by(|a, b| idle_price(a).total_cmp(&idle_price(b)))
             .map(|machine| machine.machine)
     }
 
-    /// Whether the other machines cover the peak and, if this one is an ordinary machine, what services need in its zone.
-    fn is_enough_without(&self, machine: &Utilization) -> bool {
+    /// Reports whether the other machines cover the peak of demand. Without an on-demand machine, those of its zone must also
+    /// cover the peak of services there, and the reserve must remain free.
+    fn can_spare(&self, machine: &Utilization) -> bool {
         let Offer { zone, spot, .. } = machine.offer;
         if self.cpus - machine.cpus < self.peak {
             return false;
@@ -89,28 +93,28 @@
         if spot {
             return true;
         }
-        let others_in_zone = cpus_in(&self.ordinary_cpus, zone) - machine.cpus;
+        let others_in_zone = cpus_in(&self.on_demand_cpus, zone) - machine.cpus;
         let kept_free = cpus_in(&self.reserves, zone) + machine.cpus;
         others_in_zone >= cpus_in(&self.zone_peaks, zone)
-            && cpus_in(&self.ordinary_free, zone) >= kept_free
+            && cpus_in(&self.on_demand_free, zone) >= kept_free
     }
 }
 
-/// What is paid in an hour for the part of a machine that is not used.
+/// Returns the hourly price of the unused share of a machine.
 fn idle_price(scheduler: &Scheduler, machine: &Utilization) -> f64 {
     let machine_type = scheduler.machine_type(machine.offer.machine_type);
     let used = machine.used as f64 / machine.cpus.max(1) as f64;
     hourly_price(machine_type, machine.offer.spot) * (1.0 - used)
 }
 
-/// An offer whose machines do not come up.
+/// An offer whose machines do not come up, see [`Scheduler::abandon_boot`].
 pub(super) struct DoubtfulOffer {
     pub(super) offer: Offer,
-    /// For how long others should be asked for.
+    /// Time for which to avoid the offer.
     pub(super) avoid_for: Duration,
 }
 
-/// Moves machines that are drained, idle or have not come up towards their release. Returns the offers in doubt.
+/// Marks machines that are drained, idle or have not come up for release. Returns the doubtful offers.
 pub(super) fn release_unneeded(
     scheduler: &mut Scheduler,
     reserves: &CpusByZone,
@@ -129,15 +133,15 @@
     for (index, reason) in unneeded {
         scheduler.set_machine_state(index, MachineState::Releasing, reason);
     }
-    let given_up = overdue
+    let abandoned = overdue
         .into_iter()
         .filter_map(|index| scheduler.abandon_boot(index));
-    given_up
+    abandoned
         .map(|(offer, avoid_for)| DoubtfulOffer { offer, avoid_for })
         .collect()
 }
 
-/// Why a machine that is up or draining is released, if it is.
+/// Returns the reason for which a machine that is up or draining is released, or `None` if it is kept.
 fn release_reason(
     index: MachineIndex,
     machine: &Machine,
@@ -150,17 +154,17 @@
     match machine.state() {
         MachineState::Draining => Some("drained"),
         MachineState::Up if idle && machine.is_spot() => Some("idle"),
-        // What replicas to come will need stays.
-        MachineState::Up if idle && free.take_if_spare(index, machine.zone()) => Some("idle"),
+        // On-demand machines that forecast replicas need are kept.
+        MachineState::Up if idle && free.remove_if_spare(index, machine.zone()) => Some("idle"),
         _ => None,
     }
 }
 
-/// The free CPUs of ordinary machines, less those that are released in this decision.
+/// Free CPUs of the on-demand machines, except for those that are released in this decision.
 struct FreeCapacity<'a> {
     reserves: &'a CpusByZone,
     free: CpusByZone,
-    /// CPUs of each machine that takes tasks, by its index.
+    /// CPUs of each machine that accepts tasks.
     machine_cpus: HashMap<MachineIndex, u64>,
 }
 
@@ -180,8 +184,8 @@
         }
     }
 
-    /// Counts an idle machine as no longer there, if what is free without it covers the reserve of its zone.
-    fn take_if_spare(&mut self, machine: MachineIndex, zone: ZoneIndex) -> bool {
+    /// Removes an idle machine from the free capacity if the rest covers the reserve of its zone. Returns whether it did so.
+    fn remove_if_spare(&mut self, machine: MachineIndex, zone: ZoneIndex) -> bool {
         let own = self.machine_cpus.get(&machine).copied().unwrap_or(0);
         let free = self.free.entry(zone).or_default();
         let is_spare = *free >= cpus_in(self.reserves, zone) + own;
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out: what to rent for unmet demand and for the forecast head-room.
+//! Scale-out: rental requests for unmet demand and for the forecast headroom.
 
 use super::headroom::{cpus_in, CpusByZone, MILLI_PER_CPU};
 use super::offers::OfferBackoffs;
@@ -8,34 +8,35 @@
 use crate::scheduler::{MachineTypeIndex, Offer, Scheduler, UnmetDemand, Utilization, ZoneIndex};
 use crate::time::Timestamp;
 
-/// Most machines that are planned in one decision: by the time so many are rented, the demand has changed.
+/// Maximum number of machines planned in one decision. Before more could be rented, the demand will have changed.
 const MAX_PLANNED_MACHINES: usize = 100;
-/// Tasks that a machine could run beyond the demand count this much: others may use their place.
-const UNUSED_WORTH: f64 = 0.5;
+/// Weight of a task that a machine could run in addition to the demand, relative to a task of the demand. Tasks of other jobs
+/// may use this capacity.
+const UNUSED_TASK_WEIGHT: f64 = 0.5;
 
-/// Machines to be rented.
+/// A request for machines of one offer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RentalRequest {
-    /// Which machines.
+    /// The offer to rent from.
     pub offer: Offer,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// A machine that is to be rented, and its free capacity beside the tasks planned for it.
+/// A machine to be rented, and the capacity that the tasks planned for it leave free.
 struct PlannedMachine {
     offer: Offer,
     free: Resources,
 }
 
-/// What to rent for unmet demand, the most urgent first.
+/// Returns the rental requests for unmet demand, most urgent first.
 pub(super) fn requests_for_demand(
     scheduler: &Scheduler,
     demands: &[UnmetDemand],
     offers: &OfferBackoffs,
     now: Timestamp,
 ) -> Vec<RentalRequest> {
-    // Machines that come up in a zone that is isolated are out of reach, and were once counted on all the same.
+    // Machines that come up in an isolated zone cannot be reached, so they must not count as capacity for the demand.
     let unreachable = scheduler.unreachable_zones();
     let available =
         |offer: &Offer| !unreachable.contains(&offer.zone) && offers.is_available(*offer, now);
@@ -47,7 +48,7 @@
     group_requests(planned.iter().map(|machine| machine.offer))
 }
 
-/// Places tasks of a demand on machines that are planned already; returns how many are left.
+/// Places tasks of a demand on machines that are already planned. Returns the number of tasks that are left.
 fn place_on_planned(demand: &UnmetDemand, planned: &mut [PlannedMachine]) -> u32 {
     let mut unplaced = demand.tasks;
     for machine in planned
@@ -61,7 +62,8 @@
     unplaced
 }
 
-/// Plans machines until they have room for a number of tasks, no offer is left, or too many are planned.
+/// Plans further machines until all unplaced tasks of a demand have room, no offer is left, or [`MAX_PLANNED_MACHINES`] is
+/// reached.
 fn plan_machines(
     scheduler: &Scheduler,
     demand: &UnmetDemand,
@@ -83,7 +85,8 @@
     }
 }
 
-/// The available offer with the lowest price per useful task for a number of tasks of a demand.
+/// Returns the available offer with the lowest price per weighted task (see [`weighted_tasks`]) for the unplaced tasks of a
+/// demand.
 fn best_offer(
     scheduler: &Scheduler,
     demand: &UnmetDemand,
@@ -96,11 +99,11 @@
         if fitting == 0 {
             continue;
         }
-        let useful = useful_tasks(fitting, unplaced);
+        let weighted = weighted_tasks(fitting, unplaced);
         for offer in offers_of_type(scheduler, index, machine_type)
             .filter(|offer| demand.allows(offer) && available(offer))
         {
-            let price = hourly_price(machine_type, offer.spot) / useful;
+            let price = hourly_price(machine_type, offer.spot) / weighted;
             if best.is_none_or(|(lowest, _)| price < lowest) {
                 best = Some((price, offer));
             }
@@ -109,13 +112,14 @@
     best.map(|(_, offer)| offer)
 }
 
-/// The worth of a machine in tasks, of which `fitting` have room there and `unplaced` are wanted.
-fn useful_tasks(fitting: u32, unplaced: u32) -> f64 {
-    let used = fitting.min(unplaced);
-    f64::from(used) + f64::from(fitting - used) * UNUSED_WORTH
+/// Returns the weighted number of tasks that a machine is rented for, if `fitting` tasks fit on it and `unplaced` tasks need
+/// a machine. Capacity for tasks beyond `unplaced` counts with [`UNUSED_TASK_WEIGHT`].
+fn weighted_tasks(fitting: u32, unplaced: u32) -> f64 {
+    let needed = fitting.min(unplaced);
+    f64::from(needed) + f64::from(fitting - needed) * UNUSED_TASK_WEIGHT
 }
 
-/// The offers of a machine type, spot before ordinary machines in each zone.
+/// Returns the offers of a machine type, spot before on-demand machines in each zone.
 fn offers_of_type<'a>(
     scheduler: &'a Scheduler,
     index: MachineTypeIndex,
@@ -133,7 +137,7 @@
         })
 }
 
-/// The price of a machine for an hour.
+/// Returns the hourly price of a machine.
 pub(super) fn hourly_price(machine_type: &MachineType, spot: bool) -> f64 {
     if spot {
         machine_type.spot_price
@@ -142,7 +146,7 @@
     }
 }
 
-/// Machines to be rented as requests, each as large as the cloud accepts.
+/// Groups machines to be rented into requests of at most [`MAX_RENT_COUNT`] machines of one offer each.
 fn group_requests(offers: impl Iterator<Item = Offer>) -> Vec<RentalRequest> {
     let mut requests: Vec<RentalRequest> = Vec::new();
     for offer in offers {
@@ -157,7 +161,7 @@
     requests
 }
 
-/// What to rent ahead of replicas to come, in zones where too little is free for them.
+/// Returns the rental requests for forecast replicas of services, in zones with less free capacity than the reserve.
 pub(super) fn requests_for_headroom(
     scheduler: &Scheduler,
     reserves: &CpusByZone,
@@ -181,7 +185,7 @@
     requests
 }
 
-/// What is free on the ordinary machines of a zone.
+/// Returns the free CPUs on the on-demand machines of a zone, in thousandths.
 fn free_cpus(utilization: &[Utilization], zone: ZoneIndex) -> u64 {
     utilization
         .iter()
@@ -190,7 +194,8 @@
         .sum()
 }
 
-/// A request for ordinary machines of a zone with a number of CPUs, of the type with the lowest price for each.
+/// Returns a request for on-demand machines in a zone that together have at least `cpus` thousandths of CPUs, limited to
+/// [`MAX_RENT_COUNT`] machines. Selects the available machine type with the lowest price per CPU.
 fn headroom_request(
     scheduler: &Scheduler,
     zone: ZoneIndex,
@@ -215,7 +220,7 @@
         })
         .min_by(|(_, a), (_, b)| cpu_price(a).total_cmp(&cpu_price(b)))?;
     let machines = (cpus as f64 / (machine_type.cpus * MILLI_PER_CPU)).ceil();
-    let count = super::floor(machines.min(f64::from(MAX_RENT_COUNT)));
+    let count = super::floor_to_u64(machines.min(f64::from(MAX_RENT_COUNT)));
     Some(RentalRequest {
         offer: offer_of(index),
         count: u32::try_from(count).unwrap_or(MAX_RENT_COUNT),
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -1,4 +1,4 @@
-//! What is rented next, and what is avoided.
+//! Tests of the order of rental requests and of the avoidance of offers.
 
 use super::*;
 use crate::protocol::MachineType;
@@ -10,13 +10,13 @@
 const BOOT_S: f64 = 20.0;
 const IDLE_LIMIT: Duration = Duration::from_secs(45);
 const HORIZON: Duration = Duration::from_secs(35);
-const REST: Duration = Duration::from_secs(2);
+const COOLDOWN: Duration = Duration::from_secs(2);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
 }
 
-/// A scheduler with two machine types; the first is the cheaper one.
+/// Returns a scheduler with two machine types, of which the first is cheaper.
 fn scheduler() -> Scheduler {
     let params = Params {
         lease: Duration::from_secs(12),
@@ -28,7 +28,7 @@
         teams: Vec::new(),
         finish_within: HashMap::new(),
     };
-    let kind = |name: &str, price: f64| MachineType {
+    let machine_type = |name: &str, price: f64| MachineType {
         name: name.into(),
         cpus: 8.0,
         gpus: 0.0,
@@ -41,11 +41,12 @@
         zones: vec!["a".into()],
     };
     let mut scheduler = Scheduler::new(params, Epoch::new(1), 1000);
-    scheduler.update_machine_types(&[kind("cheap", 1.0), kind("dear", 2.0)]);
+    scheduler.update_machine_types(&[machine_type("cheap", 1.0), machine_type("expensive", 2.0)]);
     scheduler
 }
 
-fn need(tasks: u32) -> UnmetDemand {
+/// Returns the demand for a number of tasks, each of which fills a machine.
+fn demand(tasks: u32) -> UnmetDemand {
     UnmetDemand {
         task_resources: Resources {
             cpu_milli: 8000,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Ordinary machines of a type.
+/// Returns the offer of on-demand machines of a type.
 fn offer(machine_type: usize) -> Offer {
     Offer {
         machine_type: MachineTypeIndex::from_position(machine_type),
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn an_offer_rests_after_a_request_while_others_are_wanted() {
+fn an_offer_requested_recently_yields_to_other_offers() {
     let mut autoscaler = Autoscaler::default();
     let urgent = offer(0);
     let other = Offer {
@@ -83,44 +84,47 @@
     };
     let both = || vec![request(urgent, 2), request(other, 50)];
     assert_eq!(
-        autoscaler.next_request(both(), REST, at(1000)),
+        autoscaler.next_request(both(), COOLDOWN, at(1000)),
         Some(request(urgent, 2))
     );
-    // Urgent work that comes in a few tasks at a time does not take every call.
+    // Urgent demand that arrives a few tasks at a time must not use up every call to the cloud.
     assert_eq!(
-        autoscaler.next_request(both(), REST, at(1700)),
+        autoscaler.next_request(both(), COOLDOWN, at(1700)),
         Some(request(other, 50))
     );
-    // Both rest: the most urgent goes first.
+    // Both offers were requested recently, so the most urgent request comes first.
     assert_eq!(
-        autoscaler.next_request(both(), REST, at(2400)),
+        autoscaler.next_request(both(), COOLDOWN, at(2400)),
         Some(request(urgent, 2))
     );
     assert_eq!(
-        autoscaler.next_request(vec![request(urgent, 1)], REST, at(2500)),
+        autoscaler.next_request(vec![request(urgent, 1)], COOLDOWN, at(2500)),
         Some(request(urgent, 1))
     );
-    assert_eq!(autoscaler.next_request(Vec::new(), REST, at(2600)), None);
     assert_eq!(
-        autoscaler.next_request(both(), REST, at(9000)),
+        autoscaler.next_request(Vec::new(), COOLDOWN, at(2600)),
+        None
+    );
+    assert_eq!(
+        autoscaler.next_request(both(), COOLDOWN, at(9000)),
         Some(request(urgent, 2))
     );
 }
 
 #[test]
-fn an_offer_whose_machines_never_come_up_is_left_for_a_while_if_another_fits() {
+fn an_offer_whose_machines_do_not_come_up_is_avoided_for_a_limited_time() {
     let (mut scheduler, mut autoscaler) = (scheduler(), Autoscaler::default());
-    let (cheap, dear) = (offer(0), offer(1));
+    let (cheap, expensive) = (offer(0), offer(1));
     let hardware = Hardware {
         machine_type: "cheap",
         zone: "a",
         spot: false,
     };
-    let wanted = |autoscaler: &Autoscaler, scheduler: &Scheduler, now| {
-        autoscaler.requests_for_demand(scheduler, &[need(3)], at(now))
+    let requests = |autoscaler: &Autoscaler, scheduler: &Scheduler, now| {
+        autoscaler.requests_for_demand(scheduler, &[demand(3)], at(now))
     };
     assert_eq!(
-        wanted(&autoscaler, &scheduler, 1000),
+        requests(&autoscaler, &scheduler, 1000),
         vec![request(cheap, 3)]
     );
     (0..3).for_each(|n| scheduler.add_machine(&format!("n-{n}"), hardware, Origin::Rented));
@@ -130,19 +134,19 @@
     scheduler.advance_clock(62_000);
     autoscaler.release_unneeded(&mut scheduler, IDLE_LIMIT, HORIZON, at(62_000));
     assert_eq!(scheduler.machines_to_release(9).len(), 3);
-    // Asked for again at once, it once cost a boot time again and again.
+    // If the offer were requested again at once, the demand would wait for another boot timeout each time.
     assert_eq!(
-        wanted(&autoscaler, &scheduler, 62_000),
-        vec![request(dear, 3)]
+        requests(&autoscaler, &scheduler, 62_000),
+        vec![request(expensive, 3)]
     );
     let only_cheap = UnmetDemand {
         types: Some(vec![MachineTypeIndex::from_position(0)]),
-        ..need(1)
+        ..demand(1)
     };
     assert!(autoscaler
         .requests_for_demand(&scheduler, std::slice::from_ref(&only_cheap), at(62_000))
         .is_empty());
-    // Not for ever: it is tried again, and its machines may take twice as long.
+    // The offer is requested again later, and its machines then have twice the time to come up.
     assert_eq!(
         autoscaler.requests_for_demand(&scheduler, &[only_cheap], at(123_000)),
         vec![request(cheap, 1)]
