--- a/src/controller/start_log_loop.rs
+++ b/src/controller/start_log_loop.rs
@@ -39,7 +39,7 @@
 
     /// Reads a slot of the start log. Returns `None` if the slot is empty or the read fails.
     async fn read_start_log_slot(&self, slot: u32) -> Option<Versioned<String>> {
-        let key = store::starts_key(slot);
+        let key = store::start_log_key(slot);
         self.record_store_answer(self.store.get::<String>(&key).await)
             .ok()
     }
--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -113,7 +113,7 @@
             let stored_version = stored.map_or(Revision::ZERO, |row| row.version);
             let key = store::done_key(&chunk.job, chunk.chunk);
             txn.guards.push(guard(key.clone(), stored_version));
-            let bits = store::bits_to_text(&chunk.bits);
+            let bits = store::bitmap_to_hex(&chunk.bits);
             txn.apply.push(put(key, &bits, None));
         }
         Some(ResultsWrite { chunks, txn })
--- a/src/controller/state/epoch_start.rs
+++ b/src/controller/state/epoch_start.rs
@@ -29,11 +29,15 @@
         scheduler.update_machine_types(&self.machine_types);
         self.add_rented_machines(&mut scheduler);
         self.add_stored_jobs(&mut scheduler);
-        let start_log = self.replica.starts.iter().map(|(number, slot)| StoredSlot {
-            number: *number,
-            version: slot.version,
-            text: &slot.record,
-        });
+        let start_log = self
+            .replica
+            .start_log
+            .iter()
+            .map(|(number, slot)| StoredSlot {
+                number: *number,
+                version: slot.version,
+                text: &slot.record,
+            });
         scheduler.replay_start_log(start_log);
         if self.leadership_status.previous_epoch_without_start_log() {
             scheduler.wait_for_lease_expiry();
--- a/src/controller/state/leadership_status.rs
+++ b/src/controller/state/leadership_status.rs
@@ -70,7 +70,7 @@
 
     /// Reports whether this controller may claim leadership, because it is vacant according to the replica.
     pub(super) fn may_claim(&self, replica: &Replica) -> bool {
-        replica.free_to_claim(&self.identity)
+        replica.may_claim_leadership(&self.identity)
     }
 
     /// Reports whether this controller may start a campaign.
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -41,7 +41,7 @@
             .as_mut()?
             .next_log_write(max_bytes, max_job_guards)?;
         let epoch = guard(store::epoch_key(), term.epoch_version);
-        let txn = store::log_txn(&epoch, slot_write.start_log_write());
+        let txn = store::start_log_txn(&epoch, slot_write.start_log_write());
         Some(StartLogWrite {
             slot_write,
             term,
@@ -66,7 +66,7 @@
         };
         // A failed guard on a job shows that the job is no longer unfinished, which the replica may not contain yet.
         if let Ok(TxnOutcome::Failed(keys)) = outcome {
-            for job in keys.iter().filter_map(|key| store::live_job(key)) {
+            for job in keys.iter().filter_map(|key| store::parse_live_key(key)) {
                 scheduler.drop_job(job);
             }
         }
--- a/src/controller/tests/fault_combinations/late_writes.rs
+++ b/src/controller/tests/fault_combinations/late_writes.rs
@@ -15,7 +15,7 @@
         simulation.run(5500 * MILLISECOND + 100 * offset * MILLISECOND);
         let node = round % NODES;
         // A late submission of the same job and its cancellation each cross the last results.
-        let record = store::LiveRecord {
+        let record = store::JobRecord {
             spec: spec("wk-1", 2),
             at_ms: 1,
         };
--- a/src/controller/tests/simulation/cluster/writes.rs
+++ b/src/controller/tests/simulation/cluster/writes.rs
@@ -61,7 +61,7 @@
             Ok(TxnOutcome::Applied(_)) | Err(StoreError::RateLimited | StoreError::Unavailable)
         );
         let found = if !certain && self.store.answers(node) {
-            let key = store::starts_key(pending.append.slot);
+            let key = store::start_log_key(pending.append.slot);
             self.store.get::<String>(&key)
         } else {
             None
--- a/src/controller/tests/simulation/users.rs
+++ b/src/controller/tests/simulation/users.rs
@@ -4,7 +4,7 @@
 use crate::coordination::cancellations::Notice;
 use crate::coordination::peers::CancelledJob;
 use crate::protocol::JobSpec;
-use crate::store::{self, FinalRecord, LiveRecord, TxnOutcome};
+use crate::store::{self, FinalRecord, JobRecord, TxnOutcome};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -49,7 +49,7 @@
 impl Simulation {
     /// A user submits a job whose tasks run for that time.
     pub(crate) fn submit(&mut self, spec: JobSpec, run_time: Duration) {
-        let record = LiveRecord {
+        let record = JobRecord {
             spec: spec.clone(),
             at_ms: self.now().as_millis(),
         };
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -14,7 +14,7 @@
 use crate::coordination::cancellations::Notice;
 use crate::coordination::leadership::longest_authority;
 use crate::coordination::peers::CancelledJob;
-use crate::store::{self, FinalRecord, LiveRecord, Revision, StoreError, TxnOutcome, Versioned};
+use crate::store::{self, FinalRecord, JobRecord, Revision, StoreError, TxnOutcome, Versioned};
 use std::ops::ControlFlow;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -60,7 +60,7 @@
     }
 
     /// Cancels an unfinished job, on the condition that its record in the store is still `live`.
-    async fn cancel_unfinished(&self, id: &str, live: &Versioned<LiveRecord>) -> Attempt {
+    async fn cancel_unfinished(&self, id: &str, live: &Versioned<JobRecord>) -> Attempt {
         let final_state = FinalRecord {
             cancelled: true,
             tasks: live.record.spec.tasks,
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -16,7 +16,7 @@
 use crate::controller::messages::{JobOutcome, JobRejection};
 use crate::controller::state::ControllerState;
 use crate::protocol::{JobKind, JobSpec, JobState, JobView};
-use crate::store::{self, LiveRecord, StoreError, TxnOutcome};
+use crate::store::{self, JobRecord, StoreError, TxnOutcome};
 
 /// Number of changes to the store per submission.
 const SUBMISSION_CHANGES: u32 = 1;
@@ -58,7 +58,7 @@
     /// Creates the record of a submitted job, which makes the job durable.
     async fn accept(&self, spec: JobSpec) -> JobOutcome {
         let at_ms = self.read_state(ControllerState::unix_millis);
-        let record = LiveRecord { spec, at_ms };
+        let record = JobRecord { spec, at_ms };
         let id = record.spec.id.as_str();
         match self
             .run_user_transaction(&store::submit_txn(id, &record))
@@ -88,7 +88,7 @@
 
     /// Reads the store to find out whether an unanswered transaction has created the job.
     async fn read_back_submission(&self, id: &str) -> JobOutcome {
-        let read = self.store.get::<LiveRecord>(&store::live_key(id)).await;
+        let read = self.store.get::<JobRecord>(&store::live_key(id)).await;
         match self.record_store_answer(read) {
             Ok(_) => JobOutcome::Known(queued_view(id)),
             Err(_) => JobOutcome::RETRY_SOON,
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -8,7 +8,7 @@
 use crate::placement::ResourceClass;
 use crate::protocol::{JobKind, JobSpec, Priority};
 use crate::resources::Resources;
-use crate::store::{LiveRecord, Revision};
+use crate::store::{JobRecord, Revision};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// An unfinished job, or a cancelled one of which something may still run.
 pub struct Job {
     /// Its record.
-    pub record: LiveRecord,
+    pub record: JobRecord,
     /// The version of its record.
     pub(super) version: Revision,
     pub(super) submitted_at: Timestamp,
@@ -71,7 +71,7 @@
 impl Job {
     /// A job of which nothing is known but its record and its stored results.
     pub(super) fn new(
-        record: LiveRecord,
+        record: JobRecord,
         version: Revision,
         placement: JobPlacement,
         results: TaskBitmap,
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -9,7 +9,7 @@
 use crate::placement::ResourceClass;
 use crate::protocol::JobSpec;
 use crate::resources::Resources;
-use crate::store::{LiveRecord, Revision};
+use crate::store::{JobRecord, Revision};
 use std::time::Duration;
 
 /// A job of which every task is done.
@@ -37,7 +37,7 @@
     /// runs of it matters.
     pub fn add_job(
         &mut self,
-        record: LiveRecord,
+        record: JobRecord,
         version: Revision,
         results: &[(u32, Vec<u8>)],
         unix_millis: u64,
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -61,7 +61,7 @@
     /// Adds a job.
     pub(super) fn submit(&mut self, spec: JobSpec, version: u64) {
         self.scheduler.add_job(
-            LiveRecord { spec, at_ms: 0 },
+            JobRecord { spec, at_ms: 0 },
             Revision::new(version),
             &[],
             0,
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -20,7 +20,7 @@
     WorkerStatus,
 };
 use crate::resources::QuotaResources;
-use crate::store::{LiveRecord, LoggedJob, Revision};
+use crate::store::{JobRecord, LoggedJob, Revision};
 use cluster::Cluster;
 use std::collections::HashMap;
 
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -89,7 +89,7 @@
     let mut cluster = Cluster::new();
     cluster.inherit_machine("n-1");
     cluster.scheduler.add_job(
-        LiveRecord {
+        JobRecord {
             spec: spec("wk-1", 1),
             at_ms: 0,
         },
@@ -114,7 +114,7 @@
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.scheduler.add_job(
-        LiveRecord {
+        JobRecord {
             spec: spec("wk-1", 3),
             at_ms: 0,
         },
@@ -234,7 +234,7 @@
     let mut cluster = Cluster::new();
     cluster.inherit_machine("n-1");
     cluster.scheduler.add_job(
-        LiveRecord {
+        JobRecord {
             spec: spec("wk-1", 2),
             at_ms: 0,
         },
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,7 +1,7 @@
-//! The state service's client: one call each, without retries.
+//! The client of the state service. Each method makes one call, or one per page, and does not retry.
 
 use super::keys::KeyFamily;
-use super::records::read_record;
+use super::records::decode_record;
 use super::{Replica, ReplicaChange, Revision, Versioned, ROOT};
 use crate::clients::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest, HttpResponse};
 use crate::protocol::{
@@ -13,55 +13,56 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time allowed for an ordinary call.
-const TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time allowed for a page of keys.
+/// Timeout of calls, except for pages of keys and renewals of leases. A watch gets this time in addition to its waiting time.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout of reading a page of keys.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Keys on a page.
+/// Maximum number of keys on a page.
 const PAGE_SIZE: usize = 200;
-/// Largest response accepted. A page of keys has 512 KiB at most. Only a watch has no limit: one that brings more than this is
-/// replaced by reading the keys page by page, which costs less memory.
-const RESPONSE_LIMIT: usize = 4 << 20;
+/// Maximum size of a response in bytes. A page of keys takes at most 512 KiB. Only the answer to a watch has no bound: if it
+/// exceeds this limit, the keys are read page by page instead, which takes less memory.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Why a call to the state service has brought no result to rely on.
+/// Error of a call to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum StoreError {
-    /// Over the request rate (429): certainly not executed.
+    /// The request rate was exceeded (429). The call was not executed.
     #[error("request rate exceeded")]
     RateLimited,
-    /// Refused (503): certainly not executed.
-    #[error("refused")]
+    /// The service refused the call (503). The call was not executed.
+    #[error("service unavailable")]
     Unavailable,
-    /// What was asked for does not exist or no longer does (404, 410, no such lease).
+    /// The key or lease does not exist (404, or 400 for a transaction with an unknown lease), or the service no longer has the
+    /// requested changes (410).
     #[error("not found")]
     NotFound,
-    /// The response is larger than this process is ready to hold. Only a read ends so.
+    /// The response exceeds the size limit. Only reads return this error.
     #[error("response too large")]
     ResponseTooLarge,
-    /// No response to rely on: executed, or to be executed later, or not at all.
+    /// No valid response arrived. The call was executed, will be executed later, or will never be executed.
     #[error("outcome unknown: {0}")]
     OutcomeUnknown(#[source] UnknownOutcome),
 }
 
-/// Why the outcome of a call is unknown.
+/// Reason why the outcome of a call is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum UnknownOutcome {
-    /// No complete response within the timeout.
+    /// No complete response arrived within the timeout.
     #[error("no response")]
     NoResponse,
-    /// A status that the call does not have.
+    /// The status is not defined for the call.
     #[error("unexpected status {0}")]
     UnexpectedStatus(u16),
-    /// A body, or a record in it, that does not decode.
-    #[error("response not understood")]
+    /// The body, or a record in it, cannot be decoded.
+    #[error("malformed response")]
     Malformed,
 }
 
 impl UnknownOutcome {
-    /// Of a response whose status is not the expected one, or whose body does not decode.
-    fn of(response: &HttpResponse) -> StoreError {
+    /// Returns the error for a response with an unexpected status or a body that cannot be decoded.
+    fn error_for(response: &HttpResponse) -> StoreError {
         StoreError::OutcomeUnknown(match response.status {
             StatusCode::OK | StatusCode::CONFLICT => UnknownOutcome::Malformed,
             status => UnknownOutcome::UnexpectedStatus(status.as_u16()),
@@ -71,16 +72,16 @@
 
 const MALFORMED: StoreError = StoreError::OutcomeUnknown(UnknownOutcome::Malformed);
 
-/// The outcome of a transaction that was decided.
+/// The outcome of a transaction, as the service has reported it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TxnOutcome {
-    /// Applied at this revision, which is now the version of every key that it wrote.
+    /// The transaction was applied at this revision, which is now the version of every key that it wrote.
     Applied(Revision),
-    /// Not applied: these keys had other versions.
+    /// The transaction was not applied, because these keys did not have the expected versions.
     Failed(Vec<String>),
 }
 
-/// The state service's client.
+/// Client of the state service.
 #[derive(Clone)]
 pub struct StoreClient {
     http: awc::Client,
@@ -88,7 +89,7 @@
 }
 
 impl StoreClient {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     #[must_use]
     pub fn new(http: awc::Client, address: SocketAddr) -> Self {
         StoreClient {
@@ -97,14 +98,14 @@
         }
     }
 
-    /// Reads a key.
+    /// Reads the record of a key, with its version.
     ///
     /// # Errors
-    /// [`StoreError::NotFound`] if the key does not exist, any other if the service does not answer with a record of this
-    /// type.
+    /// [`StoreError::NotFound`] if the key does not exist, another error if the service does not answer with a record of type
+    /// `T`.
     pub async fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Versioned<T>, StoreError> {
-        let item: Item = self.read(&format!("/keys/{key}"), TIMEOUT).await?;
-        let record = read_record(&item.value).ok_or(MALFORMED)?;
+        let item: Item = self.read(&format!("/keys/{key}"), CALL_TIMEOUT).await?;
+        let record = decode_record(&item.value).ok_or(MALFORMED)?;
         Ok(Versioned {
             record,
             version: item.version,
@@ -114,78 +115,80 @@
     /// Runs a transaction.
     ///
     /// # Errors
-    /// If it was certainly not executed, or may have been or may yet be ([`StoreError::OutcomeUnknown`]).
+    /// [`StoreError::OutcomeUnknown`] if the transaction may have been executed or may yet be, another error if it was not
+    /// executed.
     pub async fn txn(&self, txn: &Txn) -> Result<TxnOutcome, StoreError> {
-        let response = self.post("/multi", encode(txn), TIMEOUT).await?;
+        let response = self.post("/multi", encode(txn), CALL_TIMEOUT).await?;
         let reply = decode::<TxnReply>(&response.body).ok();
         match (response.status, reply) {
             (StatusCode::OK, Some(reply)) => Ok(TxnOutcome::Applied(reply.revision)),
             (StatusCode::CONFLICT, Some(reply)) => Ok(TxnOutcome::Failed(reply.failed)),
             (StatusCode::BAD_REQUEST, _) => Err(StoreError::NotFound),
-            _ => Err(UnknownOutcome::of(&response)),
+            _ => Err(UnknownOutcome::error_for(&response)),
         }
     }
 
-    /// Runs a transaction without changes for the revision that the service is at, whether its guards hold or not.
+    /// Runs a transaction without changes as a read barrier. Returns the current revision of the service, whether or not the
+    /// guards hold.
     ///
     /// # Errors
-    /// If the service does not answer.
+    /// Returns an error if the service does not answer.
     pub async fn barrier(&self, txn: &Txn) -> Result<Revision, StoreError> {
-        let response = self.post("/multi", encode(txn), TIMEOUT).await?;
+        let response = self.post("/multi", encode(txn), CALL_TIMEOUT).await?;
         match (response.status, decode::<TxnReply>(&response.body).ok()) {
             (StatusCode::OK | StatusCode::CONFLICT, Some(reply)) => Ok(reply.revision),
-            _ => Err(UnknownOutcome::of(&response)),
+            _ => Err(UnknownOutcome::error_for(&response)),
         }
     }
 
-    /// Opens a lease that ends when it is not renewed for `ttl`, in whole milliseconds, and tells its id.
+    /// Opens a lease and returns its id. The lease ends when it is not renewed for `ttl`, which is sent in whole milliseconds.
     ///
     /// # Errors
-    /// If the service does not answer. A lease may have been opened all the same; it ends by itself.
+    /// Returns an error if the service does not answer. The lease may have been opened all the same, in which case it expires.
     pub async fn open_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         let ttl_ms = whole_millis(ttl);
         let body = encode(&LeaseRequest { ttl_ms });
-        let response = self.post("/holds", body, TIMEOUT).await?;
+        let response = self.post("/holds", body, CALL_TIMEOUT).await?;
         match (response.status, decode::<LeaseReply>(&response.body).ok()) {
             (StatusCode::OK, Some(reply)) => Ok(reply.lease),
-            _ => Err(UnknownOutcome::of(&response)),
+            _ => Err(UnknownOutcome::error_for(&response)),
         }
     }
 
     /// Renews a lease.
     ///
     /// # Errors
-    /// [`StoreError::NotFound`] if the lease has ended, any other if the service does not answer within the timeout.
+    /// [`StoreError::NotFound`] if the lease has ended, another error if the service does not answer within the timeout.
     pub async fn renew(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
         let path = format!("/holds/{lease}/extend");
         let response = self.post(&path, Vec::new(), timeout).await?;
         match response.status {
             StatusCode::OK => Ok(()),
-            _ => Err(UnknownOutcome::of(&response)),
+            _ => Err(UnknownOutcome::error_for(&response)),
         }
     }
 
-    /// Ends a lease, and with it the keys that are attached to it. If this fails the lease ends when its time is over.
+    /// Ends a lease, which deletes the keys attached to it. If the call fails, the lease expires later.
     pub async fn close_lease(&self, lease: u64) {
         let path = format!("/holds/{lease}");
-        let _ = self.call(Method::DELETE, &path, None, TIMEOUT).await;
+        let _ = self.call(Method::DELETE, &path, None, CALL_TIMEOUT).await;
     }
 
-    /// Waits for changes after a revision, at most for `hold`, in whole milliseconds.
+    /// Waits for changes after a revision, for at most `max_wait`, which is sent in whole milliseconds.
     ///
     /// # Errors
-    /// [`StoreError::NotFound`] if the service no longer has all changes since then, [`StoreError::ResponseTooLarge`] if there
-    /// are too many, any other if the service does not answer.
-    pub async fn watch(&self, after: Revision, hold: Duration) -> Result<Watched, StoreError> {
-        let hold_ms = whole_millis(hold);
-        let path = format!("/watch?starts={ROOT}&after={after}&holdMs={hold_ms}");
-        self.read(&path, hold + TIMEOUT).await
+    /// [`StoreError::NotFound`] if the service no longer has all changes since that revision, [`StoreError::ResponseTooLarge`]
+    /// if there are too many of them, another error if the service does not answer.
+    pub async fn watch(&self, after: Revision, max_wait: Duration) -> Result<Watched, StoreError> {
+        let max_wait_ms = whole_millis(max_wait);
+        let path = format!("/watch?starts={ROOT}&after={after}&holdMs={max_wait_ms}");
+        self.read(&path, max_wait + CALL_TIMEOUT).await
     }
 
-    /// Reads everything that a replica holds, family by family and page by page. Final states are not among it.
+    /// Loads a replica, family by family and page by page. Final states are not loaded.
     ///
     /// # Errors
-    /// If one of the pages cannot be read.
+    /// Returns an error if any page cannot be read.
     pub async fn load(&self) -> Result<Replica, StoreError> {
         let mut replica = Replica::default();
         let mut first_revision = None;
@@ -193,13 +196,13 @@
             let revision = self.load_family(&mut replica, family).await?;
             first_revision.get_or_insert(revision);
         }
-        // The watch begins at the first page's revision, so that it brings the changes between the pages.
+        // Starting the watch at the revision of the first page makes it deliver the changes that were made between the pages.
         replica.revision = first_revision.unwrap_or_default();
         replica.initialized = true;
         Ok(replica)
     }
 
-    /// Reads the keys of a family into a replica, and tells the revision of the first page.
+    /// Loads the keys of a family into a replica, and returns the revision of the first page.
     async fn load_family(
         &self,
         replica: &mut Replica,
@@ -209,9 +212,9 @@
         let mut after = String::new();
         let mut first_revision = None;
         loop {
-            let page = self.page(&prefix, &after).await?;
+            let page = self.read_page(&prefix, &after).await?;
             let revision = *first_revision.get_or_insert(page.revision);
-            put_page(replica, &page);
+            apply_page(replica, &page);
             match page.items.last() {
                 Some(last) if page.more => after.clone_from(&last.key),
                 _ => return Ok(revision),
@@ -219,8 +222,8 @@
         }
     }
 
-    /// One page of the keys with a prefix, in their order, from the one that follows `after`.
-    async fn page(&self, prefix: &str, after: &str) -> Result<Page, StoreError> {
+    /// Reads a page of the keys with a prefix, in key order, starting after the key `after`.
+    async fn read_page(&self, prefix: &str, after: &str) -> Result<Page, StoreError> {
         let path = format!("/keys?starts={prefix}&after={after}&limit={PAGE_SIZE}");
         self.read(&path, PAGE_TIMEOUT).await
     }
@@ -232,7 +235,7 @@
     ) -> Result<T, StoreError> {
         let response = self.call(Method::GET, path, None, timeout).await?;
         if response.status != StatusCode::OK {
-            return Err(UnknownOutcome::of(&response));
+            return Err(UnknownOutcome::error_for(&response));
         }
         decode(&response.body).map_err(|_| MALFORMED)
     }
@@ -245,7 +248,7 @@
     ) -> Result<HttpResponse, StoreError> {
         let result = self.call(Method::POST, path, Some(body), timeout).await;
         result.map_err(|error| match error {
-            // Whatever came back, what was asked for may have been done.
+            // The request may have been executed, whatever the response contains.
             StoreError::ResponseTooLarge => MALFORMED,
             error => error,
         })
@@ -263,7 +266,7 @@
             url: format!("{}{path}", self.base),
             body,
             timeout,
-            response_limit: RESPONSE_LIMIT,
+            response_limit: MAX_RESPONSE_BYTES,
             connection: ConnectionReuse::Keep,
         };
         let response = exchange(&self.http, request)
@@ -281,8 +284,8 @@
     }
 }
 
-/// Applies a page of a replica that is being read. What has changed is of no interest: the replica is new as a whole.
-fn put_page(replica: &mut Replica, page: &Page) {
+/// Applies a page of keys to a replica that is being loaded. The changes are discarded, since the whole replica is new.
+fn apply_page(replica: &mut Replica, page: &Page) {
     let mut changes: Vec<ReplicaChange> = Vec::new();
     for item in &page.items {
         replica.put(&item.key, &item.value, item.version, &mut changes);
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,13 +1,13 @@
-//! The keys: the one place that knows their text, to write and to read it.
+//! The format of keys. No other module writes or parses their text.
 
 use std::fmt;
 
-/// Everything of this deployment is below this prefix.
+/// Prefix of all keys of the deployment.
 pub const ROOT: &str = "hollowswitch/";
-/// Tasks covered by one record of finished tasks: its text stays near 1 KiB, well below any value limit.
+/// Number of tasks covered by one bitmap of finished tasks. Its text takes about 1 KiB, well below any limit on values.
 pub const TASKS_PER_CHUNK: u32 = 4096;
 
-/// A kind of key.
+/// A family of keys, which share a prefix and hold records of one type.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum KeyFamily {
     Leader,
@@ -17,13 +17,13 @@
     Stopping,
     Final,
     Done,
-    Starts,
+    StartLog,
     Rental,
 }
 
 impl KeyFamily {
-    /// The families that a replica holds, in the order in which they are read. Final states are read one at a time, when they
-    /// are asked for: there is one for every job ever.
+    /// The families that a replica contains, in the order in which they are loaded. Final states are not among them: there is
+    /// one for every job ever submitted, so that each is read only when a user asks for it.
     pub(super) const REPLICATED: [KeyFamily; 8] = [
         KeyFamily::Catalogue,
         KeyFamily::Done,
@@ -31,7 +31,7 @@
         KeyFamily::Rental,
         KeyFamily::Leader,
         KeyFamily::Live,
-        KeyFamily::Starts,
+        KeyFamily::StartLog,
         KeyFamily::Stopping,
     ];
 
@@ -43,11 +43,11 @@
         KeyFamily::Stopping,
         KeyFamily::Final,
         KeyFamily::Done,
-        KeyFamily::Starts,
+        KeyFamily::StartLog,
         KeyFamily::Rental,
     ];
 
-    /// Its name, the first part of its keys below the root.
+    /// Returns the name of the family: the first segment of its keys below the root.
     const fn name(self) -> &'static str {
         match self {
             KeyFamily::Leader => "leader",
@@ -57,12 +57,12 @@
             KeyFamily::Stopping => "stopping",
             KeyFamily::Final => "over",
             KeyFamily::Done => "done",
-            KeyFamily::Starts => "starts",
+            KeyFamily::StartLog => "starts",
             KeyFamily::Rental => "hire",
         }
     }
 
-    /// Whether it has one key only.
+    /// Reports whether the family consists of a single key.
     const fn is_single(self) -> bool {
         matches!(
             self,
@@ -70,7 +70,7 @@
         )
     }
 
-    /// What all of its keys begin with.
+    /// Returns the prefix of all keys of the family.
     pub(super) fn prefix(self) -> String {
         let end = if self.is_single() { "" } else { "/" };
         format!("{ROOT}{}{end}", self.name())
@@ -81,7 +81,7 @@
     }
 }
 
-/// A key, with what it names.
+/// A parsed key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Key<'a> {
     Leader,
@@ -89,42 +89,43 @@
     Catalogue,
     /// An unfinished job.
     Live(&'a str),
-    /// A cancelled job of which tasks may still be somewhere.
+    /// A cancelled job whose tasks may still run.
     Stopping(&'a str),
     /// The final state of a job.
     Final(&'a str),
-    /// Finished tasks of a job.
+    /// The bitmap of finished tasks in one chunk of a job.
     Done {
         job: &'a str,
         chunk: u32,
     },
-    /// A slot of the start log.
-    Starts(u32),
+    /// A slot of the start log, by its number.
+    StartLog(u32),
     /// A rental request and its machines.
     Rental(&'a str),
 }
 
-/// Why a text is no key of this program.
+/// Error of parsing a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum KeyError {
-    /// It is not below the root.
-    #[error("key of another program")]
+    /// The key is not below [`ROOT`], so it belongs to another program.
+    #[error("key is not below the root")]
     OutsideRoot,
-    /// Its family is unknown, or its number is none.
-    #[error("unknown key")]
+    /// The family of the key is unknown, or its chunk or slot is not a valid number.
+    #[error("unknown or malformed key")]
     Unknown,
 }
 
 impl<'a> Key<'a> {
-    /// Reads the text of a key.
+    /// Parses a key.
     pub(super) fn parse(text: &'a str) -> Result<Key<'a>, KeyError> {
         let path = text.strip_prefix(ROOT).ok_or(KeyError::OutsideRoot)?;
         let (family, name) = path.split_once('/').unwrap_or((path, ""));
         let family = KeyFamily::from_name(family).ok_or(KeyError::Unknown)?;
-        Key::in_family(family, name).ok_or(KeyError::Unknown)
+        Key::from_parts(family, name).ok_or(KeyError::Unknown)
     }
 
-    fn in_family(family: KeyFamily, name: &'a str) -> Option<Key<'a>> {
+    /// Returns the key of a family with the given text after the family's name, or `None` if that text is malformed.
+    fn from_parts(family: KeyFamily, name: &'a str) -> Option<Key<'a>> {
         Some(match family {
             KeyFamily::Leader => Key::Leader,
             KeyFamily::Epoch => Key::Epoch,
@@ -137,7 +138,7 @@
                 let chunk = chunk.parse().ok()?;
                 Key::Done { job, chunk }
             }
-            KeyFamily::Starts => Key::Starts(name.parse().ok()?),
+            KeyFamily::StartLog => Key::StartLog(name.parse().ok()?),
             KeyFamily::Rental => Key::Rental(name),
         })
     }
@@ -151,7 +152,7 @@
             Key::Stopping(_) => KeyFamily::Stopping,
             Key::Final(_) => KeyFamily::Final,
             Key::Done { .. } => KeyFamily::Done,
-            Key::Starts(_) => KeyFamily::Starts,
+            Key::StartLog(_) => KeyFamily::StartLog,
             Key::Rental(_) => KeyFamily::Rental,
         }
     }
@@ -166,69 +167,69 @@
                 write!(formatter, "/{name}")
             }
             Key::Done { job, chunk } => write!(formatter, "/{job}/{chunk}"),
-            Key::Starts(slot) => write!(formatter, "/{slot}"),
+            Key::StartLog(slot) => write!(formatter, "/{slot}"),
         }
     }
 }
 
-/// Key of the leader's record, attached to its lease.
+/// Returns the key of the leader's record, which is attached to the leader lease.
 #[must_use]
 pub fn leader_key() -> String {
     Key::Leader.to_string()
 }
 
-/// Key of the epoch record.
+/// Returns the key of the epoch record.
 #[must_use]
 pub fn epoch_key() -> String {
     Key::Epoch.to_string()
 }
 
-/// Key of the machine types that the cloud told of last.
+/// Returns the key of the machine types that the cloud offers.
 #[must_use]
 pub fn catalogue_key() -> String {
     Key::Catalogue.to_string()
 }
 
-/// Key of an unfinished job.
+/// Returns the key of an unfinished job.
 #[must_use]
 pub fn live_key(job: &str) -> String {
     Key::Live(job).to_string()
 }
 
-/// The unfinished job whose key this is; `None` for any other key.
+/// Returns the job that a key of an unfinished job refers to, or `None` for any other key.
 #[must_use]
-pub fn live_job(key: &str) -> Option<&str> {
+pub fn parse_live_key(key: &str) -> Option<&str> {
     match Key::parse(key) {
         Ok(Key::Live(job)) => Some(job),
         _ => None,
     }
 }
 
-/// Key of a cancelled job of which tasks may still be somewhere.
+/// Returns the key of a cancelled job whose tasks may still run.
 #[must_use]
 pub fn stopping_key(job: &str) -> String {
     Key::Stopping(job).to_string()
 }
 
-/// Key of the final state of a job.
+/// Returns the key of a job's final state.
 #[must_use]
 pub fn final_key(job: &str) -> String {
     Key::Final(job).to_string()
 }
 
-/// Key of the finished tasks of a job from `chunk * TASKS_PER_CHUNK` on.
+/// Returns the key of a job's finished tasks with numbers from `chunk * TASKS_PER_CHUNK` on.
 #[must_use]
 pub fn done_key(job: &str, chunk: u32) -> String {
     Key::Done { job, chunk }.to_string()
 }
 
-/// Key of a slot of the start log.
+/// Returns the key of a slot of the start log.
 #[must_use]
-pub fn starts_key(slot: u32) -> String {
-    Key::Starts(slot).to_string()
+pub fn start_log_key(slot: u32) -> String {
+    Key::StartLog(slot).to_string()
 }
 
-/// Key of a rental request and its machines.
+/// Returns the key of a rental request and its machines.
 #[must_use]
 pub fn rental_key(request: &str) -> String {
     Key::Rental(request).to_string()
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,25 +1,25 @@
-//! The state service as this program uses it: keys, records, compare-and-swap transactions, a replica kept by a watch, and
-//! the client.
+//! Access to the state service: keys, records, compare-and-swap transactions, a replica that a watch keeps up to date, and the
+//! client.
 //!
-//! This module owns the names of keys and of stored fields: no other module knows them. It decides nothing. What is written
-//! when is a matter of the controller; where a task goes, of the scheduler, which stands above this module.
+//! No other module knows the names of keys and of stored fields. This module contains no decisions: the controller decides
+//! what is written and when, and the scheduler, which belongs to a higher layer, decides where tasks run.
 //!
-//! All keys stand below one root, [`ROOT`], so that several tenants can have one each later. Who writes them, and under which
-//! conditions:
+//! All keys are below one root, [`ROOT`], so that several tenants can have one each later. The components that write and
+//! delete the keys:
 //!
-//! | Key | Record | Written by | Removed by |
+//! | Key | Record | Written by | Deleted by |
 //! |---|---|---|---|
-//! | `leader` | [`LeaderRecord`] | a candidate, attached to its lease | the end of that lease |
-//! | `epoch` | [`EpochRecord`] | a candidate, together with `leader` | nobody |
-//! | `catalogue` | list of [`MachineType`](crate::protocol::MachineType) | the leader, when the cloud offers others | nobody |
-//! | `live/JOB` | [`LiveRecord`] | any controller, for a user who submits | with the write of `over/JOB` |
-//! | `stopping/JOB` | [`LiveRecord`] | any controller, for a user who cancels | the leader, once no task can be anywhere |
-//! | `over/JOB` | [`FinalRecord`] | any controller (cancelled) or the leader (done) | nobody |
-//! | `done/JOB/CHUNK` | bits as text ([`bits_to_text`]) | the leader | the leader, once the job is neither live nor stopping |
-//! | `starts/SLOT` | text of the start log | the leader, before a start is sent | nobody; slots are reused |
-//! | `hire/REQUEST` | [`RentalRecord`] | the leader, before the cloud is called and after | the leader, once its machines are gone |
+//! | `leader` | [`LeaderRecord`] | a candidate, attached to its leader lease | the store, when that lease ends |
+//! | `epoch` | [`EpochRecord`] | a candidate, together with `leader` | never |
+//! | `catalogue` | [`MachineType`](crate::protocol::MachineType) list | the leader, when the cloud's offers change | never |
+//! | `live/JOB` | [`JobRecord`] | any controller, when a user submits the job | the transaction that writes `over/JOB` |
+//! | `stopping/JOB` | [`JobRecord`] | any controller, when a user cancels the job | the leader, once none of its tasks can run |
+//! | `over/JOB` | [`FinalRecord`] | any controller (cancelled) or the leader (done) | never |
+//! | `done/JOB/CHUNK` | bitmap ([`bitmap_to_hex`]) | the leader | the leader, once its job is not live or stopping |
+//! | `starts/SLOT` | text of a start log slot | the leader, before it sends the starts | never; slots are reused |
+//! | `hire/REQUEST` | [`RentalRecord`] | the leader, before and after the cloud call | the leader, when its machines are gone |
 //!
-//! Every write of the leader is guarded by the version of `epoch`: a leader of an earlier epoch writes nothing.
+//! Every write of the leader has a guard on the version of `epoch`, so that the writes of a leader of an earlier epoch fail.
 
 mod client;
 mod keys;
@@ -33,15 +33,15 @@
 pub use crate::protocol::Revision;
 pub use client::{StoreClient, StoreError, TxnOutcome, UnknownOutcome};
 pub use keys::{
-    catalogue_key, done_key, epoch_key, final_key, leader_key, live_job, live_key, rental_key,
-    starts_key, stopping_key, ROOT, TASKS_PER_CHUNK,
+    catalogue_key, done_key, epoch_key, final_key, leader_key, live_key, parse_live_key,
+    rental_key, start_log_key, stopping_key, ROOT, TASKS_PER_CHUNK,
 };
 pub use records::{
-    bits_to_text, Epoch, EpochRecord, FinalRecord, LeaderRecord, LiveRecord, RentalRecord,
+    bitmap_to_hex, Epoch, EpochRecord, FinalRecord, JobRecord, LeaderRecord, RentalRecord,
     Versioned,
 };
 pub use replica::{Replica, ReplicaChange};
 pub use transactions::{
-    cancel_txn, claim_txn, complete_txn, guard, log_txn, put, rental_txn, submit_txn, LoggedJob,
-    StartLogWrite,
+    cancel_txn, claim_txn, complete_txn, guard, put, rental_txn, start_log_txn, submit_txn,
+    LoggedJob, StartLogWrite,
 };
--- a/src/store/recent_map.rs
+++ b/src/store/recent_map.rs
@@ -1,36 +1,36 @@
-//! A map of bounded size.
+//! A map of bounded size, used to cache answers to users.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Most entries of a [`RecentMap`].
-pub(super) const RECENT_LIMIT: usize = 20_000;
+/// Maximum number of entries of a [`RecentMap`].
+pub(super) const MAX_RECENT_ENTRIES: usize = 20_000;
 
-/// A map that keeps the entries that were added last: what users ask for costs bounded memory.
+/// A map that evicts the oldest entries when it is full, so that requests of users take bounded memory only.
 #[derive(Debug)]
 pub(super) struct RecentMap<V> {
     pub(super) entries: HashMap<String, V>,
-    /// Keys in the order in which they were added, the oldest first; some may have been removed since.
-    pub(super) order: VecDeque<String>,
+    /// Keys in the order of their insertion, oldest first. May contain keys that were removed since.
+    pub(super) insertion_order: VecDeque<String>,
 }
 
 impl<V> Default for RecentMap<V> {
     fn default() -> Self {
         RecentMap {
             entries: HashMap::new(),
-            order: VecDeque::new(),
+            insertion_order: VecDeque::new(),
         }
     }
 }
 
 impl<V> RecentMap<V> {
-    /// Adds an entry, and removes the oldest one when there are too many.
+    /// Inserts or replaces an entry, and evicts the oldest one if the map is full.
     pub(super) fn insert(&mut self, key: &str, value: V) {
         if self.entries.insert(key.to_string(), value).is_some() {
             return;
         }
-        self.order.push_back(key.to_string());
-        if self.order.len() > RECENT_LIMIT {
-            if let Some(oldest) = self.order.pop_front() {
+        self.insertion_order.push_back(key.to_string());
+        if self.insertion_order.len() > MAX_RECENT_ENTRIES {
+            if let Some(oldest) = self.insertion_order.pop_front() {
                 self.entries.remove(&oldest);
             }
         }
@@ -48,10 +48,10 @@
         self.entries.remove(key);
     }
 
-    /// Takes all entries out, the oldest first.
+    /// Removes and returns all entries, oldest first.
     pub(super) fn drain(&mut self) -> impl Iterator<Item = (String, V)> + '_ {
-        let order = std::mem::take(&mut self.order);
-        order
+        let insertion_order = std::mem::take(&mut self.insertion_order);
+        insertion_order
             .into_iter()
             .filter_map(|key| self.entries.remove(&key).map(|value| (key, value)))
     }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,4 +1,4 @@
-//! The records that the keys hold. The names of their fields are stored: a renamed field needs `#[serde(rename)]`.
+//! Records stored as the values of keys. Field names are part of the stored format: a renamed field needs `#[serde(rename)]`.
 
 use super::{Revision, TASKS_PER_CHUNK};
 use crate::protocol::JobSpec;
@@ -6,43 +6,44 @@
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::fmt;
 
-/// An unfinished job.
+/// A submitted job, while it is unfinished or being stopped.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct LiveRecord {
-    /// The job.
+pub struct JobRecord {
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// Time of day of the submission, in milliseconds since 1970.
+    /// Time of the submission, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// The final state of a job. It never changes.
+/// The final state of a job, which never changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// Whether its user cancelled it; otherwise all of its tasks are done.
+    /// Whether the job was cancelled by its user. Otherwise all of its tasks are done.
     pub cancelled: bool,
-    /// Its number of tasks.
+    /// Number of tasks of the job.
     pub tasks: u32,
 }
 
-/// A process of a controller: the one that leads, attached to its leader lease.
+/// A controller process that leads or campaigns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Name of the controller.
     pub node: String,
-    /// Its incarnation: another random number after every start of the process.
+    /// Incarnation: a random number that the process draws when it starts.
     pub incarnation: u64,
 }
 
 impl LeaderRecord {
-    /// Whether this was an earlier process of the same controller: one that has ended, since `current` runs. It is told apart
-    /// by its incarnation, so that its key and its leader lease are never taken for those of the current process.
+    /// Reports whether this record belongs to an earlier process of the controller that now runs as `current`. That process
+    /// has ended. Comparing incarnations prevents the current process from mistaking the key and the leader lease of its
+    /// predecessor for its own.
     #[must_use]
-    pub fn ended_before(&self, current: &LeaderRecord) -> bool {
+    pub fn is_previous_incarnation_of(&self, current: &LeaderRecord) -> bool {
         self.node == current.node && self.incarnation != current.incarnation
     }
 }
 
-/// The number of an epoch, which is the time for which one controller leads. It grows by one with every change of the leader.
+/// The number of an epoch, the period in which one controller process leads. It increases by one with every claim of leadership.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -50,22 +51,22 @@
 pub struct Epoch(u64);
 
 impl Epoch {
-    /// Before the first epoch: no leader was ever elected.
+    /// The number before the first epoch, when no leader has been elected yet.
     pub const ZERO: Epoch = Epoch(0);
 
-    /// The epoch with this number.
+    /// Returns the epoch with this number.
     #[must_use]
     pub const fn new(number: u64) -> Epoch {
         Epoch(number)
     }
 
-    /// Its number.
+    /// Returns the number of the epoch.
     #[must_use]
     pub const fn as_u64(self) -> u64 {
         self.0
     }
 
-    /// The epoch that follows.
+    /// Returns the next epoch.
     #[must_use]
     pub const fn next(self) -> Epoch {
         Epoch(self.0 + 1)
@@ -78,61 +79,61 @@
     }
 }
 
-/// The current epoch.
+/// The current epoch, or the last one while nobody leads.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// Its number.
+    /// Number of the epoch.
     pub number: Epoch,
-    /// Who leads it.
+    /// The process that leads in this epoch.
     pub leader: LeaderRecord,
-    /// Its members: the leader alone.
+    /// Members of the epoch. The leader is the only one.
     pub members: Vec<LeaderRecord>,
-    /// Whether its leader keeps the start log. Versions before it did not, and the next leader has to wait until all leases
-    /// of workers have expired.
+    /// Whether the leader writes a start log. Leaders of older versions do not; their successor has to wait until all worker
+    /// leases have expired.
     #[serde(default)]
     pub logs_starts: bool,
 }
 
-/// A rental request, written before the cloud is called, and the machines that it brought.
+/// A rental request, which is written before the cloud is called, and the machines that were rented with it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentalRecord {
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether spot instances were asked for.
+    /// Whether spot machines were requested.
     pub spot: bool,
-    /// How many machines were asked for.
+    /// Number of machines requested.
     pub count: u32,
-    /// Names of the machines; `None` while the cloud's answer is unknown.
+    /// Names of the machines, or `None` while the cloud's answer is unknown.
     pub machines: Option<Vec<String>>,
 }
 
-/// A record and the version of its key.
+/// A record with the version of its key.
 #[derive(Debug, Clone)]
 pub struct Versioned<T> {
     /// The record.
     pub record: T,
-    /// Version of its key.
+    /// Version of the key.
     pub version: Revision,
 }
 
-/// Reads a record; `None` if the value does not hold one of this type.
-pub(super) fn read_record<T: DeserializeOwned>(value: &Value) -> Option<T> {
+/// Decodes a record. Returns `None` if the value is not a record of this type.
+pub(super) fn decode_record<T: DeserializeOwned>(value: &Value) -> Option<T> {
     value.deserialized().ok()
 }
 
-/// Bits as hexadecimal text, the first byte first: the store takes nothing binary.
+/// Encodes a bitmap as hexadecimal text, first byte first, because the store accepts no binary values.
 #[must_use]
-pub fn bits_to_text(bits: &[u8]) -> String {
-    let digits = bits.iter().flat_map(|byte| [byte >> 4, byte & 15]);
-    let mut text = String::with_capacity(bits.len() * 2);
+pub fn bitmap_to_hex(bitmap: &[u8]) -> String {
+    let digits = bitmap.iter().flat_map(|byte| [byte >> 4, byte & 15]);
+    let mut text = String::with_capacity(bitmap.len() * 2);
     text.extend(digits.filter_map(|digit| char::from_digit(u32::from(digit), 16)));
     text
 }
 
-/// Reads the text of [`bits_to_text`]; `None` if it is none, or longer than a chunk.
-pub(super) fn text_to_bits(text: &str) -> Option<Vec<u8>> {
+/// Decodes the text of [`bitmap_to_hex`]. Returns `None` if it is malformed or longer than a chunk.
+pub(super) fn hex_to_bitmap(text: &str) -> Option<Vec<u8>> {
     let digits: Option<Vec<u8>> = text.chars().map(hexadecimal_digit).collect();
     let digits = digits?;
     let fits = digits.len() % 2 == 0 && digits.len() <= TASKS_PER_CHUNK as usize / 4;
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -1,81 +1,81 @@
-//! What a controller knows of the store: a replica at one revision, kept by a watch.
+//! A replica of the store in the memory of a controller, which a watch keeps up to date.
 //!
-//! The replica is a cache: it may lag behind the store, and every write is guarded by the versions that it was decided on.
-//! Changes that arrive twice or out of order do no harm, since a key's older versions are ignored.
+//! The replica is a cache and may lag behind the store. Writes that are based on it therefore have guards on the versions that
+//! it contained. Changes may arrive repeatedly or out of order: versions of a key that are not newer than the known one are
+//! ignored.
 
 use super::keys::{Key, KeyError};
 use super::recent_map::RecentMap;
-use super::records::{read_record, text_to_bits};
-use super::{
-    EpochRecord, FinalRecord, LeaderRecord, LiveRecord, RentalRecord, Revision, Versioned,
-};
+use super::records::{decode_record, hex_to_bitmap};
+use super::{EpochRecord, FinalRecord, JobRecord, LeaderRecord, RentalRecord, Revision, Versioned};
 use crate::protocol::{Event, MachineType};
 use ciborium::Value;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 
-/// A change of the replica that its controller has to act on.
+/// A change of the replica that the controller has to act on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaChange {
-    /// An unfinished job was added, or its record was written again.
+    /// An unfinished job was added, or its record was rewritten.
     JobAdded {
-        /// The job's id.
+        /// Id of the job.
         job: String,
     },
-    /// A job is no longer unfinished.
+    /// A job is no longer unfinished, because it is done or was cancelled.
     JobRemoved {
-        /// The job's id.
+        /// Id of the job.
         job: String,
     },
-    /// The leader's key was removed: nobody leads.
+    /// The leader key was deleted: leadership is vacant.
     LeaderRemoved,
-    /// The machine types were written.
+    /// The machine types were rewritten, or the replica was replaced.
     CatalogueChanged,
 }
 
-/// A replica of the store at one revision.
+/// A replica of the store.
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// Whether the whole store has been read.
+    /// Whether the replica has been loaded from the store.
     pub initialized: bool,
-    /// How often the replica was replaced by one that was read anew. Within one generation the watch has brought every change.
+    /// Number of times the replica was replaced by a newly loaded one. Within a generation, the watch delivers every change.
     pub generation: u64,
-    /// Revision up to which all changes are in.
+    /// Revision up to which the replica contains every change.
     pub revision: Revision,
     /// Unfinished jobs by id.
-    pub live: BTreeMap<String, Versioned<LiveRecord>>,
-    /// Cancelled jobs of which tasks may still be somewhere, by id.
-    pub stopping: BTreeMap<String, Versioned<LiveRecord>>,
-    /// Bits of finished tasks by job and chunk.
+    pub live: BTreeMap<String, Versioned<JobRecord>>,
+    /// Cancelled jobs whose tasks may still run, by id.
+    pub stopping: BTreeMap<String, Versioned<JobRecord>>,
+    /// Bitmaps of finished tasks, by job and chunk.
     pub done: BTreeMap<(String, u32), Versioned<Vec<u8>>>,
-    /// The text of the start log by slot: only a new leader reads it.
-    pub starts: BTreeMap<u32, Versioned<String>>,
-    /// Rental requests and their machines by request name.
+    /// Texts of the start log, by slot. Only a new leader reads them.
+    pub start_log: BTreeMap<u32, Versioned<String>>,
+    /// Rental requests and their machines, by name of the request.
     pub rentals: BTreeMap<String, Versioned<RentalRecord>>,
-    /// The leader, while there is one.
+    /// The leader, or `None` while leadership is vacant.
     pub leader: Option<Versioned<LeaderRecord>>,
-    /// The current epoch, or the last one.
+    /// The current epoch, or the last one while leadership is vacant.
     pub epoch: Option<Versioned<EpochRecord>>,
-    /// The machine types.
+    /// The machine types that the cloud offers.
     pub catalogue: Option<Versioned<Vec<MachineType>>>,
-    /// Final states of jobs that were asked about or ended recently.
+    /// Final states of jobs that users polled or that ended recently.
     final_states: RecentMap<FinalRecord>,
-    /// Jobs that did not exist when the store was asked, and of which the watch has brought nothing since.
+    /// Jobs that did not exist when the store was read, and that the watch has not added since.
     pub(super) absent: RecentMap<()>,
 }
 
-/// Whether a version of a key is later than the known one, if there is one.
+/// Reports whether a version of a key is newer than the known record, if there is one.
 fn is_newer<T>(known: Option<&Versioned<T>>, version: Revision) -> bool {
     known.is_none_or(|known| known.version < version)
 }
 
-/// Whether a removal is later than the known version of a key. Older ones belong to an earlier life of the key.
-fn is_removed<T>(known: Option<&Versioned<T>>, removed_at: Revision) -> bool {
+/// Reports whether a deletion is newer than the known record of a key. An older one deleted a record that the known one has
+/// replaced.
+fn removal_applies<T>(known: Option<&Versioned<T>>, removed_at: Revision) -> bool {
     known.is_some_and(|known| known.version < removed_at)
 }
 
-/// Inserts a record unless the known one is as new. True if it was inserted.
-fn insert_newer<T>(
+/// Inserts a record if it is newer than the known one, and returns whether it was inserted.
+fn insert_if_newer<T>(
     records: &mut BTreeMap<String, Versioned<T>>,
     name: &str,
     record: T,
@@ -88,14 +88,14 @@
     newer
 }
 
-/// Reads a record into a single key's place unless the known one is as new. `None` if it cannot be read, else whether it was
-/// newer.
-fn read_newer<T: DeserializeOwned>(
+/// Decodes the record of a family with a single key, and replaces the known one if the record is newer. Returns whether it was
+/// replaced, or `None` if the record cannot be decoded.
+fn replace_if_newer<T: DeserializeOwned>(
     known: &mut Option<Versioned<T>>,
     value: &Value,
     version: Revision,
 ) -> Option<bool> {
-    let record = read_record(value)?;
+    let record = decode_record(value)?;
     let newer = is_newer(known.as_ref(), version);
     if newer {
         *known = Some(Versioned { record, version });
@@ -104,8 +104,8 @@
 }
 
 impl Replica {
-    /// Applies a key that was read in a listing or brought by a watch, and adds what has changed to `changes`. A version older
-    /// than the known one is ignored. A record that cannot be read is left alone and logged.
+    /// Applies a key that was read from a page or delivered by a watch, and appends the resulting changes to `changes`. A version
+    /// that is not newer than the known one is ignored. A record that cannot be decoded is logged and ignored.
     pub fn put(
         &mut self,
         key: &str,
@@ -113,17 +113,17 @@
         version: Revision,
         changes: &mut Vec<ReplicaChange>,
     ) {
-        let understood = match Key::parse(key) {
+        let decoded = match Key::parse(key) {
             Ok(parsed) => self.put_record(parsed, value, version, changes),
             Err(KeyError::OutsideRoot) => return,
             Err(KeyError::Unknown) => None,
         };
-        if understood.is_none() {
+        if decoded.is_none() {
             tracing::error!(key, "record not understood, left alone");
         }
     }
 
-    /// `None` if the value holds no record of the key's family.
+    /// Applies the record of a parsed key. Returns `None` if the value is not a record of the key's family.
     fn put_record(
         &mut self,
         key: Key,
@@ -133,36 +133,36 @@
     ) -> Option<()> {
         match key {
             Key::Leader => {
-                read_newer(&mut self.leader, value, version)?;
+                replace_if_newer(&mut self.leader, value, version)?;
             }
             Key::Epoch => {
-                read_newer(&mut self.epoch, value, version)?;
+                replace_if_newer(&mut self.epoch, value, version)?;
             }
             Key::Catalogue => {
-                if read_newer(&mut self.catalogue, value, version)? {
+                if replace_if_newer(&mut self.catalogue, value, version)? {
                     changes.push(ReplicaChange::CatalogueChanged);
                 }
             }
             Key::Live(job) => {
-                if insert_newer(&mut self.live, job, read_record(value)?, version) {
+                if insert_if_newer(&mut self.live, job, decode_record(value)?, version) {
                     self.absent.remove(job);
                     let job = job.to_string();
                     changes.push(ReplicaChange::JobAdded { job });
                 }
             }
             Key::Stopping(job) => {
-                insert_newer(&mut self.stopping, job, read_record(value)?, version);
+                insert_if_newer(&mut self.stopping, job, decode_record(value)?, version);
             }
-            Key::Final(job) => self.remember_final(job, read_record(value)?),
+            Key::Final(job) => self.remember_final(job, decode_record(value)?),
             Key::Done { job, chunk } => self.put_done(job, chunk, value, version)?,
-            Key::Starts(slot) => self.put_start_log_slot(slot, value, version)?,
-            Key::Rental(request) => self.put_rental(request, read_record(value)?, version),
+            Key::StartLog(slot) => self.put_start_log_slot(slot, value, version)?,
+            Key::Rental(request) => self.put_rental(request, decode_record(value)?, version),
         }
         Some(())
     }
 
     fn put_done(&mut self, job: &str, chunk: u32, value: &Value, version: Revision) -> Option<()> {
-        let bits = text_to_bits(&read_record::<String>(value)?)?;
+        let bits = hex_to_bitmap(&decode_record::<String>(value)?)?;
         let key = (job.to_string(), chunk);
         if is_newer(self.done.get(&key), version) {
             let record = bits;
@@ -172,17 +172,18 @@
     }
 
     fn put_start_log_slot(&mut self, slot: u32, value: &Value, version: Revision) -> Option<()> {
-        let record = read_record(value)?;
-        if is_newer(self.starts.get(&slot), version) {
-            self.starts.insert(slot, Versioned { record, version });
+        let record = decode_record(value)?;
+        if is_newer(self.start_log.get(&slot), version) {
+            self.start_log.insert(slot, Versioned { record, version });
         }
         Some(())
     }
 
-    /// Applies a rental request, read or just written by this controller. A version older than the known one is ignored: the
-    /// watch may lag behind this controller's own write, and each request was once sent to the cloud a second time.
+    /// Applies a rental request that was read from the store or just written by this controller. A version that is not newer than
+    /// the known one is ignored, since the watch may lag behind this controller's own write. If it took effect, the request
+    /// would seem unanswered and be sent to the cloud a second time.
     pub fn put_rental(&mut self, request: &str, record: RentalRecord, version: Revision) {
-        insert_newer(&mut self.rentals, request, record, version);
+        insert_if_newer(&mut self.rentals, request, record, version);
     }
 
     fn remove(&mut self, key: &str, removed_at: Revision, changes: &mut Vec<ReplicaChange>) {
@@ -190,34 +191,35 @@
             return;
         };
         match key {
-            Key::Leader if is_removed(self.leader.as_ref(), removed_at) => {
+            Key::Leader if removal_applies(self.leader.as_ref(), removed_at) => {
                 self.leader = None;
                 changes.push(ReplicaChange::LeaderRemoved);
             }
-            Key::Live(job) if is_removed(self.live.get(job), removed_at) => {
+            Key::Live(job) if removal_applies(self.live.get(job), removed_at) => {
                 self.live.remove(job);
                 let job = job.to_string();
                 changes.push(ReplicaChange::JobRemoved { job });
             }
-            Key::Stopping(job) if is_removed(self.stopping.get(job), removed_at) => {
+            Key::Stopping(job) if removal_applies(self.stopping.get(job), removed_at) => {
                 self.stopping.remove(job);
             }
             Key::Done { job, chunk } => {
                 let key = (job.to_string(), chunk);
-                if is_removed(self.done.get(&key), removed_at) {
+                if removal_applies(self.done.get(&key), removed_at) {
                     self.done.remove(&key);
                 }
             }
-            Key::Starts(slot) if is_removed(self.starts.get(&slot), removed_at) => {
-                self.starts.remove(&slot);
+            Key::StartLog(slot) if removal_applies(self.start_log.get(&slot), removed_at) => {
+                self.start_log.remove(&slot);
             }
             Key::Rental(request) => self.remove_rental(request, removed_at),
-            // Final states, the epoch and the machine types are never removed.
+            // An outdated deletion, or a key that is never deleted: a final state, the epoch or the machine types.
             _ => {}
         }
     }
 
-    /// A request that brought no machines was applied by `put_rental` with the version of its own removal.
+    /// Removes a rental request. Unlike other records it is removed by a deletion of the same version: the transaction that
+    /// records an answer without machines deletes the key, and its revision was passed to `put_rental`.
     fn remove_rental(&mut self, request: &str, removed_at: Revision) {
         let known = self.rentals.get(request);
         if known.is_some_and(|known| known.version <= removed_at) {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Applies the changes that a watch has brought, which are all of them up to `revision`.
+    /// Applies the events of a watch, which are complete up to `revision`, and returns the resulting changes.
     pub fn apply(&mut self, revision: Revision, events: &[Event]) -> Vec<ReplicaChange> {
         let mut changes = Vec::new();
         for event in events {
@@ -242,24 +244,26 @@
         changes
     }
 
-    /// Whether leadership may be claimed: nobody leads, or an earlier process of the same controller does. Its leader lease
-    /// need not be waited for: what it may have started is in the start log, and what it wrote last carries its epoch.
+    /// Reports whether `candidate` may claim leadership: there is no leader, or the leader is an earlier process of the same
+    /// controller. The leader lease of that process need not expire first, since every task that it may have started is in the
+    /// start log, and its late writes fail on the guard on its epoch.
     #[must_use]
-    pub fn free_to_claim(&self, candidate: &LeaderRecord) -> bool {
+    pub fn may_claim_leadership(&self, candidate: &LeaderRecord) -> bool {
         self.leader
             .as_ref()
-            .is_none_or(|leader| leader.record.ended_before(candidate))
+            .is_none_or(|leader| leader.record.is_previous_incarnation_of(candidate))
     }
 
-    /// Remembers the final state of a job. Final states never change, so that it is no harm if some are forgotten again.
+    /// Caches the final state of a job. Since final states never change, a cached one is always valid and can be evicted at any
+    /// time.
     pub fn remember_final(&mut self, job: &str, record: FinalRecord) {
         self.absent.remove(job);
         self.final_states.insert(job, record);
     }
 
-    /// Remembers that a job does not exist: the store had neither its record nor a final state of it when it was asked, in the
-    /// given generation of this replica. If the generation is still the same, the watch has brought and will bring whatever
-    /// becomes of the job, so that the store need not be asked again.
+    /// Caches that a job does not exist. When the store was read, in the given generation of this replica, it contained neither
+    /// the job's record nor its final state. While the generation stays the same, the watch delivers every later change of the
+    /// job, so that the store need not be read again.
     pub fn remember_absent(&mut self, job: &str, generation: u64) {
         let unchanged = self.generation == generation;
         if unchanged && !self.live.contains_key(job) && self.final_state(job).is_none() {
@@ -267,22 +271,22 @@
         }
     }
 
-    /// Whether a job is known not to exist at this replica's revision.
+    /// Reports whether a job is known not to exist at the revision of the replica.
     #[must_use]
     pub fn is_absent(&self, job: &str) -> bool {
         self.absent.contains(job)
     }
 
-    /// The final state of a job, if it is remembered.
+    /// Returns the final state of a job, if it is cached.
     #[must_use]
     pub fn final_state(&self, job: &str) -> Option<FinalRecord> {
         self.final_states.get(job).copied()
     }
 
-    /// Replaces this replica by one that was read anew, and tells what differs.
+    /// Replaces this replica by a newly loaded one, and returns the changes between the two.
     ///
-    /// Final states are kept, since they never change. Jobs that were absent may have come and gone unseen: they are
-    /// forgotten.
+    /// Cached final states are kept, since they never change. Cached absences are dropped, since those jobs may have been
+    /// submitted and ended unnoticed.
     pub fn replace(&mut self, mut fresh: Replica) -> Vec<ReplicaChange> {
         let changes = self.differences(&fresh);
         for (job, record) in self.final_states.drain() {
@@ -293,6 +297,7 @@
         changes
     }
 
+    /// Returns the changes that lead from this replica to `fresh`. Machine types always count as changed.
     fn differences(&self, fresh: &Replica) -> Vec<ReplicaChange> {
         let missing_in = |other: &Replica, job: &&String| !other.live.contains_key(*job);
         let removed = self.live.keys().filter(|job| missing_in(fresh, job));
--- a/src/store/tests/client.rs
+++ b/src/store/tests/client.rs
@@ -1,12 +1,12 @@
-//! The client.
+//! Tests of the client.
 
 use crate::store::{Revision, StoreClient, StoreError};
 use std::time::Duration;
 
-/// A watch has no size limit. One that brings more than the process is ready to hold is told apart from one that brings
-/// nothing, so that the keys are read page by page instead.
+/// The answer to a watch can have any size. One above the limit must be reported as too large and not as missing, so that the
+/// controller reads the keys page by page instead of repeating the watch.
 #[test]
-fn an_answer_that_is_too_large_is_not_waited_for_again() {
+fn a_response_above_the_size_limit_is_reported_as_too_large() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let error = actix::System::new().block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/src/store/tests/keys.rs
+++ b/src/store/tests/keys.rs
@@ -1,9 +1,9 @@
-//! The text of keys is known in one place.
+//! Checks which modules know the text of keys.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// What keys and listings of keys contain.
+/// Texts that occur in code which builds keys or prefixes of keys.
 const KEY_TEXTS: [&str; 8] = [
     "\"hollowswitch/",
     "\"live/",
@@ -15,7 +15,7 @@
     "{ROOT}",
 ];
 
-/// Files below a folder, but no tests.
+/// Returns all files below a folder, except for tests.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let paths = fs::read_dir(folder)
         .unwrap()
@@ -32,19 +32,19 @@
 }
 
 #[test]
-fn only_the_module_of_keys_knows_their_text() {
+fn only_the_keys_module_contains_the_text_of_keys() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let files = source_files(&source);
-    let knows_keys = |path: &&PathBuf| {
+    let contains_key_text = |path: &&PathBuf| {
         let text = fs::read_to_string(path).unwrap();
         KEY_TEXTS.iter().any(|part| text.contains(part))
     };
-    let mut knowing: Vec<_> = files
+    let mut found: Vec<_> = files
         .iter()
-        .filter(knows_keys)
+        .filter(contains_key_text)
         .map(|path| path.strip_prefix(&source).unwrap().to_str().unwrap())
         .collect();
-    knowing.sort_unstable();
-    // The client asks a watch for everything below the root.
-    assert_eq!(knowing, ["store/client.rs", "store/keys.rs"]);
+    found.sort_unstable();
+    // The client passes the root to a watch as the prefix of the keys.
+    assert_eq!(found, ["store/client.rs", "store/keys.rs"]);
 }
--- a/src/store/tests/mod.rs
+++ b/src/store/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Keys, records, transactions, the replica and the client.
+//! Tests of keys, records, transactions, the replica and the client.
 
 mod client;
 mod keys;
@@ -6,13 +6,13 @@
 mod replica;
 mod transactions;
 
-use super::{live_key, LiveRecord, Revision};
+use super::{live_key, JobRecord, Revision};
 use crate::protocol::Event;
 use ciborium::Value;
 
-/// A write of an unfinished job.
+/// Returns the event of a write of an unfinished job.
 fn live(id: &str, version: u64) -> Event {
-    let record = LiveRecord {
+    let record = JobRecord {
         spec: crate::scheduler::tests::spec(id, 1),
         at_ms: 5,
     };
--- a/src/store/tests/records.rs
+++ b/src/store/tests/records.rs
@@ -1,11 +1,11 @@
-//! The form of stored records.
+//! Tests of the format of stored records.
 
-use crate::store::bits_to_text;
-use crate::store::records::text_to_bits;
+use crate::store::bitmap_to_hex;
+use crate::store::records::hex_to_bitmap;
 
 #[test]
-fn bits_survive_as_text() {
-    let bits = vec![0, 255, 16, 7];
-    assert_eq!(text_to_bits(&bits_to_text(&bits)).unwrap(), bits);
-    assert!(text_to_bits("zz").is_none());
+fn a_bitmap_survives_encoding_as_text() {
+    let bitmap = vec![0, 255, 16, 7];
+    assert_eq!(hex_to_bitmap(&bitmap_to_hex(&bitmap)).unwrap(), bitmap);
+    assert!(hex_to_bitmap("zz").is_none());
 }
--- a/src/store/tests/replica.rs
+++ b/src/store/tests/replica.rs
@@ -1,12 +1,12 @@
-//! The replica: late pages, removals, final states, absent jobs and rentals.
+//! Tests of the replica: outdated changes, deletions, final states, absent jobs and rentals.
 
 use super::live;
 use crate::protocol::Event;
-use crate::store::recent_map::RECENT_LIMIT;
+use crate::store::recent_map::MAX_RECENT_ENTRIES;
 use crate::store::*;
 use ciborium::Value;
 
-/// The removal of a key at a revision.
+/// Returns the event of the deletion of a key at a revision.
 fn removed(key: String, version: u64) -> Event {
     Event::Delete {
         key,
@@ -15,13 +15,13 @@
 }
 
 #[test]
-fn a_late_page_never_undoes_a_newer_change() {
+fn an_outdated_deletion_does_not_remove_a_newer_record() {
     let mut replica = Replica::default();
     assert_eq!(
         replica.apply(Revision::new(4), &[live("wk-1", 4)]),
         vec![ReplicaChange::JobAdded { job: "wk-1".into() }]
     );
-    // A delete older than the version at hand belongs to an earlier life of the key.
+    // A deletion older than the known version deleted an earlier record of the key.
     assert!(replica
         .apply(Revision::new(4), &[removed(live_key("wk-1"), 3)])
         .is_empty());
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_reload_tells_what_was_missed_and_keeps_final_states() {
+fn replacing_the_replica_returns_missed_changes_and_keeps_final_states() {
     let mut replica = Replica::default();
     replica.apply(Revision::new(4), &[live("wk-1", 3), live("wk-2", 4)]);
     replica.remember_final(
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_job_that_was_absent_is_so_until_the_watch_brings_it_or_everything_is_read_anew() {
+fn a_job_counts_as_absent_until_the_watch_adds_it_or_the_replica_is_replaced() {
     let mut replica = Replica::default();
     replica.remember_absent("wk-1", 0);
     replica.remember_absent("wk-2", 0);
@@ -68,7 +68,7 @@
     assert!(replica.is_absent("wk-1") && replica.is_absent("wk-2") && !replica.is_absent("wk-9"));
     replica.apply(Revision::new(4), &[live("wk-1", 4)]);
     assert!(!replica.is_absent("wk-1"));
-    // An answer that was overtaken by the watch.
+    // The answer that the job is absent arrives after the watch has added the job.
     replica.remember_absent("wk-1", 0);
     assert!(!replica.is_absent("wk-1"));
     replica.apply(Revision::new(6), &[removed(live_key("wk-1"), 6)]);
@@ -84,20 +84,21 @@
     assert!(!replica.is_absent("wk-2") && replica.is_absent("wk-3"));
     replica.replace(Replica::default());
     assert!(!replica.is_absent("wk-3"));
-    // Asked before everything was read anew: it may have come and gone in between.
+    // The store was read before the replica was replaced. The job may have been submitted and ended in between.
     replica.remember_absent("wk-3", 0);
     assert!(!replica.is_absent("wk-3"));
-    let now = replica.generation;
-    // Users who ask for anything cost bounded memory.
-    (0..50_000).for_each(|n| replica.remember_absent(&format!("wk-{n}"), now));
+    let generation = replica.generation;
+    // Polls for arbitrary job ids take bounded memory.
+    (0..50_000).for_each(|n| replica.remember_absent(&format!("wk-{n}"), generation));
     assert!(
-        replica.absent.entries.len() <= RECENT_LIMIT && replica.absent.order.len() <= RECENT_LIMIT
+        replica.absent.entries.len() <= MAX_RECENT_ENTRIES
+            && replica.absent.insertion_order.len() <= MAX_RECENT_ENTRIES
     );
     assert!(replica.is_absent("wk-49999") && !replica.is_absent("wk-9"));
 }
 
 #[test]
-fn a_request_whose_answer_this_node_has_written_is_no_longer_open() {
+fn a_lagging_watch_does_not_reopen_an_answered_rental_request() {
     let open = RentalRecord {
         machine_type: "m".into(),
         zone: "a".into(),
@@ -120,14 +121,14 @@
     let mut replica = Replica::default();
     replica.apply(Revision::new(4), &[event(&open, 4)]);
     replica.put_rental("r-1", answered.clone(), Revision::new(6));
-    // The watch is behind: what it brings now is older. Without this, each request was called a second time.
+    // The watch lags and delivers an older version. If that took effect, the request would be sent to the cloud again.
     replica.apply(Revision::new(5), &[event(&open, 4)]);
     assert_eq!(replica.rentals["r-1"].record, answered);
     replica.apply(Revision::new(6), &[event(&answered, 6)]);
     assert_eq!(replica.rentals["r-1"].version, Revision::new(6));
     replica.apply(Revision::new(7), &[removed(rental_key("r-1"), 7)]);
     assert!(replica.rentals.is_empty());
-    // A request that brought nothing: the write of its answer deletes it, and so does the watch here.
+    // For an answer without machines, the transaction deletes the key. The deletion has the version of the answer.
     replica.put_rental(
         "r-2",
         RentalRecord {
--- a/src/store/tests/transactions.rs
+++ b/src/store/tests/transactions.rs
@@ -1,23 +1,24 @@
-//! Transactions against a stand-in for the state service: late and repeated ones change nothing.
+//! Tests of the transactions against a fake state service: late and repeated ones change nothing.
 
 use crate::protocol::{Change, Event, Txn};
 use crate::store::*;
 use ciborium::Value;
 use std::collections::HashMap;
 
-/// A stand-in for the state service's transactions.
+/// Fake state service that runs transactions. It stores only the versions of keys.
 #[derive(Default)]
-struct Service {
+struct FakeStateService {
     keys: HashMap<String, Revision>,
     revision: Revision,
 }
 
-impl Service {
+impl FakeStateService {
+    /// Runs a transaction and reports whether it was applied.
     fn run(&mut self, txn: &Txn) -> bool {
         if txn
             .guards
             .iter()
-            .any(|g| self.keys.get(&g.key).copied().unwrap_or_default() != g.version)
+            .any(|guard| self.keys.get(&guard.key).copied().unwrap_or_default() != guard.version)
         {
             return false;
         }
@@ -36,12 +37,12 @@
 }
 
 #[test]
-fn late_and_repeated_transactions_do_nothing() {
-    let record = LiveRecord {
+fn late_and_repeated_transactions_change_nothing() {
+    let record = JobRecord {
         spec: crate::scheduler::tests::spec("wk-1", 1),
         at_ms: 5,
     };
-    let mut service = Service::default();
+    let mut service = FakeStateService::default();
     assert!(service.run(&Txn {
         guards: vec![],
         apply: vec![put(epoch_key(), &1, None)]
@@ -56,7 +57,7 @@
     let complete = complete_txn(&epoch, "wk-1", live.version, 1);
     let cancel = cancel_txn("wk-1", &live);
     assert!(service.run(&cancel));
-    // A leader's late completion must not turn a cancelled job into a done one, nor a retry submit it again.
+    // A late completion by the leader must not make a cancelled job done, and a retried submission must not add it again.
     assert!(!service.run(&complete) && !service.run(&cancel) && !service.run(&submit));
     assert!(
         service.has(&final_key("wk-1"))
@@ -66,12 +67,12 @@
 }
 
 #[test]
-fn the_start_log_takes_no_start_of_a_job_whose_cancellation_is_durable() {
-    let record = LiveRecord {
+fn starts_of_a_job_cannot_be_logged_after_its_cancellation_is_durable() {
+    let record = JobRecord {
         spec: crate::scheduler::tests::spec("wk-1", 1),
         at_ms: 5,
     };
-    let mut service = Service::default();
+    let mut service = FakeStateService::default();
     service.run(&Txn {
         guards: vec![],
         apply: vec![put(epoch_key(), &1, None)],
@@ -83,32 +84,32 @@
     };
     let (mut scheduler, _) = crate::scheduler::tests::with_a_start_to_log(live.version);
     let append = scheduler.next_log_write(8000, 60).unwrap();
-    let txn = log_txn(
+    let txn = start_log_txn(
         &guard(epoch_key(), Revision::new(1)),
         append.start_log_write(),
     );
     assert!(service.run(&cancel_txn("wk-1", &live)));
-    assert!(!service.run(&txn) && !service.has(&starts_key(0)));
-    assert_eq!(live_job(&live_key("wk-1")), Some("wk-1"));
-    assert_eq!(live_job(&final_key("wk-1")), None);
+    assert!(!service.run(&txn) && !service.has(&start_log_key(0)));
+    assert_eq!(parse_live_key(&live_key("wk-1")), Some("wk-1"));
+    assert_eq!(parse_live_key(&final_key("wk-1")), None);
 }
 
 #[test]
-fn a_leader_of_an_earlier_epoch_writes_nothing() {
-    let record = LiveRecord {
+fn writes_of_a_leader_of_an_earlier_epoch_fail() {
+    let record = JobRecord {
         spec: crate::scheduler::tests::spec("wk-2", 1),
         at_ms: 5,
     };
-    let mut service = Service::default();
+    let mut service = FakeStateService::default();
     service.run(&Txn {
         guards: vec![],
         apply: vec![put(epoch_key(), &1, None)],
     });
-    let old = guard(epoch_key(), service.revision);
+    let old_epoch = guard(epoch_key(), service.revision);
     service.run(&submit_txn("wk-2", &record));
     let version = service.revision;
     service.run(&Txn {
-        guards: vec![old.clone()],
+        guards: vec![old_epoch.clone()],
         apply: vec![put(epoch_key(), &2, None)],
     });
     let rental = RentalRecord {
@@ -118,41 +119,44 @@
         count: 2,
         machines: None,
     };
-    assert!(!service.run(&complete_txn(&old, "wk-2", version, 1)));
-    assert!(!service.run(&rental_txn(&old, "a-1-1", Revision::ZERO, &rental)));
-    // The current leader's request is stored before the call, and once only: names are unique for ever.
-    let now = guard(epoch_key(), service.revision);
+    assert!(!service.run(&complete_txn(&old_epoch, "wk-2", version, 1)));
+    assert!(!service.run(&rental_txn(&old_epoch, "a-1-1", Revision::ZERO, &rental)));
+    // The current leader stores its request before the call to the cloud, and only once, since names are never reused.
+    let epoch = guard(epoch_key(), service.revision);
     assert!(
-        service.run(&rental_txn(&now, "a-1-1", Revision::ZERO, &rental))
-            && !service.run(&rental_txn(&now, "a-1-1", Revision::ZERO, &rental))
+        service.run(&rental_txn(&epoch, "a-1-1", Revision::ZERO, &rental))
+            && !service.run(&rental_txn(&epoch, "a-1-1", Revision::ZERO, &rental))
     );
-    // Without an answer it stays open, to be repeated under the same name; an answer closes it.
+    // An unanswered request stays stored, to be repeated under the same name. An answer without machines deletes it.
     let version = service.revision;
     let answered = RentalRecord {
         machines: Some(Vec::new()),
         ..rental
     };
     assert!(
-        service.run(&rental_txn(&now, "a-1-1", version, &answered))
+        service.run(&rental_txn(&epoch, "a-1-1", version, &answered))
             && !service.has(&rental_key("a-1-1"))
     );
 }
 
 #[test]
-fn a_process_that_is_back_at_once_is_not_its_predecessor() {
-    let of = |node: &str, incarnation| LeaderRecord {
+fn a_restarted_controller_does_not_take_itself_for_its_predecessor() {
+    let process = |node: &str, incarnation| LeaderRecord {
         node: node.into(),
         incarnation,
     };
-    let current = of("a", 2);
-    assert!(of("a", 1).ended_before(&current));
-    assert!(!current.ended_before(&current) && !of("b", 1).ended_before(&current));
-    // Its claim: the predecessor's late one and a repeated one of its own fail.
-    let mut service = Service::default();
+    let current = process("a", 2);
+    assert!(process("a", 1).is_previous_incarnation_of(&current));
+    assert!(
+        !current.is_previous_incarnation_of(&current)
+            && !process("b", 1).is_previous_incarnation_of(&current)
+    );
+    // Once its own claim is applied, a late claim of its predecessor and a repetition of its own fail.
+    let mut service = FakeStateService::default();
     let mut replica = Replica::default();
-    let (old_claim, record) = claim_txn(&replica, &of("a", 1), 1).unwrap();
+    let (old_claim, record) = claim_txn(&replica, &process("a", 1), 1).unwrap();
     assert!(service.run(&old_claim));
-    let watched = |record: &EpochRecord, version| {
+    let claim_events = |record: &EpochRecord, version| {
         let leader = Value::serialized(&record.leader).unwrap();
         let epoch = Value::serialized(record).unwrap();
         vec![
@@ -168,10 +172,10 @@
             },
         ]
     };
-    replica.apply(service.revision, &watched(&record, service.revision));
+    replica.apply(service.revision, &claim_events(&record, service.revision));
     let (own_claim, record) = claim_txn(&replica, &current, 2).unwrap();
     assert!(service.run(&own_claim) && !service.run(&old_claim) && !service.run(&own_claim));
-    // Nobody else takes the leadership from it, though the replica shows which versions to name.
-    replica.apply(service.revision, &watched(&record, service.revision));
-    assert!(claim_txn(&replica, &of("b", 1), 3).is_none());
+    // Another controller must not claim leadership, although its replica contains the versions that the guards need.
+    replica.apply(service.revision, &claim_events(&record, service.revision));
+    assert!(claim_txn(&replica, &process("b", 1), 3).is_none());
 }
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -1,46 +1,46 @@
-//! The compare-and-swap transactions. Each compares the versions of the keys that it was decided on (its guards), so that a late
-//! or repeated one changes nothing.
+//! Compare-and-swap transactions. The guards of each compare the versions of the keys that the decision was based on, so that a
+//! transaction that arrives late or repeatedly changes nothing.
 
 use super::{
-    epoch_key, final_key, leader_key, live_key, rental_key, starts_key, stopping_key, Epoch,
-    EpochRecord, FinalRecord, LeaderRecord, LiveRecord, RentalRecord, Replica, Revision, Versioned,
+    epoch_key, final_key, leader_key, live_key, rental_key, start_log_key, stopping_key, Epoch,
+    EpochRecord, FinalRecord, JobRecord, LeaderRecord, RentalRecord, Replica, Revision, Versioned,
 };
 use crate::protocol::{Change, Guard, Txn};
 use ciborium::Value;
 use serde::Serialize;
 
-/// A write of a slot of the start log.
+/// Parameters of a write of one slot of the start log.
 #[derive(Debug, Clone, Copy)]
 pub struct StartLogWrite<'a> {
-    /// Slot.
+    /// Number of the slot.
     pub slot: u32,
-    /// Version that the slot must still have; [`Revision::ZERO`] for a new one.
+    /// Version that the slot must have for the write to apply; [`Revision::ZERO`] for a new slot.
     pub version: Revision,
-    /// Its new content.
+    /// New contents of the slot.
     pub text: &'a str,
-    /// Jobs of the new starts.
+    /// Jobs of the new starts; the write applies only if all of them are unfinished.
     pub jobs: &'a [LoggedJob],
 }
 
-/// A job with new starts in a write of the start log.
+/// A job whose starts are added by a write of the start log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoggedJob {
-    /// Id.
+    /// Id of the job.
     pub id: String,
-    /// The version of its record, which must still be there: the job must be unfinished when its starts become durable.
+    /// Version of the job's record. The guard on it ensures that the job is unfinished when its starts become durable.
     pub version: Revision,
 }
 
-/// The condition that a key has this version; [`Revision::ZERO`]: that it does not exist.
+/// Returns the condition that a key has this version, or that it does not exist if the version is [`Revision::ZERO`].
 #[must_use]
 pub fn guard(key: String, version: Revision) -> Guard {
     Guard { key, version }
 }
 
-/// A write of a record. With a lease, the key is removed when the lease ends.
+/// Returns the change that writes a record. If a lease is given, the store deletes the key when that lease ends.
 #[must_use]
 pub fn put<T: Serialize>(key: String, record: &T, lease: Option<u64>) -> Change {
-    // The records of this module are plain maps and can be represented; every reader would refuse `Null`.
+    // Serialization cannot fail, since the records of this module are plain maps. `Null` would be rejected by every reader.
     Change::Put {
         put: key,
         value: Value::serialized(record).unwrap_or(Value::Null),
@@ -48,17 +48,19 @@
     }
 }
 
-/// Claims the next epoch under a leader lease, and tells its record; `None` while somebody else leads.
+/// Returns the transaction that claims the next epoch under a leader lease, and the record of that epoch, or `None` if
+/// leadership is not vacant, see [`Replica::may_claim_leadership`].
 ///
-/// Both are decided on the same replica as the guards. A controller whose replica had meanwhile shown another's claim once took
-/// the leadership from that one, whose leader lease was still running.
+/// The check that leadership is vacant must use the same replica as the guards. With a check on an earlier state, a controller
+/// could claim leadership with the versions that another controller's claim had written in the meantime, although that
+/// controller's leader lease had not expired.
 #[must_use]
 pub fn claim_txn(
     replica: &Replica,
     candidate: &LeaderRecord,
     lease: u64,
 ) -> Option<(Txn, EpochRecord)> {
-    if !replica.free_to_claim(candidate) {
+    if !replica.may_claim_leadership(candidate) {
         return None;
     }
     let epoch = replica.epoch.as_ref();
@@ -83,14 +85,15 @@
     Some((txn, record))
 }
 
-/// The version of a key as the replica shows it.
+/// Returns the version of a key in the replica; [`Revision::ZERO`] if the replica does not contain it.
 fn version_of<T>(known: Option<&Versioned<T>>) -> Revision {
     known.map_or(Revision::ZERO, |known| known.version)
 }
 
-/// Accepts a job that is neither unfinished nor final. A repeated submission changes nothing.
+/// Returns the transaction that accepts a job. It fails if the job is unfinished or final, so that a repeated submission changes
+/// nothing.
 #[must_use]
-pub fn submit_txn(id: &str, record: &LiveRecord) -> Txn {
+pub fn submit_txn(id: &str, record: &JobRecord) -> Txn {
     Txn {
         guards: vec![
             guard(live_key(id), Revision::ZERO),
@@ -100,9 +103,10 @@
     }
 }
 
-/// Cancels an unfinished job. Its record moves to the jobs being stopped, until none of its tasks can be anywhere.
+/// Returns the transaction that cancels an unfinished job. The record moves to the jobs being stopped, where it remains until
+/// none of the tasks can run any more.
 #[must_use]
-pub fn cancel_txn(id: &str, live: &Versioned<LiveRecord>) -> Txn {
+pub fn cancel_txn(id: &str, live: &Versioned<JobRecord>) -> Txn {
     let record = FinalRecord {
         cancelled: true,
         tasks: live.record.spec.tasks,
@@ -120,7 +124,7 @@
     }
 }
 
-/// Makes a job with every task done final, in the leader's epoch.
+/// Returns the transaction that makes a job final after all of its tasks are done, guarded by the leader's epoch.
 #[must_use]
 pub fn complete_txn(epoch: &Guard, id: &str, version: Revision, tasks: u32) -> Txn {
     let record = FinalRecord {
@@ -140,8 +144,8 @@
     }
 }
 
-/// Writes a rental request in the leader's epoch: a new one (version [`Revision::ZERO`]), or one that the cloud has answered. One
-/// that brought no machines is removed.
+/// Returns the transaction that writes a rental request, guarded by the leader's epoch. The request is either new (version
+/// [`Revision::ZERO`]) or answered by the cloud. An answered request without machines is deleted.
 #[must_use]
 pub fn rental_txn(epoch: &Guard, request: &str, version: Revision, record: &RentalRecord) -> Txn {
     let key = rental_key(request);
@@ -157,11 +161,12 @@
     }
 }
 
-/// Makes starts durable in a slot of the start log, in the leader's epoch, and only while each of their jobs is unfinished. Once
-/// a cancellation is durable nothing of its job is logged any more, and so nothing is sent.
+/// Returns the transaction that makes starts durable in a slot of the start log, guarded by the leader's epoch. It applies only
+/// while each of their jobs is unfinished: once a cancellation is durable, no start of the job can be logged, and a start that
+/// is not logged is never sent.
 #[must_use]
-pub fn log_txn(epoch: &Guard, write: StartLogWrite) -> Txn {
-    let key = starts_key(write.slot);
+pub fn start_log_txn(epoch: &Guard, write: StartLogWrite) -> Txn {
+    let key = start_log_key(write.slot);
     let jobs = write.jobs.iter();
     let mut guards = vec![epoch.clone(), guard(key.clone(), write.version)];
     guards.extend(jobs.map(|job| guard(live_key(&job.id), job.version)));
--- a/tests/compat/stored_records/mod.rs
+++ b/tests/compat/stored_records/mod.rs
@@ -8,7 +8,7 @@
 mod written;
 
 use hollowswitch::protocol::{decode, JobKind, JobSpec, MachineType, Priority, Watched};
-use hollowswitch::store::{LeaderRecord, LiveRecord, RentalRecord, Replica};
+use hollowswitch::store::{JobRecord, LeaderRecord, RentalRecord, Replica};
 
 /// `JobSpec` of `job_spec`.
 const SPEC: &[u8] = b"\xb4\
@@ -90,8 +90,8 @@
     }
 }
 
-fn live_record() -> LiveRecord {
-    LiveRecord {
+fn live_record() -> JobRecord {
+    JobRecord {
         spec: job_spec(),
         at_ms: 1_700_000_000_000,
     }
@@ -152,7 +152,7 @@
     replica.live.len()
         + replica.stopping.len()
         + replica.done.len()
-        + replica.starts.len()
+        + replica.start_log.len()
         + replica.rentals.len()
         + usize::from(replica.leader.is_some())
 }
--- a/tests/compat/stored_records/read.rs
+++ b/tests/compat/stored_records/read.rs
@@ -80,7 +80,7 @@
         b"\x75hollowswitch/starts/3",
         b"\x74n-1 - /wk-1 0.400001",
     ));
-    let read = &replica.starts[&3];
+    let read = &replica.start_log[&3];
     assert_eq!(
         (read.record.as_str(), read.version.as_u64()),
         ("n-1 - /wk-1 0.400001", 9)
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -8,7 +8,7 @@
 use hollowswitch::scheduler::{
     Hardware, HeartbeatDecision, HeartbeatSource, Origin, Params, Scheduler, StoredSlot, TeamQuota,
 };
-use hollowswitch::store::{guard, log_txn, Epoch, LiveRecord, Revision};
+use hollowswitch::store::{guard, start_log_txn, Epoch, JobRecord, Revision};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -56,7 +56,7 @@
             ..job_spec()
         };
         scheduler.add_job(
-            LiveRecord { spec, at_ms: 0 },
+            JobRecord { spec, at_ms: 0 },
             Revision::new(version),
             &[],
             0,
@@ -130,10 +130,13 @@
     ]);
     let epoch = guard("hollowswitch/epoch".into(), Revision::new(11));
     assert_eq!(
-        String::from_utf8_lossy(&encode(&log_txn(&epoch, append.start_log_write()))),
+        String::from_utf8_lossy(&encode(&start_log_txn(&epoch, append.start_log_write()))),
         String::from_utf8_lossy(&expected)
     );
-    assert_eq!(encode(&log_txn(&epoch, append.start_log_write())), expected);
+    assert_eq!(
+        encode(&start_log_txn(&epoch, append.start_log_write())),
+        expected
+    );
 }
 
 fn slot(number: u32, version: u64, text: &str) -> StoredSlot<'_> {
--- a/tests/compat/stored_records/written.rs
+++ b/tests/compat/stored_records/written.rs
@@ -7,9 +7,9 @@
 };
 use hollowswitch::protocol::{encode, Txn};
 use hollowswitch::store::{
-    bits_to_text, cancel_txn, catalogue_key, claim_txn, complete_txn, done_key, epoch_key,
-    final_key, guard, leader_key, live_job, live_key, put, rental_key, rental_txn, starts_key,
-    stopping_key, submit_txn, Revision, Versioned,
+    bitmap_to_hex, cancel_txn, catalogue_key, claim_txn, complete_txn, done_key, epoch_key,
+    final_key, guard, leader_key, live_key, parse_live_key, put, rental_key, rental_txn,
+    start_log_key, stopping_key, submit_txn, Revision, Versioned,
 };
 
 #[test]
@@ -21,14 +21,14 @@
     assert_eq!(stopping_key("wk-1"), "hollowswitch/stopping/wk-1");
     assert_eq!(final_key("wk-1"), "hollowswitch/over/wk-1");
     assert_eq!(done_key("wk-1", 17), "hollowswitch/done/wk-1/17");
-    assert_eq!(starts_key(3), "hollowswitch/starts/3");
+    assert_eq!(start_log_key(3), "hollowswitch/starts/3");
     assert_eq!(
         rental_key("drover-0-77-1"),
         "hollowswitch/hire/drover-0-77-1"
     );
-    assert_eq!(live_job("hollowswitch/live/wk-1"), Some("wk-1"));
-    assert_eq!(live_job("hollowswitch/over/wk-1"), None);
-    assert_eq!(live_job("live/wk-1"), None);
+    assert_eq!(parse_live_key("hollowswitch/live/wk-1"), Some("wk-1"));
+    assert_eq!(parse_live_key("hollowswitch/over/wk-1"), None);
+    assert_eq!(parse_live_key("live/wk-1"), None);
 }
 
 #[test]
@@ -170,7 +170,7 @@
         apply: vec![
             put(
                 done_key("wk-1", 2),
-                &bits_to_text(&[0x05, 0x00, 0xff]),
+                &bitmap_to_hex(&[0x05, 0x00, 0xff]),
                 None,
             ),
             put(catalogue_key(), &vec![machine_type()], None),
