--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -8,7 +8,7 @@
 use crate::placement::ResourceClass;
 use crate::protocol::{JobKind, JobSpec, Priority};
 use crate::resources::Resources;
-use crate::store::{LiveRecord, Revision};
+use crate::store::{JobRecord, Revision};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 /// An unfinished job, or a cancelled job with tasks that may still be running.
 pub struct Job {
     /// The job's record in the store.
-    pub record: LiveRecord,
+    pub record: JobRecord,
     /// Version of the job's record.
     pub(super) version: Revision,
     pub(super) submitted_at: Timestamp,
@@ -73,7 +73,7 @@
 impl Job {
     /// Returns a job without active tasks; `results` are the finished tasks that the store records.
     pub(super) fn new(
-        record: LiveRecord,
+        record: JobRecord,
         version: Revision,
         placement: JobPlacement,
         results: TaskBitmap,
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -9,7 +9,7 @@
 use crate::placement::ResourceClass;
 use crate::protocol::JobSpec;
 use crate::resources::Resources;
-use crate::store::{LiveRecord, Revision};
+use crate::store::{JobRecord, Revision};
 use std::time::Duration;
 
 /// A job whose tasks have all finished.
@@ -37,7 +37,7 @@
     /// current Unix time, from which the job's age follows. Of a `cancelled` job, present or not, the tasks are only stopped.
     pub fn add_job(
         &mut self,
-        record: LiveRecord,
+        record: JobRecord,
         version: Revision,
         results: &[(u32, Vec<u8>)],
         unix_millis: u64,
