--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::config::Settings;
 use crate::scheduler::{Job, Offer, Scheduler, UnmetDemand};
-use crate::time::{duration, duration_from_millis, Timestamp};
+use crate::time::{duration_from_millis, duration_from_secs, Timestamp};
 use headroom::{DemandHistory, DemandSample};
 use offers::OfferBackoffs;
 use std::collections::BTreeMap;
@@ -50,8 +50,8 @@
         // Long enough for two probes; a machine silent for longer rarely comes back within its lease.
         let silence_limit_s = (2.0 * workers.report_s + 2.0).max(0.4 * workers.lease_s);
         ScalingPolicy {
-            silence_limit: duration(silence_limit_s),
-            zone_silence_limit: duration(4.0 * workers.lease_s),
+            silence_limit: duration_from_secs(silence_limit_s),
+            zone_silence_limit: duration_from_secs(4.0 * workers.lease_s),
             idle_limit: settings.operator.idle_timeout(),
         }
     }
@@ -78,7 +78,7 @@
         let demands = scheduler.unmet_demand(true);
         log_demand(scheduler, &demands);
         let boot_time_s = shortest_boot_time_s(scheduler);
-        let window = policy.idle_limit + duration(boot_time_s);
+        let window = policy.idle_limit + duration_from_secs(boot_time_s);
         let horizon = forecast_horizon(boot_time_s);
         self.cordon_surplus(scheduler, &demands, window, horizon, now);
         self.release_unneeded(scheduler, policy.idle_limit, horizon, now);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -18,7 +18,7 @@
     Workers,
 };
 
-use crate::time::duration;
+use crate::time::duration_from_secs;
 use serde::de::DeserializeOwned;
 use std::path::Path;
 use std::time::Duration;
@@ -74,7 +74,7 @@
         let workers = &self.platform.deployment.workers;
         // The leader lease itself and, for stops that are sent late, the time of two heartbeats and their responses.
         let margin = self.operator.leader_lease_s + STOP_MARGIN_S + 2.0 * workers.report_s;
-        duration(workers.cancel_s - workers.lease_s * CLOCK_DRIFT_FACTOR - margin)
+        duration_from_secs(workers.cancel_s - workers.lease_s * CLOCK_DRIFT_FACTOR - margin)
     }
 }
 
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,6 +1,6 @@
 //! The operators' settings file.
 
-use crate::time::duration;
+use crate::time::duration_from_secs;
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -42,12 +42,12 @@
     /// Time to live of the leader lease.
     #[must_use]
     pub fn leader_lease(&self) -> Duration {
-        duration(self.leader_lease_s)
+        duration_from_secs(self.leader_lease_s)
     }
 
     /// How long a machine may be idle before it is returned to the cloud.
     #[must_use]
     pub fn idle_timeout(&self) -> Duration {
-        duration(self.idle_timeout_s)
+        duration_from_secs(self.idle_timeout_s)
     }
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's settings file.
 
-use crate::time::duration;
+use crate::time::duration_from_secs;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -96,7 +96,7 @@
     /// The time allowed, for kinds that have one.
     #[must_use]
     pub fn time_allowed(&self) -> Option<Duration> {
-        self.within_s.map(duration)
+        self.within_s.map(duration_from_secs)
     }
 }
 
@@ -115,13 +115,13 @@
     /// Interval between two heartbeats of a worker.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
-        duration(self.report_s)
+        duration_from_secs(self.report_s)
     }
 
     /// Lease of a worker, counted from the sending of its last heartbeat that was answered.
     #[must_use]
     pub fn lease(&self) -> Duration {
-        duration(self.lease_s)
+        duration_from_secs(self.lease_s)
     }
 }
 
@@ -151,7 +151,7 @@
     /// Time by which the list of machines usually lags behind.
     #[must_use]
     pub fn list_lag(&self) -> Duration {
-        duration(self.list_lag_s)
+        duration_from_secs(self.list_lag_s)
     }
 }
 
--- a/src/controller/state/machine_list.rs
+++ b/src/controller/state/machine_list.rs
@@ -3,7 +3,7 @@
 use super::{ControllerState, UnregisteredMachine};
 use crate::clients::cloud::MachinePage;
 use crate::scheduler::MachineState;
-use crate::time::duration;
+use crate::time::duration_from_secs;
 use std::time::Duration;
 
 /// Margin on top of twice the list's lag. After that time the list contains no machine that an earlier leader has released.
@@ -18,8 +18,8 @@
         let now = self.now();
         // The list may still contain machines that an earlier leader has released. A new leader that adopted such machines
         // relied on them for a minute. Machines whose workers send heartbeats are adopted without this delay.
-        let lag =
-            duration(2.0 * self.settings.platform.deployment.cloud.list_lag_s) + LIST_LAG_MARGIN;
+        let lag = duration_from_secs(2.0 * self.settings.platform.deployment.cloud.list_lag_s)
+            + LIST_LAG_MARGIN;
         let list_is_current = now > self.leading_since() + lag;
         let scheduler = self.scheduler.as_mut()?;
         for machine in page.machines {
@@ -33,7 +33,7 @@
                         index,
                         running,
                         &machine.address,
-                        duration(machine.age_s),
+                        duration_from_secs(machine.age_s),
                     );
                 }
                 None if list_is_current => {
--- a/src/controller/state/rentals.rs
+++ b/src/controller/state/rentals.rs
@@ -6,7 +6,7 @@
 use crate::coordination::leadership::{Authority, Term};
 use crate::scheduler::{Hardware, Offer, Origin};
 use crate::store::{RentalRecord, Revision};
-use crate::time::duration;
+use crate::time::duration_from_secs;
 
 /// Cooldown of an offer after a request for it, in intervals between cloud calls: requests for other offers go first.
 const OFFER_COOLDOWN_CALLS: f64 = 2.9;
@@ -57,7 +57,7 @@
         let requests = self.decide_scaling();
         let now = self.now();
         let calls_per_s = self.settings.platform.deployment.cloud.rps * CLOUD_REQUEST_SHARE;
-        let offer_cooldown = duration(OFFER_COOLDOWN_CALLS / calls_per_s);
+        let offer_cooldown = duration_from_secs(OFFER_COOLDOWN_CALLS / calls_per_s);
         self.autoscaler.next_request(requests, offer_cooldown, now)
     }
 
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -4,7 +4,7 @@
 use crate::protocol::Command;
 use crate::scheduler::machines::MachineState;
 use crate::scheduler::Scheduler;
-use crate::time::duration;
+use crate::time::duration_from_secs;
 
 impl Scheduler {
     /// Renews the lease of a machine for a request that is about to be answered.
@@ -30,7 +30,7 @@
             .record_heartbeat(heartbeat.sequence(), &report.address, now);
         let notice = report
             .eviction_notice_s
-            .map(|seconds| now + duration(seconds));
+            .map(|seconds| now + duration_from_secs(seconds));
         machine.eviction.set_notice(notice);
         last_session != 0 && is_new_session
     }
--- a/src/scheduler/machines/expiry.rs
+++ b/src/scheduler/machines/expiry.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::attempt::TaskEvent;
 use crate::scheduler::index::MachineIndex;
 use crate::scheduler::Scheduler;
-use crate::time::{duration, Timestamp};
+use crate::time::{duration_from_secs, Timestamp};
 use std::time::Duration;
 
 /// Maximum time between two ticks of a process that runs without interruption. A longer gap counts as a pause.
@@ -69,6 +69,6 @@
 
     /// Returns the time that a task needs to save its progress, including the delivery of the stop to its worker.
     fn time_to_save(&self, spec: &JobSpec) -> Duration {
-        duration(spec.save_s) + self.params.heartbeat_interval * 2 + STOP_MARGIN
+        duration_from_secs(spec.save_s) + self.params.heartbeat_interval * 2 + STOP_MARGIN
     }
 }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -5,7 +5,7 @@
 use super::Scheduler;
 use crate::protocol::Priority;
 use crate::resources::Resources;
-use crate::time::{duration, millis, Timestamp};
+use crate::time::{duration_from_secs, millis_from_secs, Timestamp};
 use std::time::Duration;
 
 /// A job that has waited for this long for its first task comes first: 40 % of the 240 s within which the largest jobs,
@@ -93,7 +93,7 @@
             }
             Some(deadline) if age > deadline => Urgency::Late { submitted_at },
             _ => Urgency::InTime {
-                order: millis(f64::from(job.unfinished()) * job.expected_run_s()),
+                order: millis_from_secs(f64::from(job.unfinished()) * job.expected_run_s()),
             },
         }
     }
@@ -102,7 +102,7 @@
     fn deadline(&self, job: &Job) -> Option<Duration> {
         let spec = job.spec();
         spec.deadline_s
-            .map(duration)
+            .map(duration_from_secs)
             .or_else(|| self.params.finish_within.get(&spec.class).copied())
     }
 
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,7 +1,7 @@
-//! Moments and lengths of time.
+//! Timestamps and conversions of durations.
 //!
-//! Settings and the wire give durations in seconds, the logic counts milliseconds: [`Timestamp`] is a moment of a clock,
-//! [`Duration`] a length of time, and [`millis`] and [`duration`] convert.
+//! Settings and messages state durations in seconds, as floating-point numbers. The program computes in whole milliseconds: with
+//! [`Timestamp`] for points in time and [`Duration`] for spans. [`millis_from_secs`] and [`duration_from_secs`] convert.
 
 #[cfg(test)]
 mod tests;
@@ -10,34 +10,34 @@
 use std::ops::{Add, AddAssign};
 use std::time::Duration;
 
-/// A moment in milliseconds of a steady clock. The clock starts at an arbitrary moment of each process, so timestamps of
-/// different processes must not be compared.
+/// A point in time on the monotonic clock of this process, in milliseconds. The clock's zero point is arbitrary, so timestamps
+/// of different processes must not be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The earliest moment, used for what has never happened.
+    /// The earliest timestamp. Stands for the time of an event that has never happened.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// The moment that many milliseconds after [`Timestamp::ZERO`].
+    /// Creates a timestamp from the milliseconds since [`Timestamp::ZERO`].
     #[must_use]
     pub const fn from_millis(millis: u64) -> Timestamp {
         Timestamp(millis)
     }
 
-    /// Milliseconds since [`Timestamp::ZERO`].
+    /// Returns the milliseconds since [`Timestamp::ZERO`].
     #[must_use]
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// The time that passed since an earlier moment; zero if that moment is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this timestamp.
     #[must_use]
     pub const fn saturating_duration_since(self, earlier: Timestamp) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment that long before this one, at the earliest [`Timestamp::ZERO`].
+    /// Returns the timestamp that is `duration` before this one, or [`Timestamp::ZERO`] if it would be earlier.
     #[must_use]
     pub fn saturating_sub(self, duration: Duration) -> Timestamp {
         Timestamp(self.0.saturating_sub(whole_millis(duration)))
@@ -47,7 +47,7 @@
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
 
-    /// The moment that long after this one, at the latest the end of the clock.
+    /// Returns the timestamp that is `duration` after this one, or the latest timestamp if the sum overflows.
     fn add(self, duration: Duration) -> Timestamp {
         Timestamp(self.0.saturating_add(whole_millis(duration)))
     }
@@ -65,25 +65,25 @@
     }
 }
 
-/// The whole milliseconds of a duration.
+/// Returns the number of whole milliseconds in a duration, or `u64::MAX` if it does not fit.
 #[must_use]
 pub fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Seconds as milliseconds, rounded down; what is negative or no number is 0.
+/// Converts seconds to milliseconds, rounded down. Negative values and NaN give 0.
 #[must_use]
-pub fn millis(seconds: f64) -> u64 {
+pub fn millis_from_secs(seconds: f64) -> u64 {
     round_down(seconds * 1000.0)
 }
 
-/// Seconds as a duration of whole milliseconds, rounded down; what is negative or no number is zero.
+/// Converts seconds to a duration, rounded down to whole milliseconds. Negative values and NaN give zero.
 #[must_use]
-pub fn duration(seconds: f64) -> Duration {
-    Duration::from_millis(millis(seconds))
+pub fn duration_from_secs(seconds: f64) -> Duration {
+    Duration::from_millis(millis_from_secs(seconds))
 }
 
-/// Milliseconds as a duration, rounded down to whole ones; what is negative or no number is zero.
+/// Converts milliseconds to a duration, rounded down to whole milliseconds. Negative values and NaN give zero.
 #[must_use]
 pub fn duration_from_millis(milliseconds: f64) -> Duration {
     Duration::from_millis(round_down(milliseconds))
