--- a/src/resources.rs
+++ b/src/resources.rs
@@ -1,11 +1,11 @@
-//! Amounts of CPU, accelerators and memory, in whole numbers, so that sums and differences are exact.
+//! Amounts of CPUs, accelerators and memory. Amounts are integers, so that sums and differences are exact.
 
 #[cfg(test)]
 mod tests;
 
 use std::ops::{AddAssign, SubAssign};
 
-/// Amounts of all resources: what a task takes, or what a machine has.
+/// Amounts of all resources: the request of a task, or the capacity or load of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Resources {
     /// CPUs in thousandths.
@@ -16,7 +16,7 @@
     pub memory_mb: u64,
 }
 
-/// The resources that quotas limit.
+/// Amounts of the resources that quotas limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct QuotaResources {
     /// CPUs in thousandths.
@@ -26,21 +26,22 @@
 }
 
 impl Resources {
-    /// Nothing of anything.
+    /// No resources.
     pub const ZERO: Resources = Resources {
         cpu_milli: 0,
         accelerator_milli: 0,
         memory_mb: 0,
     };
 
-    /// The smallest amount of everything.
+    /// One unit, which is the smallest amount, of every resource.
     pub const ONE: Resources = Resources {
         cpu_milli: 1,
         accelerator_milli: 1,
         memory_mb: 1,
     };
 
-    /// What a task asks for. Rounded up, so that rounding can never make a quota or a machine look roomier than it is.
+    /// Creates the resource request of a task. The amounts are rounded up, so that rounding never overstates what is left of a
+    /// quota or a machine.
     #[must_use]
     pub fn requested(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
         Resources {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// What a machine has, rounded down.
+    /// Creates the capacity of a machine. The amounts are rounded down.
     #[must_use]
     pub fn capacity(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
         Resources {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// How many times this fits into `available`. A resource of which this takes nothing does not limit it.
+    /// Returns how many times these resources fit into `available`. A resource whose amount is 0 does not limit the count.
     #[must_use]
     pub fn count_fitting(self, available: Resources) -> u32 {
         let Resources {
@@ -68,19 +69,22 @@
             accelerator_milli,
             memory_mb,
         } = self;
-        let count = times(available.cpu_milli, cpu_milli)
-            .min(times(available.accelerator_milli, accelerator_milli))
-            .min(times(available.memory_mb, memory_mb));
+        let count = fitting_amounts(available.cpu_milli, cpu_milli)
+            .min(fitting_amounts(
+                available.accelerator_milli,
+                accelerator_milli,
+            ))
+            .min(fitting_amounts(available.memory_mb, memory_mb));
         saturating_u32(count)
     }
 
-    /// Whether this fits into `available` at least once.
+    /// Reports whether these resources fit into `available`.
     #[must_use]
     pub fn fits(self, available: Resources) -> bool {
         self.count_fitting(available) > 0
     }
 
-    /// Whether this is at least as much as `other` of each resource.
+    /// Reports whether the amount of every resource is at least that in `other`.
     #[must_use]
     pub fn covers(self, other: Resources) -> bool {
         self.cpu_milli >= other.cpu_milli
@@ -88,19 +92,19 @@
             && self.memory_mb >= other.memory_mb
     }
 
-    /// This and `other`.
+    /// Returns the sum for each resource.
     #[must_use]
     pub fn saturating_add(self, other: Resources) -> Resources {
-        self.combined(other, u64::saturating_add)
+        self.combine(other, u64::saturating_add)
     }
 
-    /// What is left of this without `other`, at least nothing.
+    /// Returns the difference for each resource, or 0 where `other` has more.
     #[must_use]
     pub fn saturating_sub(self, other: Resources) -> Resources {
-        self.combined(other, u64::saturating_sub)
+        self.combine(other, u64::saturating_sub)
     }
 
-    /// This a number of times.
+    /// Returns the amount of each resource multiplied by `count`.
     #[must_use]
     pub fn saturating_mul(self, count: u32) -> Resources {
         let count = u64::from(count);
@@ -111,19 +115,19 @@
         }
     }
 
-    /// The lesser amount of each resource.
+    /// Returns the smaller amount of each resource.
     #[must_use]
     pub fn min(self, other: Resources) -> Resources {
-        self.combined(other, u64::min)
+        self.combine(other, u64::min)
     }
 
-    /// The larger amount of each resource.
+    /// Returns the larger amount of each resource.
     #[must_use]
     pub fn max(self, other: Resources) -> Resources {
-        self.combined(other, u64::max)
+        self.combine(other, u64::max)
     }
 
-    /// What counts for a quota.
+    /// Returns the resources that count towards quotas.
     #[must_use]
     pub fn quota(self) -> QuotaResources {
         QuotaResources {
@@ -132,7 +136,8 @@
         }
     }
 
-    fn combined(self, other: Resources, operation: impl Fn(u64, u64) -> u64) -> Resources {
+    /// Applies `operation` to the amounts of each resource.
+    fn combine(self, other: Resources, operation: impl Fn(u64, u64) -> u64) -> Resources {
         Resources {
             cpu_milli: operation(self.cpu_milli, other.cpu_milli),
             accelerator_milli: operation(self.accelerator_milli, other.accelerator_milli),
@@ -142,19 +147,19 @@
 }
 
 impl QuotaResources {
-    /// Nothing of anything.
+    /// No resources.
     pub const ZERO: QuotaResources = QuotaResources {
         cpu_milli: 0,
         accelerator_milli: 0,
     };
 
-    /// No limit.
+    /// An amount that limits no resource.
     pub const UNLIMITED: QuotaResources = QuotaResources {
         cpu_milli: u64::MAX,
         accelerator_milli: u64::MAX,
     };
 
-    /// A guarantee of CPUs and accelerators.
+    /// Creates a guarantee of CPUs and accelerators.
     #[must_use]
     pub fn guarantee(cpus: f64, gpus: f64) -> QuotaResources {
         QuotaResources {
@@ -163,7 +168,7 @@
         }
     }
 
-    /// A limit of CPUs and accelerators, where 0 means none.
+    /// Creates a limit on CPUs and accelerators. An amount of 0 means unlimited.
     #[must_use]
     pub fn limit(cpus: f64, gpus: f64) -> QuotaResources {
         let limit = |amount: f64| {
@@ -179,33 +184,35 @@
         }
     }
 
-    /// How many times this fits into `available`. A resource of which this takes nothing does not limit it.
+    /// Returns how many times these resources fit into `available`. A resource whose amount is 0 does not limit the count.
     #[must_use]
     pub fn count_fitting(self, available: QuotaResources) -> u32 {
-        let count = times(available.cpu_milli, self.cpu_milli)
-            .min(times(available.accelerator_milli, self.accelerator_milli));
+        let count = fitting_amounts(available.cpu_milli, self.cpu_milli).min(fitting_amounts(
+            available.accelerator_milli,
+            self.accelerator_milli,
+        ));
         saturating_u32(count)
     }
 
-    /// This and `other`.
+    /// Returns the sum for each resource.
     #[must_use]
     pub fn saturating_add(self, other: QuotaResources) -> QuotaResources {
-        self.combined(other, u64::saturating_add)
+        self.combine(other, u64::saturating_add)
     }
 
-    /// What is left of this without `other`, at least nothing.
+    /// Returns the difference for each resource, or 0 where `other` has more.
     #[must_use]
     pub fn saturating_sub(self, other: QuotaResources) -> QuotaResources {
-        self.combined(other, u64::saturating_sub)
+        self.combine(other, u64::saturating_sub)
     }
 
-    /// The lesser amount of each resource.
+    /// Returns the smaller amount of each resource.
     #[must_use]
     pub fn min(self, other: QuotaResources) -> QuotaResources {
-        self.combined(other, u64::min)
+        self.combine(other, u64::min)
     }
 
-    /// This a number of times.
+    /// Returns the amount of each resource multiplied by `count`.
     #[must_use]
     pub fn saturating_mul(self, count: u32) -> QuotaResources {
         let count = u64::from(count);
@@ -215,11 +222,8 @@
         }
     }
 
-    fn combined(
-        self,
-        other: QuotaResources,
-        operation: impl Fn(u64, u64) -> u64,
-    ) -> QuotaResources {
+    /// Applies `operation` to the amounts of each resource.
+    fn combine(self, other: QuotaResources, operation: impl Fn(u64, u64) -> u64) -> QuotaResources {
         QuotaResources {
             cpu_milli: operation(self.cpu_milli, other.cpu_milli),
             accelerator_milli: operation(self.accelerator_milli, other.accelerator_milli),
@@ -241,8 +245,8 @@
     }
 }
 
-/// How many times an amount of one resource is available.
-fn times(available: u64, amount: u64) -> u64 {
+/// Returns how many times `amount` of a resource fits into `available`. An amount of 0 fits without limit.
+fn fitting_amounts(available: u64, amount: u64) -> u64 {
     available.checked_div(amount).unwrap_or(u64::MAX)
 }
 
@@ -250,20 +254,22 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// The difference by which the rounding of floats may miss a whole number.
+/// Largest rounding error, in thousandths, by which a floating-point amount may miss a whole number.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// For what is asked for. What is whole but for the rounding of floats is not rounded up.
+/// Converts a requested amount to thousandths, rounded up. A value that exceeds a whole number only by a rounding error is not
+/// rounded up.
 fn thousandths_rounded_up(amount: f64) -> u64 {
     saturating_u64((amount * 1000.0 - ROUNDING_TOLERANCE).ceil())
 }
 
-/// For quotas. What is whole but for the rounding of floats is not rounded down.
+/// Converts the amount of a quota to thousandths, rounded down. A value that is below a whole number only by a rounding error is
+/// not rounded down.
 fn whole_thousandths(amount: f64) -> u64 {
     saturating_u64((amount * 1000.0 + ROUNDING_TOLERANCE).floor())
 }
 
-/// For what machines have.
+/// Converts the capacity of a machine to thousandths, rounded down.
 fn thousandths_rounded_down(amount: f64) -> u64 {
     saturating_u64(amount * 1000.0)
 }
--- a/src/resources/tests.rs
+++ b/src/resources/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `resources`.
+//! Tests of resource arithmetic and rounding.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn the_scarcest_resource_limits_how_often_a_task_fits() {
+fn the_scarcest_resource_limits_how_many_tasks_fit() {
     let available = Resources::capacity(8.0, 0.0, 10.0);
     assert_eq!(TASK.count_fitting(available), 3);
     assert!(!Resources::requested(0.0, 1.0, 0.0).fits(available));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_is_left_is_never_negative() {
+fn subtraction_saturates_at_zero() {
     assert_eq!(TASK.saturating_sub(TASK.saturating_mul(2)), Resources::ZERO);
     assert_eq!(TASK.saturating_sub(TASK).saturating_add(TASK), TASK);
 }
