--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,10 +1,11 @@
-//! Admission control: which requests are accepted when there are more than can be served.
+//! Admission control: decides which requests to accept under overload.
 //!
-//! - [`concurrency_limit`] bounds the user requests in progress;
-//! - [`write_admission`] bounds the changes that users cause in the state service;
-//! - [`rate`] has the token bucket and the rate meter for calls to the state service and to the cloud.
+//! - [`concurrency_limit`] limits the number of user requests in progress;
+//! - [`write_admission`] limits the rate at which users change the store;
+//! - [`rate`] contains the token bucket and the rate meter for calls of the store and the cloud.
 //!
-//! All of them work on times that are handed in, and none waits: whoever is not admitted is told when to try again.
+//! None of them reads a clock or waits: the caller passes the time in. The rate limits return the time after which a request
+//! that was not admitted may be repeated.
 
 pub mod concurrency_limit;
 pub mod rate;
--- a/src/admission/write_admission.rs
+++ b/src/admission/write_admission.rs
@@ -1,8 +1,8 @@
-//! Admission of the changes that users cause in the state service, which limits the changes of all controllers together.
+//! Admission of users' changes to the store, whose write rate limit all controllers share.
 //!
-//! The admitted rate adapts: it grows while changes are accepted and shrinks when the state service throttles one. Users who
-//! are not admitted are told to come back one after the other, so that a crowd does not come back all at once. Without this,
-//! the retries of a crowd once used up the requests of the state service, and a leader could not renew its leader lease.
+//! The admitted rate adapts: it increases with each accepted change and decreases when the store throttles one. Users who are not
+//! admitted get retry times that are spread at the admitted rate, so that they do not all retry at once. Without this, the
+//! retries of many users once used up the store's request rate, and a leader could not renew its leader lease.
 
 #[cfg(test)]
 mod tests;
@@ -10,74 +10,77 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// The part of the state service's changes that users have in any case.
+/// Share of the store's write rate that users get regardless of the leader's writes.
 const GUARANTEED_USER_SHARE: f64 = 2.0 / 3.0;
-/// The part that users and the leader together may use; the rest is for what is not measured yet.
-const PLANNED_SHARE: f64 = 0.95;
-/// Factor on the measured changes of the leader that is reserved for it.
-const LEADER_HEADROOM: f64 = 1.25;
-/// The part of the highest rate at which a controller begins.
-const INITIAL_SHARE: f64 = 0.5;
-/// The rate grows by this part of the highest rate with each accepted change.
+/// Share of the store's write rate that users and the leader use together. The remainder is for writes that are not measured
+/// yet.
+const ALLOCATED_SHARE: f64 = 0.95;
+/// Factor by which the rate reserved for the leader exceeds the measured rate of its changes.
+const LEADER_HEADROOM_FACTOR: f64 = 1.25;
+/// Share of the maximum rate at which a controller starts.
+const INITIAL_RATE_SHARE: f64 = 0.5;
+/// Share of the maximum rate by which the rate increases with each accepted change.
 const INCREASE_SHARE: f64 = 0.02;
-/// Factor by which the rate shrinks with each throttled change.
-const DECREASE: f64 = 0.8;
-/// The rate never shrinks below this part of the highest rate.
-const MIN_SHARE: f64 = 0.05;
-/// The shortest and the longest time after which a user is told to come back, in seconds.
+/// Factor by which the rate is multiplied with each throttled change.
+const DECREASE_FACTOR: f64 = 0.8;
+/// Share of the maximum rate below which the rate does not decrease.
+const MIN_RATE_SHARE: f64 = 0.05;
+/// Minimum and maximum time after which a user is told to retry, in seconds.
 const RETRY_AFTER_S: (f64, f64) = (1.0, 30.0);
 
-/// How many changes per second the users of one controller may cause, where all `controllers` share `changes_per_s`: two
-/// thirds, and of the rest what the leader leaves. In the first seconds of a deployment, with every job to be accepted and
-/// nothing to be started, the leader needs next to none.
+/// Returns the maximum rate of changes, per second, by the users of one controller. All `controllers` share `changes_per_s`.
+///
+/// Users get two thirds of the shared rate, or what the leader leaves if that is more. In the first seconds of a deployment,
+/// when all jobs are submitted and none is started yet, the leader needs hardly any of it. Where the leader's rate is not known,
+/// users get two thirds.
 #[must_use]
-pub fn users_share(
+pub fn max_user_change_rate(
     changes_per_s: f64,
     controllers: usize,
     leader_changes_per_s: Option<f64>,
 ) -> f64 {
     let guaranteed = changes_per_s * GUARANTEED_USER_SHARE;
     let left_by_leader = leader_changes_per_s.map_or(0.0, |leader| {
-        changes_per_s * PLANNED_SHARE - leader.max(0.0) * LEADER_HEADROOM
+        changes_per_s * ALLOCATED_SHARE - leader.max(0.0) * LEADER_HEADROOM_FACTOR
     });
     guaranteed.max(left_by_leader) / controllers.max(1) as f64
 }
 
-/// Admits changes at an adaptive rate.
+/// Token bucket that admits changes at an adaptive rate.
 pub struct WriteAdmission {
     rate_per_s: f64,
     max_rate_per_s: f64,
-    /// Changes that may be made at once; below 0 after an admission of several.
+    /// Number of changes that may be made at once. Negative after the admission of more changes than there were tokens.
     tokens: f64,
     refilled_at: Timestamp,
-    /// When those that were told to come back will have been admitted, in milliseconds of the clock.
-    retries_until_ms: f64,
+    /// Time at which all users that were told to retry will have been admitted, in milliseconds of the clock.
+    retry_queue_end_ms: f64,
 }
 
 impl WriteAdmission {
-    /// An admission that begins at half of its highest rate.
+    /// Creates an admission that starts at half of its maximum rate.
     #[must_use]
     pub fn new(max_rate_per_s: f64) -> WriteAdmission {
         WriteAdmission {
-            rate_per_s: max_rate_per_s * INITIAL_SHARE,
+            rate_per_s: max_rate_per_s * INITIAL_RATE_SHARE,
             max_rate_per_s,
-            tokens: max_rate_per_s * INITIAL_SHARE,
+            tokens: max_rate_per_s * INITIAL_RATE_SHARE,
             refilled_at: Timestamp::ZERO,
-            retries_until_ms: 0.0,
+            retry_queue_end_ms: 0.0,
         }
     }
 
-    /// Changes the highest rate.
+    /// Sets the maximum rate, and lowers the present rate to it if it is higher.
     pub fn set_max_rate(&mut self, max_rate_per_s: f64) {
         self.max_rate_per_s = max_rate_per_s;
         self.rate_per_s = self.rate_per_s.min(max_rate_per_s);
     }
 
-    /// Admits a number of changes that are made together.
+    /// Admits a number of changes that are made in one transaction.
     ///
     /// # Errors
     ///
-    /// The changes are not admitted; they may be after the returned time, which is in whole seconds.
+    /// Returns the time after which to retry, in whole seconds, if the changes are not admitted.
     pub fn try_admit(&mut self, changes: u32, now: Timestamp) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens >= 1.0 {
@@ -87,15 +90,16 @@
         Err(self.schedule_retry(changes, now))
     }
 
+    /// Adds the tokens of the time since the last refill.
     fn refill(&mut self, now: Timestamp) {
         let elapsed_ms = now.saturating_duration_since(self.refilled_at).as_millis() as f64;
-        // A burst of the changes of one second, as the state service itself allows.
+        // The bucket holds the changes of one second, which is the burst that the store allows.
         let burst = self.rate_per_s.max(1.0);
         self.tokens = (self.tokens + elapsed_ms * self.rate_per_s / 1000.0).min(burst);
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Puts a retry behind those that were scheduled before. Returns the time until then.
+    /// Schedules a retry after those that were scheduled before. Returns the time until then.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -103,23 +107,23 @@
     )]
     fn schedule_retry(&mut self, changes: u32, now: Timestamp) -> Duration {
         let now_ms = now.as_millis() as f64;
-        let begin_ms = self.retries_until_ms.max(now_ms);
-        self.retries_until_ms = begin_ms + f64::from(changes) * 1000.0 / self.rate_per_s;
-        let wait_s = ((self.retries_until_ms - now_ms) / 1000.0).ceil();
+        let retry_start_ms = self.retry_queue_end_ms.max(now_ms);
+        self.retry_queue_end_ms = retry_start_ms + f64::from(changes) * 1000.0 / self.rate_per_s;
+        let wait_s = ((self.retry_queue_end_ms - now_ms) / 1000.0).ceil();
         let (shortest, longest) = RETRY_AFTER_S;
         Duration::from_secs(wait_s.clamp(shortest, longest) as u64)
     }
 
-    /// Raises the rate: the state service has accepted a change.
+    /// Increases the rate after the store has accepted a change.
     pub fn record_accepted(&mut self) {
         let raised = self.rate_per_s + INCREASE_SHARE * self.max_rate_per_s;
         self.rate_per_s = raised.min(self.max_rate_per_s);
     }
 
-    /// Lowers the rate: the state service has throttled a change.
+    /// Decreases the rate after the store has throttled a change.
     pub fn record_throttled(&mut self) {
-        let lowered = self.rate_per_s * DECREASE;
-        self.rate_per_s = lowered.max(MIN_SHARE * self.max_rate_per_s);
+        let lowered = self.rate_per_s * DECREASE_FACTOR;
+        self.rate_per_s = lowered.max(MIN_RATE_SHARE * self.max_rate_per_s);
         self.tokens = self.tokens.min(0.0);
     }
 }
--- a/src/controller/state/peer_views.rs
+++ b/src/controller/state/peer_views.rs
@@ -1,7 +1,7 @@
 //! The views that controllers exchange: this controller's own view, and the handling of a peer's view.
 
 use super::ControllerState;
-use crate::admission::write_admission::users_share;
+use crate::admission::write_admission::max_user_change_rate;
 use crate::coordination::leadership::Authority;
 use crate::coordination::peers::{JobTaskCounts, View};
 use crate::scheduler::{Scheduler, TaskCounts};
@@ -85,6 +85,6 @@
         let platform = &self.settings.platform;
         let controllers = platform.peers.len() + 1;
         let write_rps = platform.deployment.state.write_rps;
-        users_share(write_rps, controllers, leader_changes_per_s)
+        max_user_change_rate(write_rps, controllers, leader_changes_per_s)
     }
 }
--- a/src/controller/state/request_limits.rs
+++ b/src/controller/state/request_limits.rs
@@ -2,7 +2,7 @@
 
 use super::ControllerState;
 use crate::admission::rate::{RateMeter, TokenBucket};
-use crate::admission::write_admission::{users_share, WriteAdmission};
+use crate::admission::write_admission::{max_user_change_rate, WriteAdmission};
 use crate::config::Settings;
 use crate::store::{StoreError, TxnOutcome};
 use crate::time::Timestamp;
@@ -34,7 +34,7 @@
     pub(super) fn new(settings: &Settings) -> RequestLimits {
         let deployment = &settings.platform.deployment;
         let controllers = settings.platform.peers.len() + 1;
-        let user_changes = users_share(deployment.state.write_rps, controllers, None);
+        let user_changes = max_user_change_rate(deployment.state.write_rps, controllers, None);
         let user_reads = deployment.state.rps * USER_READ_SHARE / controllers as f64;
         let cloud_calls = deployment.cloud.rps * CLOUD_REQUEST_SHARE;
         RequestLimits {
@@ -84,7 +84,7 @@
 
     /// Returns the rate, per second, of the changes that this controller makes as the leader.
     pub(super) fn own_change_rate(&self, now: Timestamp) -> f64 {
-        self.own_changes.per_s(now)
+        self.own_changes.events_per_s(now)
     }
 }
 
