--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! hollowswitch: a cluster scheduler that rents machines by the second and keeps every task in at most one place.
+//! hollowswitch: a cluster scheduler that rents machines by the second and runs every task on at most one machine at a time.
 //!
-//! The program in `main.rs` is thin; [`service::run`] is the whole service. Begin with `docs/architecture.md`;
-//! [`scheduler`] is the logic without I/O.
+//! `main.rs` only parses the command line and the settings; [`service::run`] runs a controller. [`scheduler`] contains the
+//! scheduling logic, which performs no I/O. `docs/architecture.md` gives an overview.
 
 pub mod admission;
 pub mod api;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads the settings and runs a controller until the process ends.
+//! Command-line program that reads the settings and runs a controller until the process ends.
 
 use clap::Parser;
 use hollowswitch::{config::Settings, service};
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use tracing::Level;
 
-/// A cluster scheduler that rents machines by the second and keeps every task in at most one place.
+/// A cluster scheduler that rents machines by the second and runs every task on at most one machine at a time.
 #[derive(Parser)]
 #[command(version)]
 struct Args {
@@ -21,7 +21,7 @@
     check: bool,
 }
 
-/// Exit status of a program whose settings are wrong.
+/// Exit status when the settings cannot be read or are invalid.
 const INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Logs to standard error, at the level that the variable `LOG_LEVEL` sets.
+/// Sets up logging to standard error. The environment variable `LOG_LEVEL` sets the level; the default is `error`.
 fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => Level::DEBUG,
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,4 +1,4 @@
-//! Runs a whole controller: the actor and the servers in front of it.
+//! Runs a controller: its actor and its HTTP servers.
 
 use crate::config::Settings;
 use crate::controller::Controller;
@@ -6,15 +6,15 @@
 
 /// Runs a controller until its process ends.
 ///
-/// Everything runs in one thread: a request that crossed to another one and back cost two wake-ups and four more system
+/// All of it runs in one thread, since handing a request to another thread and back cost two wake-ups and four more system
 /// calls.
 ///
 /// # Errors
 ///
-/// If the runtime cannot be built, or an address cannot be listened on.
+/// Returns an error if the runtime cannot be built or a server cannot listen on its address.
 pub fn run(settings: Settings) -> std::io::Result<()> {
     let platform = settings.platform.clone();
-    let connections = platform.deployment.machine_limits.server_connections();
+    let max_connections = platform.deployment.machine_limits.server_connections();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -24,6 +24,6 @@
     };
     System::with_tokio_rt(|| runtime).block_on(async move {
         let controller = Controller::new(settings).start();
-        crate::api::serve(controller, addresses, connections).await
+        crate::api::serve(controller, addresses, max_connections).await
     })
 }
