--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's client: machine types, rentals, releases, and the list of rented machines.
+//! Client of the cloud: machine types, rentals, releases, and the list of rented machines.
 
 use super::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest, HttpResponse};
 use crate::protocol::{
@@ -9,57 +9,59 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_secs(4);
-/// Machines on a page of the list.
+/// Number of machines on a page of the machine list.
 const PAGE_SIZE: usize = 500;
-/// Largest response accepted. A page of the list has [`PAGE_SIZE`] machines; this leaves 8 KiB for each.
+/// Maximum size of a response body, in bytes. A page of the machine list has [`PAGE_SIZE`] machines, so this allows 8 KiB for
+/// each.
 const RESPONSE_LIMIT: usize = 4 << 20;
-/// Most machines that one request may ask for.
+/// Maximum number of machines that one rental request may ask for.
 pub const MAX_RENT_COUNT: u32 = 50;
-/// Most machines that one release may name.
+/// Maximum number of machines that one release request may name.
 pub const MAX_RELEASE_COUNT: usize = 100;
 
-/// How a rental request can end.
+/// The outcome of a rental request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RentOutcome {
-    /// These machines were rented, perhaps fewer than were asked for.
+    /// Machines with these names were rented, possibly fewer than requested.
     Rented(Vec<String>),
-    /// The cloud has no such machines.
+    /// The cloud has no machines of this kind available.
     NoCapacity,
-    /// Certainly not executed, for another reason.
+    /// The cloud refused the request for another reason and has certainly not executed it.
     Refused,
-    /// No response that tells: it may have been executed, or may be executed later.
+    /// No conclusive response: the request may have been executed, or may be executed later.
     Unknown,
 }
 
-/// Why a call has not brought what it was made for. A release may have been executed all the same.
+/// The reason why a call failed. A release may have been executed nevertheless.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CloudError {
-    /// No response.
+    /// No response was received.
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
-    /// Another status than 200.
+    /// The response has an HTTP status other than 200.
     #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// A body that does not decode.
-    #[error("response not understood")]
+    /// The response body cannot be decoded.
+    #[error("response body cannot be decoded")]
     Malformed,
-    /// No machine types, or some with impossible amounts.
-    #[error("implausible machine types")]
+    /// The response contains no machine types, or one with an impossible amount.
+    #[error("machine types missing or with implausible amounts")]
     ImplausibleMachineTypes,
 }
 
-/// A page of the list of rented machines, in the order of their names.
+/// A page of the list of rented machines, sorted by name.
 #[derive(Debug)]
 pub struct MachinePage {
-    /// The machines.
+    /// The machines on this page.
     pub machines: Vec<ListedMachine>,
-    /// After which machine the next page begins, if there is one.
+    /// Name of the machine after which the next page begins, if there is a next page.
     pub next: Option<String>,
 }
 
-/// The client.
+/// Client of the cloud.
 #[derive(Clone)]
 pub struct CloudClient {
     http: awc::Client,
@@ -67,7 +69,7 @@
 }
 
 impl CloudClient {
-    /// A client of the cloud at `address`.
+    /// Creates a client of the cloud at `address`.
     #[must_use]
     pub fn new(http: awc::Client, address: SocketAddr) -> Self {
         CloudClient {
@@ -76,10 +78,10 @@
         }
     }
 
-    /// The machine types.
+    /// Returns the machine types that the cloud offers.
     ///
     /// # Errors
-    /// If the cloud does not answer with usable machine types.
+    /// Returns an error if the cloud does not answer with plausible machine types.
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let response = self.call(Method::GET, "/flavors", None).await?;
         let types = decode_ok::<Catalogue>(&response)?.types;
@@ -89,7 +91,7 @@
         Ok(types)
     }
 
-    /// Rents machines. Requests with the same name are executed once.
+    /// Rents machines. The cloud executes requests with the same name only once.
     pub async fn rent(&self, request: &RentRequest) -> RentOutcome {
         let body = Some(encode(request));
         let Ok(response) = self.call(Method::POST, "/machines", body).await else {
@@ -100,7 +102,7 @@
                 .map_or(RentOutcome::Unknown, |names| {
                     RentOutcome::Rented(names.machines)
                 }),
-            StatusCode::SERVICE_UNAVAILABLE if names_capacity(&response.body) => {
+            StatusCode::SERVICE_UNAVAILABLE if is_capacity_refusal(&response.body) => {
                 RentOutcome::NoCapacity
             }
             StatusCode::BAD_REQUEST
@@ -110,10 +112,10 @@
         }
     }
 
-    /// Releases machines. Once this has succeeded, they and everything on them are gone.
+    /// Releases machines. After a success the machines no longer exist, and nothing runs on them any more.
     ///
     /// # Errors
-    /// If the cloud does not confirm the release.
+    /// Returns an error if the cloud does not confirm the release.
     pub async fn release(&self, machines: &[String]) -> Result<(), CloudError> {
         let body = encode(&MachineNames {
             machines: machines.to_vec(),
@@ -124,10 +126,10 @@
         expect_ok(&response)
     }
 
-    /// One page of the list of rented machines: those whose names follow `after`.
+    /// Returns the page of the list of rented machines that begins after the name `after`.
     ///
     /// # Errors
-    /// If the cloud does not answer with a page.
+    /// Returns an error if the cloud does not answer with a page.
     pub async fn list_page(&self, after: &str) -> Result<MachinePage, CloudError> {
         let path = format!("/machines?after={after}&limit={PAGE_SIZE}");
         let response = self.call(Method::GET, &path, None).await?;
@@ -157,6 +159,7 @@
     }
 }
 
+/// Returns an error unless the status of the response is 200.
 fn expect_ok(response: &HttpResponse) -> Result<(), CloudError> {
     match response.status {
         StatusCode::OK => Ok(()),
@@ -164,16 +167,19 @@
     }
 }
 
+/// Decodes the body of a response with status 200.
 fn decode_ok<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
     expect_ok(response)?;
     decode(&response.body).map_err(|_| CloudError::Malformed)
 }
 
-/// Whether a refusal is for want of capacity. Its status is that of other refusals as well, only its text tells.
-fn names_capacity(body: &[u8]) -> bool {
+/// Reports whether a refusal with status 503 is due to a lack of capacity. Only the body distinguishes it from other refusals
+/// with this status.
+fn is_capacity_refusal(body: &[u8]) -> bool {
     String::from_utf8_lossy(body).contains("capacity")
 }
 
+/// Reports whether the amounts of a machine type are possible.
 fn is_plausible(machine_type: &MachineType) -> bool {
     machine_type.cpus > 0.0
         && machine_type.memory_gb >= 0.0
--- a/src/clients/http.rs
+++ b/src/clients/http.rs
@@ -1,16 +1,16 @@
-//! HTTP/1.1 calls out of this process: one client, and one exchange of a request and its response that the clients of all
-//! services share.
+//! Outgoing HTTP/1.1 calls: the HTTP client, and the exchange of a request and its response that the clients of all services
+//! share.
 
 use awc::error::{PayloadError, SendRequestError};
 use awc::http::{Method, StatusCode};
 use std::time::Duration;
 
-/// How long an idle connection is kept.
+/// Time for which an idle connection is kept open.
 const KEEP_ALIVE: Duration = Duration::from_secs(20);
-/// Time allowed for opening a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The client that all calls go through. It has no time limit of its own: every exchange sets one.
+/// Creates the HTTP client that all calls share. It has no timeout of its own, since every exchange sets one.
 #[must_use]
 pub fn http_client(max_connections: usize) -> awc::Client {
     let connector = awc::Connector::new()
@@ -23,64 +23,65 @@
         .finish()
 }
 
-/// What happens to the connection after an exchange.
+/// Whether a connection is reused after an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionReuse {
-    /// It is kept for the next request to the same host.
+    /// Keeps the connection open for the next request to the same host.
     Keep,
-    /// It is closed. For hosts of which there are many: the client closes an idle connection only when it calls the same
-    /// host again. Kept connections to workers once used up all sockets, so that a leader could not renew its lease.
+    /// Closes the connection. For hosts of which there are many, since the client closes an idle connection only when it calls
+    /// the same host again. Idle connections to workers once used up all sockets, so that a leader could not renew its lease.
     Close,
 }
 
-/// A request, and the limits of its exchange.
+/// An HTTP request with the limits of its exchange.
 #[derive(Debug)]
 pub struct HttpRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Absolute URL.
     pub url: String,
-    /// CBOR body, if there is one.
+    /// CBOR body, if the request has one.
     pub body: Option<Vec<u8>>,
-    /// Time for the whole exchange, from the connection to the last byte of the response.
+    /// Timeout of the whole exchange, from opening the connection to the last byte of the response.
     pub timeout: Duration,
-    /// Largest response body accepted, in bytes.
+    /// Maximum size of the response body, in bytes.
     pub response_limit: usize,
-    /// Whether the connection is kept.
+    /// Whether the connection is reused after the exchange.
     pub connection: ConnectionReuse,
 }
 
-/// A response whose body was received completely.
+/// An HTTP response with its complete body.
 #[derive(Debug)]
 pub struct HttpResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Body.
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
-/// Why an exchange has brought no response. The request may have been executed all the same.
+/// The reason why an exchange returned no response. The request may have been executed nevertheless.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ExchangeError {
-    /// No connection, or the request could not be sent, or no response followed.
+    /// The connection could not be opened, the request could not be sent, or no response arrived.
     #[error("request failed: {0}")]
     Send(#[source] SendRequestError),
-    /// The response breaks off.
-    #[error("response incomplete: {0}")]
+    /// The response body was not received completely.
+    #[error("response body incomplete: {0}")]
     Receive(#[source] PayloadError),
-    /// The response is larger than the limit of the request.
-    #[error("response too large")]
+    /// The response body exceeds the size limit of the request.
+    #[error("response body exceeds the size limit")]
     TooLarge,
-    /// The exchange has taken longer than its time limit.
-    #[error("no response within the time limit")]
+    /// The exchange did not complete within its timeout.
+    #[error("no complete response within the timeout")]
     Timeout,
 }
 
 /// Sends a request and receives its response.
 ///
 /// # Errors
-/// If no complete response arrives within the limits of the request. A response of any status is no error.
+/// Returns an error if no complete response arrives within the limits of the request. A response is not an error, whatever its
+/// status.
 pub async fn exchange(
     client: &awc::Client,
     request: HttpRequest,
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! Clients of the services around a controller: the cloud and the workers, and the HTTP exchange that all clients share.
+//! Clients of the cloud and of the workers, and the HTTP exchange that all clients share.
 //!
-//! A client encodes one request, makes one call within a time limit, and maps the response to a typed outcome. Retries and
-//! rate limits are a matter of the caller.
+//! A client encodes a request, makes one call within a timeout, and maps the response to a typed outcome. Retries and rate limits
+//! are the caller's responsibility.
 
 pub mod authority_check;
 pub mod cloud;
--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -1,44 +1,48 @@
-//! Commands that a controller sends directly to a worker, without waiting for its next heartbeat.
+//! Client of the workers: sends commands directly, without waiting for the worker's next heartbeat.
 
 use super::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest};
 use crate::protocol::{decode, encode, DirectCommandRequest, WorkerStatus};
 use awc::http::{Method, StatusCode};
 use std::time::Duration;
 
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of a response body, in bytes.
 const RESPONSE_LIMIT: usize = 8 << 20;
 
-/// Why no report has followed direct commands: it is unknown whether they were executed, or will be.
+/// The reason why a worker returned no status after direct commands. The commands may have been executed, or may be executed
+/// later.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CommandError {
-    /// No response.
+    /// No response was received.
     #[error(transparent)]
     Exchange(#[from] ExchangeError),
-    /// A status of which this client makes nothing.
+    /// The response has an HTTP status other than 200 and 409.
     #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// The response is no report.
-    #[error("response not understood")]
+    /// The response body cannot be decoded.
+    #[error("response body cannot be decoded")]
     Malformed,
     /// The worker at this address belongs to another machine.
     #[error("the address belongs to machine {0}")]
     OtherMachine(String),
 }
 
-/// Where a worker is reached.
+/// The address of a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerAddress<'a> {
-    /// The machine whose worker it is.
+    /// Name of the worker's machine.
     pub machine: &'a str,
-    /// The worker's address: host and port.
+    /// Host and port of the worker.
     pub address: &'a str,
 }
 
-/// Sends direct commands and returns the worker's report after them. A worker that rejects the commands (409) reports, too.
+/// Sends direct commands and returns the worker's status after them. A worker that rejects the commands (409) also returns its
+/// status.
 ///
 /// # Errors
-/// If no report of this machine arrives.
+/// Returns an error if no status of this machine is received.
 pub async fn send_commands(
     http: &awc::Client,
     worker: WorkerAddress<'_>,
@@ -56,9 +60,10 @@
     if !matches!(response.status, StatusCode::OK | StatusCode::CONFLICT) {
         return Err(CommandError::Status(response.status));
     }
-    let report: WorkerStatus = decode(&response.body).map_err(|_| CommandError::Malformed)?;
-    if report.machine != worker.machine {
-        return Err(CommandError::OtherMachine(report.machine));
+    let worker_status: WorkerStatus =
+        decode(&response.body).map_err(|_| CommandError::Malformed)?;
+    if worker_status.machine != worker.machine {
+        return Err(CommandError::OtherMachine(worker_status.machine));
     }
-    Ok(report)
+    Ok(worker_status)
 }
