--- a/src/api/connections.rs
+++ b/src/api/connections.rs
@@ -1,4 +1,4 @@
-//! The number of open connections, and its limit.
+//! Limit on the number of open connections.
 
 #[cfg(test)]
 mod tests;
@@ -7,52 +7,53 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Counts open connections. Clones share the count.
+/// Counts the open connections of all servers, up to a limit. Clones share the count.
 #[derive(Clone)]
 pub(super) struct Connections {
-    open: Rc<Cell<usize>>,
+    open_count: Rc<Cell<usize>>,
     limit: usize,
-    closed: Rc<Notify>,
+    /// Wakes a server that waits for capacity.
+    connection_closed: Rc<Notify>,
 }
 
-/// An open connection, counted until it is dropped.
-pub(super) struct Connection(Connections);
+/// Counts one connection as open until it is dropped.
+pub(super) struct ConnectionGuard(Connections);
 
 impl Connections {
-    /// No open connections yet, and at most `limit` at a time.
+    /// Creates a counter without open connections and with a limit of `limit`.
     pub(super) fn new(limit: usize) -> Self {
         Connections {
-            open: Rc::default(),
+            open_count: Rc::default(),
             limit,
-            closed: Rc::default(),
+            connection_closed: Rc::default(),
         }
     }
 
-    /// Counts a connection.
+    /// Counts a newly opened connection until the guard is dropped.
     #[must_use]
-    pub(super) fn open(&self) -> Connection {
-        self.open.set(self.open.get() + 1);
-        Connection(self.clone())
+    pub(super) fn track(&self) -> ConnectionGuard {
+        self.open_count.set(self.open_count.get() + 1);
+        ConnectionGuard(self.clone())
     }
 
-    /// Whether the connection of a worker may be kept open between its heartbeats: only while at most three quarters of the
-    /// connections are open. Where there are more workers than sockets, those kept open would leave none for other workers,
-    /// users, health checks and peers.
+    /// Reports whether the connection of a worker may be kept open between its heartbeats. This is the case while at most three
+    /// quarters of the limit are in use: with more workers than sockets, idle connections of workers would leave none for other
+    /// workers, users, health checks and peers.
     pub(super) fn may_keep_alive(&self) -> bool {
-        self.open.get() * 4 <= self.limit * 3
+        self.open_count.get() * 4 <= self.limit * 3
     }
 
-    /// Waits until another connection may be accepted.
+    /// Waits until the number of open connections is below the limit.
     pub(super) async fn wait_for_capacity(&self) {
-        while self.open.get() >= self.limit {
-            self.closed.notified().await;
+        while self.open_count.get() >= self.limit {
+            self.connection_closed.notified().await;
         }
     }
 }
 
-impl Drop for Connection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
-        self.0.closed.notify_one();
+        self.0.open_count.set(self.0.open_count.get() - 1);
+        self.0.connection_closed.notify_one();
     }
 }
--- a/src/api/connections/tests.rs
+++ b/src/api/connections/tests.rs
@@ -1,16 +1,16 @@
-//! How many connections are accepted and kept open.
+//! Tests of the limits on accepting connections and on keeping them open.
 
 use super::*;
 
 #[test]
-fn connections_are_not_kept_open_when_three_quarters_are_taken() {
+fn connections_are_not_kept_open_when_more_than_three_quarters_are_in_use() {
     let connections = Connections::new(8);
-    let mut open: Vec<Connection> = (0..6).map(|_| connections.open()).collect();
+    let mut guards: Vec<ConnectionGuard> = (0..6).map(|_| connections.track()).collect();
     assert!(connections.may_keep_alive());
-    // The uppermost quarter is kept by nobody.
-    open.push(connections.open());
+    // The last quarter is not used for idle connections.
+    guards.push(connections.track());
     assert!(!connections.may_keep_alive());
-    open.truncate(6);
+    guards.truncate(6);
     assert!(connections.may_keep_alive());
 }
 
@@ -18,9 +18,9 @@
 fn no_connection_is_accepted_beyond_the_limit() {
     use futures_util::FutureExt;
     let connections = Connections::new(2);
-    let first = connections.open();
+    let first = connections.track();
     assert!(connections.wait_for_capacity().now_or_never().is_some());
-    let _second = connections.open();
+    let _second = connections.track();
     assert!(connections.wait_for_capacity().now_or_never().is_none());
     drop(first);
     assert!(connections.wait_for_capacity().now_or_never().is_some());
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -1,10 +1,10 @@
-//! Health checks of the load balancer.
+//! Health checks by the load balancer.
 
 use super::ApiState;
 use crate::controller::Health;
 use actix_web::{web, HttpResponse};
 
-/// `GET /up`: whether this controller can take user requests.
+/// `GET /up`: reports whether users' requests should be routed to this controller.
 pub(super) async fn check(state: web::Data<ApiState>) -> HttpResponse {
     match state.controller.send(Health).await {
         Ok(true) => HttpResponse::Ok().finish(),
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,8 @@
-//! The HTTP interface of a controller: for users, workers and health checks at one address, for the other controllers at
-//! another.
+//! The HTTP API of a controller. One address serves users, workers and health checks, another one serves the peers, which are the
+//! other controllers.
 //!
-//! A handler decodes the request, asks the [controller](crate::controller) and maps the typed outcome to a status and a body.
-//! It decides nothing itself, but for what no controller needs to see: malformed requests, and user requests beyond the
+//! A handler decodes the request, passes it to the [controller](crate::controller) and maps the typed outcome to a status and a
+//! body. The handlers themselves reject only malformed requests and user requests beyond the
 //! [concurrency limit](crate::admission::concurrency_limit).
 
 mod connections;
@@ -25,21 +25,23 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-/// The part of the connections, as a divisor, that may have a user request in progress.
+/// Number of connections per user request in progress. The connection limit divided by this is the maximum of the concurrency
+/// limit.
 const CONNECTIONS_PER_USER_REQUEST: usize = 4;
-/// Largest heartbeat, in bytes: it lists all tasks of its machine. Workers are not limited as users are.
+/// Maximum size of a heartbeat, in bytes. It is larger than that of users' requests, since a heartbeat lists all tasks of its
+/// machine.
 const HEARTBEAT_LIMIT: usize = 16 * BODY_LIMIT;
 
-/// The addresses at which a controller serves.
+/// The addresses on which a controller listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// For users, workers and health checks.
+    /// Address for users, workers and health checks.
     pub api: SocketAddr,
-    /// For the other controllers.
+    /// Address for peers.
     pub internal: SocketAddr,
 }
 
-/// What the handlers share.
+/// State shared by all handlers.
 struct ApiState {
     controller: Addr<Controller>,
     concurrency_limit: RefCell<ConcurrencyLimit>,
@@ -47,20 +49,20 @@
 }
 
 impl ApiState {
-    /// Gives access to the concurrency limit, but not across a wait.
+    /// Runs a closure with the concurrency limit. The closure is synchronous, so no borrow is held across an `await`.
     fn with_concurrency_limit<T>(&self, access: impl FnOnce(&mut ConcurrencyLimit) -> T) -> T {
         access(&mut self.concurrency_limit.borrow_mut())
     }
 }
 
-/// Which requests an application serves.
+/// The clients that an application serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Audience {
-    /// Those of users, workers and health checks.
+    /// Users, workers and health checks.
     Public,
-    /// Those of the other controllers.
+    /// The other controllers.
     Peers,
-    /// All, if both addresses are the same.
+    /// All clients, if both addresses are the same.
     Everyone,
 }
 
@@ -68,7 +70,7 @@
 ///
 /// # Errors
 ///
-/// An address cannot be listened on.
+/// Returns an error if a server cannot listen on its address, or if an application cannot be initialized or has stopped.
 pub async fn serve(
     controller: Addr<Controller>,
     addresses: Addresses,
@@ -81,7 +83,7 @@
         concurrency_limit: RefCell::new(ConcurrencyLimit::new(max_user_requests)),
         connections: connections.clone(),
     });
-    // A closure, since the type of an application cannot be named.
+    // A closure rather than a function, since the type of an application cannot be named.
     let app = |audience: Audience| {
         App::new()
             .app_data(state.clone())
@@ -101,6 +103,7 @@
         .map(|_| ())
 }
 
+/// Configures the routes for the clients that an application serves.
 fn configure_routes(config: &mut web::ServiceConfig, audience: Audience) {
     if audience != Audience::Peers {
         configure_public_routes(config);
@@ -110,8 +113,8 @@
     }
 }
 
-/// The routes of users, workers and health checks. The most frequent requests come first: routes are compared in this order,
-/// and those with a variable part by a slow matcher.
+/// Configures the routes for users, workers and health checks. The most frequent requests come first, since routes are compared
+/// in this order, and matching those with a variable part is slow.
 fn configure_public_routes(config: &mut web::ServiceConfig) {
     config
         .service(
@@ -125,7 +128,7 @@
         .service(web::resource("/v1/jobs/{id}/abort").route(web::post().to(users::cancel)));
 }
 
-/// The routes of the other controllers.
+/// Configures the routes for peers.
 fn configure_peer_routes(config: &mut web::ServiceConfig) {
     let limit = || web::PayloadConfig::new(crate::coordination::peers::MESSAGE_SIZE_LIMIT);
     config
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -1,11 +1,11 @@
-//! Messages of the other controllers.
+//! Messages from peers, which are the other controllers.
 
 use super::{responses, ApiState};
 use crate::controller::{PeerCancelled, PeerView};
 use crate::coordination::peers::{decode, encode, Cancelled, View};
 use actix_web::{web, HttpResponse};
 
-/// `POST /peer/view`: another controller's view, answered with the own one.
+/// `POST /peer/view`: receives the view of a peer and responds with the view of this controller.
 pub(super) async fn view(state: web::Data<ApiState>, body: web::Bytes) -> HttpResponse {
     let Some(view) = decode::<View>(&body) else {
         return responses::malformed();
@@ -16,7 +16,8 @@
     }
 }
 
-/// `POST /peer/cancelled`: cancellations that are durable, answered with the revision that the own replica has reached.
+/// `POST /peer/cancelled`: receives durable cancellations from a peer and responds with the revision that this controller's
+/// replica has reached.
 pub(super) async fn cancelled(state: web::Data<ApiState>, body: web::Bytes) -> HttpResponse {
     let Some(cancelled) = decode::<Cancelled>(&body) else {
         return responses::malformed();
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -1,4 +1,4 @@
-//! Responses as CBOR, with the error bodies and headers of the protocol.
+//! HTTP responses with CBOR bodies, with the error bodies and headers of the protocol.
 
 use crate::protocol::encode;
 use actix_web::http::header::{HeaderValue, RETRY_AFTER};
@@ -7,35 +7,36 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// The body of a response without a result.
+/// The body of an error response.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: &'a str,
 }
 
-/// A message with a status.
+/// Creates a response with a message as its CBOR body.
 pub(super) fn message<T: Serialize>(status: StatusCode, message: &T) -> HttpResponse {
     HttpResponse::build(status)
         .content_type("application/cbor")
         .body(encode(message))
 }
 
-/// An error with a status.
+/// Creates an error response.
 pub(super) fn error(status: StatusCode, error: &str) -> HttpResponse {
     message(status, &ErrorBody { error })
 }
 
-/// The request is not a message of the protocol.
+/// Creates the response to a request whose body is not a message of the protocol.
 pub(super) fn malformed() -> HttpResponse {
     error(StatusCode::BAD_REQUEST, "malformed")
 }
 
-/// The controller does not answer any more, as its process is ending.
+/// Creates the response to a request that the controller does not answer any more, since its process is shutting down.
 pub(super) fn stopping() -> HttpResponse {
     error(StatusCode::SERVICE_UNAVAILABLE, "stopping")
 }
 
-/// A response that asks the user to repeat the request, after a time in whole seconds, rounded up.
+/// Creates an error response that tells the user after how many seconds to repeat the request. The time is rounded up to whole
+/// seconds.
 pub(super) fn retry_later(status: StatusCode, reason: &str, after: Duration) -> HttpResponse {
     let whole_seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
     let mut response = error(status, reason);
@@ -45,7 +46,7 @@
     response
 }
 
-/// Closes the connection after a response.
+/// Makes the server close the connection after the response.
 pub(super) fn close_connection(response: &mut HttpResponse) {
     response
         .head_mut()
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,7 +1,7 @@
-//! The HTTP server: accepts connections and serves them in the thread of the rest of the controller.
+//! The HTTP server: accepts connections and serves them in the same thread as the rest of the controller.
 //!
-//! The server of `actix-web` has a thread that accepts and further threads that serve. Here a request that crossed threads
-//! cost more than everything else that is done for a heartbeat without changes.
+//! The server of `actix-web` accepts connections in one thread and serves them in others. Handing a request over between
+//! threads cost more than all other processing of a heartbeat without changes.
 
 use super::connections::Connections;
 use actix_http::HttpService;
@@ -15,18 +15,18 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long an idle connection is kept open.
+/// Time for which an idle connection is kept open.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// Time allowed for the head of a request.
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time until the next attempt after a connection could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Timeout for receiving the head of a request.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay before the next attempt when accepting a connection has failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves an application on an address until the process ends.
+/// Serves an application at an address until the process ends.
 ///
 /// # Errors
 ///
-/// The address cannot be listened on, or the application cannot be set up.
+/// Returns an error if the server cannot listen on the address, or if the application cannot be initialized or has stopped.
 pub(super) async fn serve<T, B>(
     address: SocketAddr,
     app: App<T>,
@@ -48,39 +48,40 @@
         .map_err(|error: Error| error.error_response());
     let service = HttpService::build()
         .keep_alive(KEEP_ALIVE)
-        .client_request_timeout(REQUEST_TIMEOUT)
+        .client_request_timeout(REQUEST_HEAD_TIMEOUT)
         .local_addr(address)
         .finish(map_config(app, |()| AppConfig::default()))
         .tcp()
         .new_service(())
         .await
-        .map_err(|()| io::Error::other("the application cannot be set up"))?;
+        .map_err(|()| io::Error::other("the HTTP application cannot be initialized"))?;
     loop {
         connections.wait_for_capacity().await;
         let stream = accept(&listener).await;
-        let connection = connections.open();
+        let guard = connections.track();
         if poll_fn(|context| service.poll_ready(context))
             .await
             .is_err()
         {
-            return Err(io::Error::other("the application has ended"));
+            return Err(io::Error::other("the HTTP application has stopped"));
         }
         let served = service.call(stream);
         actix::spawn(async move {
-            // A connection that ends with an error concerns its client only.
+            // An error on a connection affects only its client.
             let _ = served.await;
-            drop(connection);
+            drop(guard);
         });
     }
 }
 
+/// Accepts the next connection. Retries after errors.
 async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(error) => {
-                tracing::info!(%error, "connection not accepted");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tracing::info!(%error, "accepting a connection failed, retrying");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/src/api/tests.rs
+++ b/src/api/tests.rs
@@ -1,4 +1,4 @@
-//! The HTTP responses that outcomes are mapped to.
+//! Tests of the HTTP responses to outcomes and to requests beyond the concurrency limit.
 
 use super::connections::Connections;
 use super::users::{self, job_response};
@@ -18,16 +18,21 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_busy_response_says_when_to_retry_and_closes_the_connection() {
-    let r = job_response(JobOutcome::RetryAfter(Duration::from_secs(7)));
+fn a_retry_later_response_has_a_retry_after_header_and_closes_the_connection() {
+    let response = job_response(JobOutcome::RetryAfter(Duration::from_secs(7)));
     assert_eq!(
         (
-            r.status().as_u16(),
-            r.headers().get("retry-after").unwrap().to_str().unwrap()
+            response.status().as_u16(),
+            response
+                .headers()
+                .get("retry-after")
+                .unwrap()
+                .to_str()
+                .unwrap()
         ),
         (503, "7")
     );
-    assert_eq!(r.head().connection_type(), ConnectionType::Close);
+    assert_eq!(response.head().connection_type(), ConnectionType::Close);
     assert_ne!(
         job_response(JobOutcome::NotFound).head().connection_type(),
         ConnectionType::Close
@@ -35,9 +40,9 @@
 }
 
 #[test]
-fn an_answer_to_a_worker_is_withheld_once_its_authority_has_expired() {
+fn a_heartbeat_reply_is_withheld_once_its_authority_has_expired() {
     let now = Instant::now();
-    let decided = |valid_until| {
+    let status_with_expiry = |valid_until| {
         let outcome = HeartbeatOutcome::Reply(HeartbeatReply {
             token: FencingToken::new(5),
             commands: Vec::new(),
@@ -52,56 +57,59 @@
         .status()
         .as_u16()
     };
-    assert_eq!(decided(Some(now + Duration::from_millis(1))), 200);
-    assert_eq!(decided(Some(now)), 503);
-    assert_eq!(decided(None), 503);
-    let elsewhere = HeartbeatResponse {
+    assert_eq!(
+        status_with_expiry(Some(now + Duration::from_millis(1))),
+        200
+    );
+    assert_eq!(status_with_expiry(Some(now)), 503);
+    assert_eq!(status_with_expiry(None), 503);
+    let redirect = HeartbeatResponse {
         outcome: HeartbeatOutcome::Redirect(None),
         valid_until: Some(now),
     };
-    assert_eq!(heartbeat_response(elsewhere, now).status().as_u16(), 421);
+    assert_eq!(heartbeat_response(redirect, now).status().as_u16(), 421);
 }
 
 #[test]
-fn each_outcome_of_a_request_about_a_job_has_its_status_and_body() {
+fn each_outcome_of_a_job_request_is_mapped_to_its_status_and_body() {
     let view = || JobView {
         id: "wk-1".into(),
         state: JobState::Queued,
         done: Some(0),
         running: Some(0),
     };
-    let answered = |outcome| {
+    let status_and_body = |outcome| {
         let response = job_response(outcome);
         let status = response.status().as_u16();
         (status, response.into_body().try_into_bytes().unwrap())
     };
-    assert_eq!(answered(JobOutcome::Accepted(view())).0, 201);
-    assert_eq!(answered(JobOutcome::Known(view())).0, 200);
-    let (status, body) = answered(JobOutcome::NotFound);
+    assert_eq!(status_and_body(JobOutcome::Accepted(view())).0, 201);
+    assert_eq!(status_and_body(JobOutcome::Known(view())).0, 200);
+    let (status, body) = status_and_body(JobOutcome::NotFound);
     assert_eq!((status, &body[..]), (404, &b"\xa1eerrorkno such job"[..]));
-    let rejected = |reason| {
-        let (status, body) = answered(JobOutcome::Rejected(reason));
+    let rejection_text = |reason| {
+        let (status, body) = status_and_body(JobOutcome::Rejected(reason));
         assert_eq!(status, 422);
-        // A map of one entry whose key is "error"; the length of the text takes one or two bytes.
+        // The CBOR map has one entry with the key "error". The header of its text takes one byte, or two from 24 bytes on.
         assert_eq!(&body[..7], b"\xa1eerror");
-        let text_at = if body[7] == 0x78 { 9 } else { 8 };
-        String::from_utf8(body[text_at..].to_vec()).unwrap()
+        let text_start = if body[7] == 0x78 { 9 } else { 8 };
+        String::from_utf8(body[text_start..].to_vec()).unwrap()
     };
-    assert_eq!(rejected(JobRejection::UnknownTeam), "unknown team");
+    assert_eq!(rejection_text(JobRejection::UnknownTeam), "unknown team");
     assert_eq!(
-        rejected(JobRejection::NoMachineTypeFits),
+        rejection_text(JobRejection::NoMachineTypeFits),
         "no allowed machine type is large enough"
     );
     assert_eq!(
-        rejected(JobRejection::ExceedsTeamLimit),
+        rejection_text(JobRejection::ExceedsTeamLimit),
         "more than the team's limit"
     );
-    let (status, body) = answered(JobOutcome::RETRY_SOON);
+    let (status, body) = status_and_body(JobOutcome::RETRY_SOON);
     assert_eq!((status, &body[..]), (503, &b"\xa1eerroritry again"[..]));
 }
 
 #[test]
-fn the_time_to_retry_is_in_whole_seconds_rounded_up() {
+fn retry_after_is_rounded_up_to_whole_seconds() {
     let retry_after = |millis| {
         let response = job_response(JobOutcome::RetryAfter(Duration::from_millis(millis)));
         let header = response.headers().get("retry-after").unwrap();
--- a/src/api/users.rs
+++ b/src/api/users.rs
@@ -1,4 +1,4 @@
-//! Requests of users: submissions, polls and cancellations.
+//! Users' requests: submissions, polls and cancellations of jobs.
 
 use super::{responses, ApiState};
 use crate::admission::concurrency_limit::{Completion, RequestKind};
@@ -9,7 +9,7 @@
 use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// Time after which a user may repeat a request that was beyond the concurrency limit.
+/// Time after which a user may repeat a request that the concurrency limit refused.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// `POST /v1/jobs`: submits a job.
@@ -21,16 +21,16 @@
         return responses::error(StatusCode::BAD_REQUEST, &invalid.to_string());
     }
     let request = async { state.controller.send(Submit(spec)).await.ok() };
-    limited(&state, RequestKind::Change, request).await
+    respond_within_limit(&state, RequestKind::Change, request).await
 }
 
-/// `GET /v1/jobs/{id}`: the state of a job.
+/// `GET /v1/jobs/{id}`: returns the state of a job.
 pub(super) async fn poll(state: web::Data<ApiState>, id: web::Path<String>) -> HttpResponse {
     if !is_job_id(&id) {
         return no_such_job();
     }
     let request = async { state.controller.send(Poll(id.into_inner())).await.ok() };
-    limited(&state, RequestKind::Query, request).await
+    respond_within_limit(&state, RequestKind::Query, request).await
 }
 
 /// `POST /v1/jobs/{id}/abort`: cancels a job.
@@ -39,11 +39,12 @@
         return no_such_job();
     }
     let request = async { state.controller.send(Cancel(id.into_inner())).await.ok() };
-    limited(&state, RequestKind::Change, request).await
+    respond_within_limit(&state, RequestKind::Change, request).await
 }
 
-/// Carries out a request under the limit on user requests in progress. `None` stands for a controller that has stopped.
-async fn limited(
+/// Runs a request to the controller if the concurrency limit admits it, and maps its outcome to a response. The request returns
+/// `None` if the controller has stopped.
+async fn respond_within_limit(
     state: &ApiState,
     kind: RequestKind,
     request: impl Future<Output = Option<JobOutcome>>,
@@ -75,8 +76,8 @@
         JobOutcome::RetryAfter(after) => {
             let unavailable = StatusCode::SERVICE_UNAVAILABLE;
             let mut response = responses::retry_later(unavailable, "try again", after);
-            // With another connection the user may reach another controller. A controller that had lost the store once kept
-            // its users.
+            // On a new connection the user may reach another controller. Without this, the users of a controller that had
+            // lost its connection to the store once stayed with it.
             responses::close_connection(&mut response);
             response
         }
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers.
+//! Workers' heartbeats.
 
 use super::{responses, ApiState};
 use crate::controller::{Heartbeat, HeartbeatOutcome, HeartbeatResponse};
@@ -7,20 +7,20 @@
 use actix_web::{web, HttpResponse};
 use std::time::Instant;
 
-/// `POST /hello`: a heartbeat. The response carries commands and renews the lease of the worker.
+/// `POST /hello`: handles a heartbeat. The response carries commands and renews the worker's lease.
 pub(super) async fn heartbeat(state: web::Data<ApiState>, body: web::Bytes) -> HttpResponse {
     let status = match decode::<WorkerStatus>(&body) {
         Ok(status) => status,
         Err(error) => {
-            tracing::info!(bytes = body.len(), %error, "heartbeat not understood");
+            tracing::info!(bytes = body.len(), %error, "heartbeat rejected: body cannot be decoded");
             return responses::malformed();
         }
     };
     let mut response = match state.controller.send(Heartbeat(status)).await {
-        Ok(decided) => heartbeat_response(decided, Instant::now()),
+        Ok(decision) => heartbeat_response(decision, Instant::now()),
         Err(_) => responses::stopping(),
     };
-    // A worker that is not served here goes on to another controller.
+    // A worker that was not served here turns to another controller.
     let is_served = response.status() == StatusCode::OK;
     if !is_served || !state.connections.may_keep_alive() {
         responses::close_connection(&mut response);
@@ -28,12 +28,13 @@
     response
 }
 
-/// Maps the outcome of a heartbeat to a response. Commands that were decided under an authority that has ended since, while
-/// the process was paused, are not sent: they might start a task that has been cancelled meanwhile, and the response would
-/// renew the lease.
-pub(super) fn heartbeat_response(decided: HeartbeatResponse, now: Instant) -> HttpResponse {
-    let is_valid = decided.valid_until.is_some_and(|until| now < until);
-    match decided.outcome {
+/// Maps the outcome of a heartbeat to a response.
+///
+/// A reply is not sent if the authority under which it was decided has ended since, for example during a pause of the process.
+/// Its commands might start a task that has been cancelled in the meantime, and it would renew the worker's lease.
+pub(super) fn heartbeat_response(decision: HeartbeatResponse, now: Instant) -> HttpResponse {
+    let is_valid = decision.valid_until.is_some_and(|until| now < until);
+    match decision.outcome {
         HeartbeatOutcome::Reply(reply) if is_valid => responses::message(StatusCode::OK, &reply),
         HeartbeatOutcome::Redirect(report_to) => {
             responses::message(StatusCode::MISDIRECTED_REQUEST, &Redirect { report_to })
