--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -13,12 +13,13 @@
 
 /// Number of served requests after which the limit is adjusted.
 const WINDOW_REQUESTS: u64 = 20;
-/// Median latency up to which the limit does not decrease: a quarter of the 2 s within which users expect the response to a
-/// poll. Without this bound, a store that answered slowly, but did answer, once caused nearly all requests to be refused.
+/// Median latency up to which the limit does not decrease, since refusing faster requests has no benefit. It is a quarter of the
+/// 2 s that users allow for a poll. Without this bound, a store that answered slowly, but did answer, once caused nearly all
+/// requests to be refused.
 const TOLERABLE_LATENCY_MS: f64 = 500.0;
-/// The limit decreases when the median latency exceeds the baseline by this factor.
+/// Ratio of the median latency to the baseline, which is the best median measured, above which the limit decreases.
 const SLOWDOWN_FACTOR: f64 = 4.0;
-/// Minimum of the baseline.
+/// Minimum of the baseline, in milliseconds.
 const MIN_BASELINE_MS: f64 = 5.0;
 /// Factor by which the baseline grows per window, so that it follows a service that has become slower permanently.
 const BASELINE_GROWTH_FACTOR: f64 = 1.02;
@@ -32,14 +33,14 @@
 const MIN_LIMIT: f64 = 2.0;
 /// Minimum of the limit's maximum.
 const MIN_MAX_LIMIT: usize = 8;
-/// Share of the maximum at which the limit starts. When the limit started lower, a controller that alone served the users of all
-/// controllers, or whose store had become slow, refused hundreds of requests that it could have served before the limit had
+/// Share of the maximum at which the limit starts. When the limit started low, a controller that alone served the users of all
+/// controllers, or whose store had become slow, refused hundreds of requests that it could have served, until the limit had
 /// increased.
 const INITIAL_LIMIT_SHARE: f64 = 0.25;
 /// Share of the limit that queries may use. Users query far more often than they submit or cancel jobs, and many queries must
 /// not prevent changes from being admitted.
 const QUERY_SHARE: f64 = 0.75;
-/// Longer latencies are recorded with this value.
+/// Latency, in milliseconds, with which longer latencies are recorded.
 const MAX_RECORDED_LATENCY_MS: u64 = 60_000;
 /// Number of significant decimal digits of the recorded latencies.
 const SIGNIFICANT_DIGITS: u8 = 2;
--- a/src/admission/write_admission.rs
+++ b/src/admission/write_admission.rs
@@ -17,7 +17,7 @@
 const ALLOCATED_SHARE: f64 = 0.95;
 /// Factor by which the rate reserved for the leader exceeds the measured rate of its changes.
 const LEADER_HEADROOM_FACTOR: f64 = 1.25;
-/// Share of the maximum rate at which a controller starts.
+/// Share of the maximum rate at which the rate starts.
 const INITIAL_RATE_SHARE: f64 = 0.5;
 /// Share of the maximum rate by which the rate increases with each accepted change.
 const INCREASE_SHARE: f64 = 0.02;
--- a/src/service.rs
+++ b/src/service.rs
@@ -6,7 +6,7 @@
 
 /// Runs a controller until its process ends.
 ///
-/// All of it runs in one thread, since handing a request to another thread and back cost two wake-ups and four more system
+/// Everything runs in one thread, since handing a request to another thread and back cost two wake-ups and four more system
 /// calls.
 ///
 /// # Errors
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,7 +1,8 @@
 //! Timestamps and conversions of durations.
 //!
-//! Settings and messages state durations in seconds, as floating-point numbers. The program computes in whole milliseconds: with
-//! [`Timestamp`] for points in time and [`Duration`] for spans. [`millis_from_secs`] and [`duration_from_secs`] convert.
+//! Settings and the messages of users, workers and the cloud give durations in seconds, as floating-point numbers. The program
+//! computes in whole milliseconds, with [`Timestamp`] for points in time and [`Duration`] for lengths of time.
+//! [`millis_from_secs`] and [`duration_from_secs`] convert.
 
 #[cfg(test)]
 mod tests;
