--- a/src/controller/tests/cancellation_broadcast.rs
+++ b/src/controller/tests/cancellation_broadcast.rs
@@ -25,7 +25,7 @@
     let mut simulation = Simulation::new(3, 4);
     simulation.submit(spec("wk-1", 4), 600 * SECOND);
     simulation.run(5 * SECOND);
-    assert_eq!(simulation.running("wk-1"), 4);
+    assert_eq!(simulation.running_task_count("wk-1"), 4);
     let leader = simulation.leader().unwrap();
     let Followers { first, .. } = followers(leader);
     let cut_paths = [(first, leader), (leader, first)];
@@ -35,13 +35,13 @@
     simulation.run(SECOND);
     assert!(
         simulation.nodes[leader]
-            .running()
+            .running_controller()
             .replica()
             .final_state("wk-1")
             .is_some(),
         "the leader does not know of the cancellation"
     );
-    assert_eq!(simulation.running("wk-1"), 0);
+    assert_eq!(simulation.running_task_count("wk-1"), 0);
     // The node that was asked does not know that the leader knows, and waits for the end of its authority.
     assert!(!simulation.cancellation_is_confirmed("wk-1"));
     simulation.run(2 * SECOND);
@@ -58,7 +58,7 @@
     simulation.run(5 * SECOND);
     let leader = simulation.leader().unwrap();
     let Followers { second, .. } = followers(leader);
-    let controller = simulation.nodes[second].running_mut();
+    let controller = simulation.nodes[second].running_controller_mut();
     let revision = controller.replica().revision.next();
     controller.receive_cancellations(&Cancelled {
         jobs: vec![CancelledJob {
@@ -87,7 +87,7 @@
     let leader = simulation.leader().unwrap();
     let Followers { first, .. } = followers(leader);
     let leader = node_name(leader);
-    let controller = simulation.nodes[first].running_mut();
+    let controller = simulation.nodes[first].running_controller_mut();
     let cancelled = |version| Versioned {
         record: FinalRecord {
             cancelled: true,
--- a/src/controller/tests/fault_combinations/capacity_shortages.rs
+++ b/src/controller/tests/fault_combinations/capacity_shortages.rs
@@ -48,7 +48,7 @@
 #[test]
 fn all_jobs_finish_when_the_cluster_is_overloaded_and_images_load_slowly() {
     let mut simulation = Simulation::new(19, 3);
-    simulation.image_fetch = 9 * SECOND;
+    simulation.image_fetch_time = 9 * SECOND;
     for n in 0..8 {
         let job = JobSpec {
             image: format!("i{n}"),
--- a/src/controller/tests/fault_combinations/failovers.rs
+++ b/src/controller/tests/fault_combinations/failovers.rs
@@ -1,6 +1,6 @@
 //! Changes of leader, crashes of all controllers, and what else happens meanwhile.
 
-use super::super::simulation::{Simulation, LEASE, MILLISECOND, NODES, SECOND};
+use super::super::simulation::{Simulation, MILLISECOND, NODES, SECOND, WORKER_LEASE};
 use super::{job_id, next_node};
 use crate::scheduler::tests::spec;
 
@@ -36,11 +36,14 @@
     simulation.run(5 * SECOND);
     simulation.cancel(0, "wk-2");
     for node in 0..NODES {
-        simulation.crash(node, LEASE + 5 * SECOND);
+        simulation.crash(node, WORKER_LEASE + 5 * SECOND);
     }
-    simulation.run(LEASE + 2 * SECOND);
+    simulation.run(WORKER_LEASE + 2 * SECOND);
     // Every worker is in its next session, with nothing on it.
-    assert_eq!(simulation.running("wk-1") + simulation.running("wk-2"), 0);
+    assert_eq!(
+        simulation.running_task_count("wk-1") + simulation.running_task_count("wk-2"),
+        0
+    );
     simulation.assert_settles();
 }
 
@@ -52,17 +55,17 @@
         simulation.run(5 * SECOND);
         for machine in &simulation.machines_of("wk-1")[..2] {
             if deaf {
-                simulation.deafen_worker(machine, LEASE + 8 * SECOND);
+                simulation.drop_worker_inbound(machine, WORKER_LEASE + 8 * SECOND);
             }
             if mute {
-                simulation.mute_worker(machine, LEASE + 8 * SECOND);
+                simulation.drop_worker_heartbeats(machine, WORKER_LEASE + 8 * SECOND);
             }
         }
         simulation.faults.cloud_down = true;
         let leader = simulation.leader().unwrap();
         simulation.crash(leader, 10 * SECOND);
         simulation.submit(spec("wk-2", 8), 5 * SECOND);
-        simulation.run(LEASE + 9 * SECOND);
+        simulation.run(WORKER_LEASE + 9 * SECOND);
         simulation.faults.cloud_down = false;
         simulation.assert_settles();
     }
@@ -70,15 +73,18 @@
 
 #[test]
 fn the_quota_holds_when_a_failover_meets_unreachable_machines_and_a_cancellation() {
-    let mut simulation = Simulation::with_team_limit(12, 6, Some(16.0));
+    let mut simulation = Simulation::with_team_cpu_limit(12, 6, Some(16.0));
     simulation.submit(spec("wk-1", 4), 600 * SECOND);
     simulation.submit(spec("wk-2", 4), 600 * SECOND);
     simulation.submit(spec("wk-3", 6), 10 * SECOND);
     simulation.run(6 * SECOND);
-    assert_eq!(simulation.running("wk-1") + simulation.running("wk-2"), 8);
+    assert_eq!(
+        simulation.running_task_count("wk-1") + simulation.running_task_count("wk-2"),
+        8
+    );
     for machine in simulation.machines_of("wk-1") {
-        simulation.deafen_worker(&machine, LEASE + 5 * SECOND);
-        simulation.mute_worker(&machine, LEASE + 5 * SECOND);
+        simulation.drop_worker_inbound(&machine, WORKER_LEASE + 5 * SECOND);
+        simulation.drop_worker_heartbeats(&machine, WORKER_LEASE + 5 * SECOND);
     }
     simulation.faults.cloud_down = true;
     let leader = simulation.leader().unwrap();
@@ -86,14 +92,17 @@
     simulation.run(SECOND);
     // What is cancelled counts towards the quota until it is proven gone.
     assert!(simulation.cancel(next_node(leader), "wk-1"));
-    simulation.run(LEASE);
+    simulation.run(WORKER_LEASE);
     simulation.faults.cloud_down = false;
     simulation.run(60 * SECOND);
     assert!(simulation
         .final_state("wk-3")
         .is_some_and(|state| !state.cancelled));
     assert_eq!(
-        (simulation.running("wk-1"), simulation.running("wk-2")),
+        (
+            simulation.running_task_count("wk-1"),
+            simulation.running_task_count("wk-2")
+        ),
         (0, 4)
     );
     simulation.assert_no_violations();
--- a/src/controller/tests/fault_combinations/late_writes.rs
+++ b/src/controller/tests/fault_combinations/late_writes.rs
@@ -36,7 +36,7 @@
 #[test]
 fn jobs_settle_when_transactions_are_carried_out_after_newer_ones() {
     let mut simulation = Simulation::new(17, 4);
-    simulation.faults.late_writes = 0.5;
+    simulation.faults.late_write_probability = 0.5;
     for round in 0..8 {
         simulation.submit(spec(&job_id(round), 3), 3 * SECOND);
         simulation.run(4 * SECOND);
@@ -48,7 +48,7 @@
             simulation.crash(leader, 500 * MILLISECOND);
         }
     }
-    simulation.faults.late_writes = 0.0;
+    simulation.faults.late_write_probability = 0.0;
     simulation.run(13 * SECOND);
     simulation.assert_settles();
 }
--- a/src/controller/tests/fault_combinations/mod.rs
+++ b/src/controller/tests/fault_combinations/mod.rs
@@ -40,5 +40,5 @@
 
 /// Whether all four tasks of each of these jobs run.
 fn all_run(simulation: &Simulation, mut numbers: Range<u32>) -> bool {
-    numbers.all(|number| simulation.running(&job_id(number)) == 4)
+    numbers.all(|number| simulation.running_task_count(&job_id(number)) == 4)
 }
--- a/src/controller/tests/fault_combinations/partitions.rs
+++ b/src/controller/tests/fault_combinations/partitions.rs
@@ -1,7 +1,7 @@
 //! Network partitions of controllers, workers and zones.
 
 use super::super::simulation::faults::IsolatedZone;
-use super::super::simulation::{Simulation, LEASE, SECOND};
+use super::super::simulation::{Simulation, SECOND, WORKER_LEASE};
 use super::{all_run, next_node, submit_long_jobs, third_node};
 use crate::protocol::{JobKind, JobSpec};
 use crate::scheduler::tests::spec;
@@ -88,14 +88,14 @@
     let mut simulation = Simulation::new(3, 4);
     simulation.submit(spec("wk-1", 10), 30 * SECOND);
     simulation.run(4 * SECOND);
-    assert!(simulation.running("wk-1") > 0);
-    let until = simulation.now() + 3 * LEASE;
+    assert!(simulation.running_task_count("wk-1") > 0);
+    let until = simulation.now() + 3 * WORKER_LEASE;
     for worker in simulation.workers.values_mut() {
-        worker.mute_until = until;
+        worker.heartbeats_dropped_until = until;
     }
     simulation.faults.cloud_down = true;
     simulation.submit(spec("wk-2", 4), 5 * SECOND);
-    simulation.run(3 * LEASE + SECOND);
+    simulation.run(3 * WORKER_LEASE + SECOND);
     simulation.faults.cloud_down = false;
     simulation.assert_settles();
 }
@@ -116,7 +116,7 @@
             && simulation.cancel(third_node(new_leader, old), "wk-1")
     );
     simulation.run(15 * SECOND);
-    assert!(simulation.running("wk-0") + simulation.running("wk-1") == 0);
+    assert!(simulation.running_task_count("wk-0") + simulation.running_task_count("wk-1") == 0);
     simulation.store.accept(old);
     simulation.run(40 * SECOND);
     assert!(all_run(&simulation, 2..5));
@@ -142,13 +142,13 @@
         simulation.store.refuse(node);
         simulation.run(3 * SECOND);
         assert!(simulation.cancel(next_node(next_node(leader)), "wk-3"));
-        simulation.run(2 * LEASE);
+        simulation.run(2 * WORKER_LEASE);
         simulation.faults.isolated_zone = None;
         simulation.store.accept(node);
         simulation.run(5 * SECOND);
-        assert_eq!(simulation.running("wk-3"), 0);
+        assert_eq!(simulation.running_task_count("wk-3"), 0);
         simulation.settle(120 * SECOND);
-        assert_eq!(simulation.running("wk-1"), 4);
+        assert_eq!(simulation.running_task_count("wk-1"), 4);
         simulation.assert_no_violations();
     }
 }
--- a/src/controller/tests/fault_combinations/stale_messages.rs
+++ b/src/controller/tests/fault_combinations/stale_messages.rs
@@ -1,6 +1,6 @@
 //! Heartbeats, commands and answers that arrive late or twice.
 
-use super::super::simulation::{Simulation, LEASE, MILLISECOND, NODES, SECOND};
+use super::super::simulation::{Simulation, MILLISECOND, NODES, SECOND, WORKER_LEASE};
 use super::{job_id, next_node};
 use crate::scheduler::tests::spec;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 #[test]
 fn jobs_settle_when_commands_are_delayed_and_workers_hang() {
     let mut simulation = Simulation::new(2, 4);
-    simulation.faults.delayed_commands = 0.8;
-    simulation.faults.command_delay = 1500 * MILLISECOND;
+    simulation.faults.command_delay_probability = 0.8;
+    simulation.faults.min_command_delay = 1500 * MILLISECOND;
     for round in 0..6 {
         simulation.submit(spec(&job_id(round), 4), 9 * SECOND);
         simulation.run(300 * MILLISECOND);
@@ -23,7 +23,7 @@
             }
         }
     }
-    simulation.faults.delayed_commands = 0.0;
+    simulation.faults.command_delay_probability = 0.0;
     simulation.assert_settles();
 }
 
@@ -33,10 +33,10 @@
         let mut simulation = Simulation::new(4, 4);
         simulation.submit(spec("wk-1", 8), 25 * SECOND);
         simulation.run(5 * SECOND);
-        assert_eq!(simulation.running("wk-1"), 8);
+        assert_eq!(simulation.running_task_count("wk-1"), 8);
         let leader = simulation.leader().unwrap();
         for worker in simulation.workers.values_mut() {
-            worker.delay_next_heartbeat = delay;
+            worker.next_heartbeat_delay = delay;
         }
         simulation.run(SECOND);
         simulation.crash(leader, 500 * MILLISECOND);
@@ -49,20 +49,20 @@
 #[test]
 fn old_heartbeats_of_earlier_sessions_and_attempts_violate_no_rule() {
     let mut simulation = Simulation::new(16, 4);
-    simulation.faults.duplicated_heartbeats = 1.0;
+    simulation.faults.heartbeat_duplicate_probability = 1.0;
     simulation.submit(spec("wk-1", 8), 6 * SECOND);
     for round in 0..6 {
         simulation.submit(spec(&format!("wk-1{round}"), 3), 4 * SECOND);
         simulation.run(5 * SECOND);
         let machine = simulation.nth_machine(round);
         if round % 2 == 0 {
-            simulation.deafen_worker(&machine, LEASE + SECOND);
+            simulation.drop_worker_inbound(&machine, WORKER_LEASE + SECOND);
         }
         if round == 3 {
             let leader = simulation.leader().unwrap();
             simulation.crash(leader, 100 * MILLISECOND);
         }
     }
-    simulation.faults.duplicated_heartbeats = 0.0;
+    simulation.faults.heartbeat_duplicate_probability = 0.0;
     simulation.assert_settles();
 }
--- a/src/controller/tests/fault_combinations/store_refusals.rs
+++ b/src/controller/tests/fault_combinations/store_refusals.rs
@@ -1,6 +1,8 @@
 //! The store refuses the leader alone, with or without an outage for all after it, while users cancel jobs elsewhere.
 
-use super::super::simulation::{Simulation, CANCEL, LEASE, MILLISECOND, SECOND};
+use super::super::simulation::{
+    Simulation, CANCELLATION_DEADLINE, MILLISECOND, SECOND, WORKER_LEASE,
+};
 use super::{all_run, job_id, next_node, submit_long_jobs};
 use crate::scheduler::tests::spec;
 use std::time::Duration;
@@ -57,7 +59,7 @@
         let mut simulation = Simulation::new(7, 6);
         submit_long_jobs(&mut simulation, 0..6);
         simulation.run(10 * SECOND);
-        assert_eq!(simulation.running("wk-0"), 4);
+        assert_eq!(simulation.running_task_count("wk-0"), 4);
         let leader = simulation.leader().unwrap();
         if !refusal.peers_connected {
             simulation.cut_peers(Duration::MAX);
@@ -73,9 +75,13 @@
         simulation.run(refused.saturating_sub(until_cancelled));
         simulation.begin_store_outage();
         simulation.store.accept(leader);
-        simulation.run(CANCEL + 20 * SECOND);
+        simulation.run(CANCELLATION_DEADLINE + 20 * SECOND);
         for id in ["wk-0", "wk-1", "wk-7"] {
-            assert_eq!(simulation.running(id), 0, "{id}, refused for {refused:?}");
+            assert_eq!(
+                simulation.running_task_count(id),
+                0,
+                "{id}, refused for {refused:?}"
+            );
             assert!(simulation.cancellation_is_confirmed(id));
         }
         simulation.end_store_outage();
@@ -102,7 +108,7 @@
             assert!(simulation.cancel(next_node(leader), id));
         }
         let machine = simulation.machines_of("wk-0")[0].clone();
-        simulation.hang_worker(&machine, LEASE.saturating_sub(3 * SECOND));
+        simulation.hang_worker(&machine, WORKER_LEASE.saturating_sub(3 * SECOND));
         simulation.run(SECOND);
         simulation.begin_store_outage();
         simulation.store.accept(leader);
@@ -110,8 +116,8 @@
         if leader_crashes {
             simulation.crash(leader, 300 * MILLISECOND);
         }
-        simulation.run(CANCEL);
-        assert!((0..3).all(|n| simulation.running(&job_id(n)) == 0));
+        simulation.run(CANCELLATION_DEADLINE);
+        assert!((0..3).all(|n| simulation.running_task_count(&job_id(n)) == 0));
         simulation.end_store_outage();
         simulation.reconnect_peers();
         simulation.run(60 * SECOND);
@@ -138,7 +144,7 @@
         simulation.run(600 * MILLISECOND);
         simulation.store.refuse(leader);
     }
-    assert_eq!(simulation.running("wk-0"), 0);
+    assert_eq!(simulation.running_task_count("wk-0"), 0);
     simulation.store.accept(leader);
     simulation.faults.watches_stay_stalled = false;
     simulation.reconnect_peers();
@@ -154,7 +160,7 @@
     for peers in [true, false] {
         for offset in 0..12 {
             let mut simulation = Simulation::new(21, 4);
-            simulation.start_log_write = 400 * MILLISECOND;
+            simulation.start_log_write_latency = 400 * MILLISECOND;
             simulation.submit(spec("wk-1", 6), 60 * SECOND);
             simulation.run(50 * offset * MILLISECOND);
             let leader = simulation.leader().unwrap();
@@ -170,7 +176,8 @@
             simulation.store.accept(leader);
             simulation.run(20 * SECOND);
             assert!(
-                simulation.cancellation_is_confirmed("wk-1") && simulation.running("wk-1") == 0
+                simulation.cancellation_is_confirmed("wk-1")
+                    && simulation.running_task_count("wk-1") == 0
             );
             simulation.assert_no_violations();
         }
--- a/src/controller/tests/large_fleets.rs
+++ b/src/controller/tests/large_fleets.rs
@@ -24,7 +24,7 @@
 fn a_whole_fleet_that_no_rental_names_is_remembered() {
     let mut simulation = Simulation::new(6, 3);
     let leader = simulation.leader().unwrap();
-    let controller = simulation.nodes[leader].running_mut();
+    let controller = simulation.nodes[leader].running_controller_mut();
     for n in 0..4500 {
         controller.handle_heartbeat(&heartbeat(format!("x-{n:06}")));
     }
--- a/src/controller/tests/random_schedules/mod.rs
+++ b/src/controller/tests/random_schedules/mod.rs
@@ -41,8 +41,8 @@
             let fault = ScheduledFault::draw(simulation);
             fault.begin(simulation);
             under_way.push(fault);
-            simulation.faults.duplicated_heartbeats = 0.2;
-            simulation.faults.delayed_commands = 0.1;
+            simulation.faults.heartbeat_duplicate_probability = 0.2;
+            simulation.faults.command_delay_probability = 0.1;
         }
         let now = simulation.now();
         let (over, rest): (Vec<ScheduledFault>, Vec<ScheduledFault>) = under_way
@@ -58,7 +58,7 @@
 /// Plays the schedule of a seed to its end; returns the rules that were violated.
 fn violations_of(seed: u64) -> Vec<String> {
     let team_limit = seed.is_multiple_of(2).then_some(30.0);
-    let mut simulation = Simulation::with_team_limit(seed, 6, team_limit);
+    let mut simulation = Simulation::with_team_cpu_limit(seed, 6, team_limit);
     play_faults(&mut simulation);
     simulation.end_all_faults();
     let within = simulation.time_to_settle();
--- a/src/controller/tests/random_schedules/scheduled_fault.rs
+++ b/src/controller/tests/random_schedules/scheduled_fault.rs
@@ -88,15 +88,15 @@
             FaultKind::Crash => simulation.crash(node, duration / 3),
             FaultKind::ProcessPause => simulation.pause(node, duration / 2),
             FaultKind::HungWorker => simulation.hang_worker(machine, duration),
-            FaultKind::DeafWorker => simulation.deafen_worker(machine, duration),
-            FaultKind::MuteWorker => simulation.mute_worker(machine, duration),
+            FaultKind::DeafWorker => simulation.drop_worker_inbound(machine, duration),
+            FaultKind::MuteWorker => simulation.drop_worker_heartbeats(machine, duration),
             FaultKind::CutPeers => simulation.cut_peers(duration),
             FaultKind::CloudOutage => simulation.faults.cloud_down = true,
-            FaultKind::LateWrites => simulation.faults.late_writes = 0.3,
+            FaultKind::LateWrites => simulation.faults.late_write_probability = 0.3,
             FaultKind::IsolatedZone => self.isolate_zone(simulation),
             FaultKind::CrashOfAll => self.crash_all(simulation),
             FaultKind::DelayedHeartbeat => {
-                simulation.worker_mut(machine).delay_next_heartbeat = duration;
+                simulation.worker_mut(machine).next_heartbeat_delay = duration;
             }
             FaultKind::CutFromWorkers => {
                 simulation.faults.cut_from_workers.insert(node);
@@ -142,7 +142,7 @@
             FaultKind::StoreRefusal => simulation.store.accept(node),
             FaultKind::StoreOutage => simulation.end_store_outage(),
             FaultKind::CloudOutage => simulation.faults.cloud_down = false,
-            FaultKind::LateWrites => simulation.faults.late_writes = 0.0,
+            FaultKind::LateWrites => simulation.faults.late_write_probability = 0.0,
             FaultKind::IsolatedZone => {
                 simulation.faults.isolated_zone = None;
                 simulation.store.accept(node);
--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -13,28 +13,31 @@
 pub(super) const ZONES: [&str; 2] = ["a", "b"];
 
 /// Time between two of a leader's rounds with the cloud.
-const ROUND: Duration = Duration::from_millis(400);
+const ROUND_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time from the rental of a machine to its first heartbeat.
-const BOOT: Duration = Duration::from_secs(3);
+const BOOT_TIME: Duration = Duration::from_secs(3);
 
 /// The cloud.
 pub(super) struct Cloud {
     /// How many machines the leader is to keep.
-    target: u32,
-    /// Number of rentals so far.
-    rentals: u64,
+    target_machines: u32,
+    /// Number of rental_count so far.
+    rental_count: u64,
 }
 
 impl Cloud {
     /// A cloud of which the leader rents that many machines.
-    pub(super) fn new(target: u32) -> Cloud {
-        Cloud { target, rentals: 0 }
+    pub(super) fn new(target_machines: u32) -> Cloud {
+        Cloud {
+            target_machines,
+            rental_count: 0,
+        }
     }
 
     /// How many machines the leader is to keep.
-    pub(super) fn target(&self) -> u32 {
-        self.target
+    pub(super) fn target_machines(&self) -> u32 {
+        self.target_machines
     }
 }
 
@@ -71,19 +74,19 @@
         if now < self.nodes[node].next_cloud_round_at || self.faults.cloud_down {
             return;
         }
-        self.nodes[node].next_cloud_round_at = now + ROUND;
-        let Some(epoch) = self.nodes[node].running().write_guard() else {
+        self.nodes[node].next_cloud_round_at = now + ROUND_INTERVAL;
+        let Some(epoch) = self.nodes[node].running_controller().write_guard() else {
             return;
         };
         self.release_machines(node);
-        if self.workers.len() < self.cloud.target as usize {
+        if self.workers.len() < self.cloud.target_machines as usize {
             self.rent_machine(node, &epoch);
         }
     }
 
     /// Releases the machines that are silent for too long or that the scheduler gives back.
     fn release_machines(&mut self, node: usize) {
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         let policy = ScalingPolicy::new(controller.settings());
         let scheduler = controller.scheduler_mut().unwrap();
         release_silent_machines(scheduler, &policy);
@@ -96,8 +99,8 @@
 
     /// Rents a machine in the zone that has fewer.
     fn rent_machine(&mut self, node: usize, epoch: &Guard) {
-        self.cloud.rentals += 1;
-        let number = self.cloud.rentals;
+        self.cloud.rental_count += 1;
+        let number = self.cloud.rental_count;
         let machine = format!("n-{number:04}");
         let in_first_zone = self
             .workers
@@ -116,14 +119,14 @@
             spot: false,
         };
         self.nodes[node]
-            .leading_mut()
+            .leader_scheduler_mut()
             .add_machine(&machine, hardware, Origin::Rented);
         self.boot(machine, zone);
     }
 
     /// A machine boots; its worker reports to any controller first.
     fn boot(&mut self, machine: String, zone: &str) {
-        let up_at = self.now() + BOOT;
+        let up_at = self.now() + BOOT_TIME;
         let first_node = self.rng.gen_range(0..NODES);
         let worker = Worker::booting(zone, first_node, up_at);
         self.workers.insert(machine, worker);
--- a/src/controller/tests/simulation/cluster/dispatch.rs
+++ b/src/controller/tests/simulation/cluster/dispatch.rs
@@ -16,7 +16,7 @@
 };
 
 /// Longest delay of direct commands.
-const LONGEST_COMMAND_DELAY_MS: u64 = 20_000;
+const MAX_COMMAND_DELAY_MS: u64 = 20_000;
 
 fn starts_tasks(direct: &DirectCommands) -> bool {
     direct
@@ -28,7 +28,7 @@
 impl Simulation {
     /// A scheduling round of a leader: decides, and sends what was decided.
     pub(super) fn scheduling_round(&mut self, node: usize) {
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         let sends = match controller.run_scheduling_round(SEND_LIMITS) {
             RoundOutcome::Send(sends) => sends,
             RoundOutcome::Idle => return,
@@ -37,7 +37,7 @@
         let starts = sends.iter().any(starts_tasks);
         let (incarnation, term) = (
             self.nodes[node].incarnation,
-            self.nodes[node].running().term(),
+            self.nodes[node].running_controller().term(),
         );
         let dispatch = |direct| Dispatch {
             node,
@@ -66,16 +66,18 @@
     /// Direct commands leave their controller; some are delayed on their way, which may be longer than it waits for the answer.
     pub(in super::super) fn send_commands(&mut self, dispatches: Vec<Dispatch>) {
         for dispatch in dispatches {
-            self.record_sent_commands(&dispatch.direct.commands);
-            let delayed_commands = self.faults.delayed_commands;
-            let delay = if delayed_commands > 0.0 && self.rng.gen_bool(delayed_commands) {
-                let shortest_ms = whole_millis(self.faults.command_delay);
-                Duration::from_millis(self.rng.gen_range(shortest_ms..LONGEST_COMMAND_DELAY_MS))
+            self.check_sent_commands(&dispatch.direct.commands);
+            let command_delay_probability = self.faults.command_delay_probability;
+            let delay = if command_delay_probability > 0.0
+                && self.rng.gen_bool(command_delay_probability)
+            {
+                let min_delay_ms = whole_millis(self.faults.min_command_delay);
+                Duration::from_millis(self.rng.gen_range(min_delay_ms..MAX_COMMAND_DELAY_MS))
             } else {
                 STEP
             };
             if delay >= DIRECT_TIMEOUT {
-                self.lose_direct_answer(DIRECT_TIMEOUT, dispatch.clone());
+                self.schedule_direct_timeout(DIRECT_TIMEOUT, dispatch.clone());
             }
             let sent_at = self.now();
             self.send(delay, Message::DirectCommands { dispatch, sent_at });
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -29,7 +29,7 @@
     pub(super) fn drive_leadership(&mut self, node: usize) {
         if let Some(claimed) = self.nodes[node].claimed_epoch {
             self.begin_epoch(node, claimed);
-        } else if let Some(term) = self.nodes[node].running().term() {
+        } else if let Some(term) = self.nodes[node].running_controller().term() {
             self.renew_leader_lease(node, term);
         } else if self.may_campaign(node) {
             self.campaign(node);
@@ -39,7 +39,7 @@
     /// A new leader begins once its replica shows its own claim.
     fn begin_epoch(&mut self, node: usize, claimed: ClaimedEpoch) {
         let now = self.now();
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         if controller.replica().revision >= claimed.version && controller.term().is_some() {
             controller.apply_leadership_event(LeadershipEvent::RevisionRead {
                 requested_at: claimed.sent_at,
@@ -60,9 +60,9 @@
         }
         self.nodes[node].next_renewal_at = now + RENEWAL_INTERVAL;
         let revision = self.store.revision();
-        let answers = self.store.answers(node);
-        let controller = self.nodes[node].running_mut();
-        if !answers {
+        let available = self.store.is_available_to(node);
+        let controller = self.nodes[node].running_controller_mut();
+        if !available {
             if controller.authority() == Authority::None {
                 controller.apply_leadership_event(LeadershipEvent::TermEnded);
             }
@@ -83,22 +83,22 @@
     }
 
     fn may_campaign(&self, node: usize) -> bool {
-        self.store.answers(node) && self.nodes[node].running().may_campaign()
+        self.store.is_available_to(node) && self.nodes[node].running_controller().may_campaign()
     }
 
     /// Claims the next epoch under a new lease.
     fn campaign(&mut self, node: usize) {
         let now = self.now();
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         let ttl = controller.settings().operator.leader_lease();
         controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
         let lease = self.store.grant_lease(now, ttl);
-        let claim = self.nodes[node].running_mut().claim_epoch(lease);
+        let claim = self.nodes[node].running_controller_mut().claim_epoch(lease);
         let won = claim.and_then(|claim| match self.transact(node, &claim.txn) {
             Ok(TxnOutcome::Applied(version)) => Some((claim.record.number, version)),
             _ => None,
         });
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         if let Some((epoch, version)) = won {
             let term = Term {
                 epoch,
@@ -124,10 +124,10 @@
 
     /// A leader steps down and ends its lease, if it can.
     pub(super) fn step_down(&mut self, node: usize) {
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         let lease = controller.term().map(|term| term.lease);
         controller.step_down(STEP_DOWN_BACKOFF);
-        if let Some(lease) = lease.filter(|_| self.store.answers(node)) {
+        if let Some(lease) = lease.filter(|_| self.store.is_available_to(node)) {
             self.store.revoke_lease(lease);
         }
     }
--- a/src/controller/tests/simulation/cluster/mod.rs
+++ b/src/controller/tests/simulation/cluster/mod.rs
@@ -15,13 +15,13 @@
 use crate::time::Timestamp;
 use leadership::ClaimedEpoch;
 use std::time::Duration;
-use writes::PendingAppend;
+use writes::PendingSlotWrite;
 
 /// How long a watch waits for changes; as in the controller.
-const WATCH: Duration = Duration::from_secs(4);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A watch that lags behind a read for so long is opened anew; as in the controller.
-const WATCH_LAG: Duration = Duration::from_millis(500);
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A watch of the store.
 #[derive(Clone, Copy)]
@@ -46,23 +46,23 @@
     next_renewal_at: Timestamp,
     next_flush_at: Timestamp,
     claimed_epoch: Option<ClaimedEpoch>,
-    pending_append: Option<PendingAppend>,
+    pending_slot_write: Option<PendingSlotWrite>,
 }
 
 impl Node {
     /// The state of a process that runs.
-    pub(crate) fn running(&self) -> &ControllerState {
+    pub(crate) fn running_controller(&self) -> &ControllerState {
         self.controller.as_ref().unwrap()
     }
 
     /// The state of a process that runs.
-    pub(crate) fn running_mut(&mut self) -> &mut ControllerState {
+    pub(crate) fn running_controller_mut(&mut self) -> &mut ControllerState {
         self.controller.as_mut().unwrap()
     }
 
     /// The scheduler of a process that leads.
-    pub(super) fn leading_mut(&mut self) -> &mut Scheduler {
-        self.running_mut().scheduler_mut().unwrap()
+    pub(super) fn leader_scheduler_mut(&mut self) -> &mut Scheduler {
+        self.running_controller_mut().scheduler_mut().unwrap()
     }
 
     /// The process ends.
@@ -70,7 +70,7 @@
         self.controller = None;
         self.watch = None;
         self.claimed_epoch = None;
-        self.pending_append = None;
+        self.pending_slot_write = None;
         self.restart_at = restart_at;
         self.incarnation += 1;
     }
@@ -86,7 +86,7 @@
     name.strip_prefix("drover-")?.parse().ok()
 }
 
-fn settings(node: usize, team_limit: Option<f64>) -> Settings {
+fn settings(node: usize, team_cpu_limit: Option<f64>) -> Settings {
     let mut settings = crate::config::tests::settings();
     let peer = |peer| Peer {
         node: node_name(peer),
@@ -94,7 +94,7 @@
     };
     settings.platform.node = node_name(node);
     settings.platform.peers = (0..NODES).filter(|n| *n != node).map(peer).collect();
-    settings.platform.deployment.teams[0].cpus_max = team_limit.unwrap_or(0.0);
+    settings.platform.deployment.teams[0].cpus_max = team_cpu_limit.unwrap_or(0.0);
     settings
 }
 
@@ -103,7 +103,7 @@
     pub(super) fn step_node(&mut self, node: usize) {
         let now = self.now();
         if self.nodes[node].controller.is_none() {
-            if now < self.nodes[node].restart_at || !self.store.answers(node) {
+            if now < self.nodes[node].restart_at || !self.store.is_available_to(node) {
                 return;
             }
             self.start_process(node);
@@ -122,7 +122,7 @@
     /// A process starts and reads the store.
     fn start_process(&mut self, node: usize) {
         let mut controller = ControllerState::new(
-            settings(node, self.team_limit),
+            settings(node, self.team_cpu_limit),
             self.now().as_millis() + 1,
             Clock::Scripted(self.clock.clone()),
         );
@@ -134,7 +134,7 @@
 
     /// Keeps a watch open and hands its changes to the controller.
     fn drive_watch(&mut self, node: usize) {
-        let (now, answers) = (self.now(), self.store.answers(node));
+        let (now, available) = (self.now(), self.store.is_available_to(node));
         let stays_stalled = self.faults.watches_stay_stalled;
         let Node {
             controller: Some(controller),
@@ -145,29 +145,29 @@
             return;
         };
         if let Some(open) = watch {
-            open.stalled |= !answers;
-            let lags = now >= open.opened_at + WATCH_LAG
+            open.stalled |= !available;
+            let lags = now >= open.opened_at + STALL_TIMEOUT
                 && controller
                     .leadership()
-                    .has_pending_read_sent_before(now.saturating_sub(WATCH_LAG));
-            let is_over = now > open.opened_at + WATCH || (lags && answers);
+                    .has_pending_read_sent_before(now.saturating_sub(STALL_TIMEOUT));
+            let is_over = now > open.opened_at + WATCH_TIMEOUT || (lags && available);
             if is_over && !(stays_stalled && open.stalled) {
                 *watch = None;
             }
         }
-        let fresh = Watch {
+        let new_watch = Watch {
             opened_at: now,
             stalled: false,
         };
-        if watch.is_none() && answers {
-            *watch = Some(fresh);
+        if watch.is_none() && available {
+            *watch = Some(new_watch);
         }
         let delivers = watch.is_some_and(|open| !open.stalled);
         if delivers && self.store.revision() > controller.replica().revision {
             let changes = self.store.events_after(controller.replica().revision);
             // A vacancy need not be noticed here: every step campaigns if it may.
             let _ = controller.apply_watch_events(self.store.revision(), &changes);
-            *watch = Some(fresh);
+            *watch = Some(new_watch);
         }
     }
 }
--- a/src/controller/tests/simulation/cluster/peers.rs
+++ b/src/controller/tests/simulation/cluster/peers.rs
@@ -13,7 +13,7 @@
 
 impl Simulation {
     /// Each controller calls each other one that it reaches.
-    pub(in super::super) fn exchange_between_peers(&mut self) {
+    pub(in super::super) fn exchange_peer_messages(&mut self) {
         let now = self.now();
         if now < self.faults.peers_cut_until {
             return;
@@ -40,13 +40,13 @@
         };
         if let Some((message, last)) = unknown {
             let revision = receiver.receive_cancellations(&message);
-            let sender = self.nodes[from].running_mut();
+            let sender = self.nodes[from].running_controller_mut();
             sender.record_acknowledgement(&peer, last, revision);
         }
         let since_exchange = self.now().as_millis() % whole_millis(VIEW_INTERVAL);
         if since_exchange < whole_millis(STEP) {
-            let view = self.nodes[to].running().own_view();
-            self.nodes[from].running_mut().receive_view(view);
+            let view = self.nodes[to].running_controller().own_view();
+            self.nodes[from].running_controller_mut().receive_view(view);
         }
     }
 }
--- a/src/controller/tests/simulation/cluster/writes.rs
+++ b/src/controller/tests/simulation/cluster/writes.rs
@@ -12,64 +12,67 @@
 const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// After so long a write counts as unanswered.
-const UNANSWERED_WRITE: Duration = Duration::from_millis(1500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A write of the start log whose answer is under way.
-pub(super) struct PendingAppend {
-    append: SlotWrite,
+/// A write of the start log whose latency is under way.
+pub(super) struct PendingSlotWrite {
+    slot_write: SlotWrite,
     term: Term,
     outcome: Result<TxnOutcome, StoreError>,
     answered_at: Timestamp,
 }
 
 impl Simulation {
-    /// Takes the answer to the last write of the start log, and makes the next.
+    /// Takes the latency to the last write of the start log, and makes the next.
     pub(super) fn drive_start_log(&mut self, node: usize) {
         let now = self.now();
-        let under_way = |pending: &PendingAppend| now < pending.answered_at;
+        let under_way = |pending: &PendingSlotWrite| now < pending.answered_at;
         if self.nodes[node]
-            .pending_append
+            .pending_slot_write
             .as_ref()
             .is_some_and(under_way)
         {
             return;
         }
-        if let Some(pending) = self.nodes[node].pending_append.take() {
-            self.finish_append(node, pending);
+        if let Some(pending) = self.nodes[node].pending_slot_write.take() {
+            self.finish_slot_write(node, pending);
         }
-        let Some(write) = self.nodes[node].running_mut().next_start_log_write() else {
+        let Some(write) = self.nodes[node]
+            .running_controller_mut()
+            .next_start_log_write()
+        else {
             return;
         };
         let outcome = self.transact(node, &write.txn);
-        let answer = if matches!(outcome, Err(StoreError::OutcomeUnknown(_))) {
-            UNANSWERED_WRITE
+        let latency = if matches!(outcome, Err(StoreError::OutcomeUnknown(_))) {
+            WRITE_TIMEOUT
         } else {
-            self.start_log_write
+            self.start_log_write_latency
         };
-        self.nodes[node].pending_append = Some(PendingAppend {
-            append: write.slot_write,
+        self.nodes[node].pending_slot_write = Some(PendingSlotWrite {
+            slot_write: write.slot_write,
             term: write.term,
             outcome,
-            answered_at: now + answer,
+            answered_at: now + latency,
         });
     }
 
     /// The controller learns what became of a write; where that is in doubt, it reads the key.
-    fn finish_append(&mut self, node: usize, pending: PendingAppend) {
+    fn finish_slot_write(&mut self, node: usize, pending: PendingSlotWrite) {
         let certain = matches!(
             pending.outcome,
             Ok(TxnOutcome::Applied(_)) | Err(StoreError::RateLimited | StoreError::Unavailable)
         );
-        let found = if !certain && self.store.answers(node) {
-            let key = store::starts_key(pending.append.slot);
+        let found = if !certain && self.store.is_available_to(node) {
+            let key = store::starts_key(pending.slot_write.slot);
             self.store.get::<String>(&key)
         } else {
             None
         };
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         controller.finish_start_log_write(
             pending.term,
-            pending.append,
+            pending.slot_write,
             &pending.outcome,
             found.as_ref(),
         );
@@ -82,28 +85,33 @@
             return;
         }
         self.nodes[node].next_flush_at = now + FLUSH_INTERVAL;
-        let Some(epoch) = self.nodes[node].running().write_guard() else {
+        let Some(epoch) = self.nodes[node].running_controller().write_guard() else {
             return;
         };
         self.write_completions(node, &epoch);
         self.write_results(node, &epoch);
-        self.forget_machines(node, &epoch);
-        let cleanup = self.nodes[node].running_mut().final_job_cleanup(&epoch);
+        self.clean_up_rentals(node, &epoch);
+        let cleanup = self.nodes[node]
+            .running_controller_mut()
+            .final_job_cleanup(&epoch);
         if let Some(txn) = cleanup {
             // What fails here is tried again in the next round.
             let _ = self.transact(node, &txn);
         }
     }
 
-    fn is_applied(&mut self, node: usize, txn: &Txn) -> bool {
+    fn try_apply(&mut self, node: usize, txn: &Txn) -> bool {
         matches!(self.transact(node, txn), Ok(TxnOutcome::Applied(_)))
     }
 
     /// Writes the final states of jobs whose tasks are all done.
     fn write_completions(&mut self, node: usize, epoch: &Guard) {
-        for completion in self.nodes[node].running_mut().job_completions(epoch) {
-            if self.is_applied(node, &completion.txn) {
-                let controller = self.nodes[node].running_mut();
+        for completion in self.nodes[node]
+            .running_controller_mut()
+            .job_completions(epoch)
+        {
+            if self.try_apply(node, &completion.txn) {
+                let controller = self.nodes[node].running_controller_mut();
                 controller.finish_job(&completion.job, completion.tasks);
             }
         }
@@ -111,21 +119,25 @@
 
     /// Writes the results of tasks of unfinished jobs.
     fn write_results(&mut self, node: usize, epoch: &Guard) {
-        let results = self.nodes[node].running_mut().results_to_store(epoch);
+        let results = self.nodes[node]
+            .running_controller_mut()
+            .results_to_store(epoch);
         if let Some(write) = results {
-            if self.is_applied(node, &write.txn) {
-                let controller = self.nodes[node].running_mut();
+            if self.try_apply(node, &write.txn) {
+                let controller = self.nodes[node].running_controller_mut();
                 controller.record_stored_results(epoch, &write.chunks);
             }
         }
     }
 
     /// Takes released machines out of the rentals.
-    fn forget_machines(&mut self, node: usize, epoch: &Guard) {
-        let cleanup = self.nodes[node].running_mut().rental_cleanup(epoch);
+    fn clean_up_rentals(&mut self, node: usize, epoch: &Guard) {
+        let cleanup = self.nodes[node]
+            .running_controller_mut()
+            .rental_cleanup(epoch);
         if let Some(cleanup) = cleanup {
-            if self.is_applied(node, &cleanup.txn) {
-                let controller = self.nodes[node].running_mut();
+            if self.try_apply(node, &cleanup.txn) {
+                let controller = self.nodes[node].running_controller_mut();
                 controller.finish_rental_cleanup(&cleanup.machines);
             }
         }
--- a/src/controller/tests/simulation/delivery.rs
+++ b/src/controller/tests/simulation/delivery.rs
@@ -7,28 +7,32 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// After how long a late transaction is tried again while the store is down.
-const RETRY_WHILE_DOWN: Duration = Duration::from_secs(1);
+/// After how long a late transaction is tried retry while the store is down.
+const LATE_WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Simulation {
     /// Hands a message to its receiver.
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
             Message::LateWrite(txn) => self.deliver_late_write(txn),
-            Message::Heartbeat { node, report, copy } => self.deliver_heartbeat(node, report, copy),
-            Message::HeartbeatAnswer {
+            Message::Heartbeat {
+                node,
+                report,
+                discards_response,
+            } => self.deliver_heartbeat(node, report, discards_response),
+            Message::HeartbeatResponse {
                 machine,
                 session,
                 sent_at,
                 node,
-                answer,
-            } => self.deliver_heartbeat_answer(&machine, session, sent_at, node, answer),
+                outcome,
+            } => self.deliver_heartbeat_response(&machine, session, sent_at, node, outcome),
             Message::UnsentCommands(dispatch) => self.send_delayed_commands(dispatch),
             Message::DirectCommands { dispatch, sent_at } => {
                 self.deliver_direct_commands(dispatch, sent_at);
             }
-            Message::DirectAnswer { dispatch, report } => {
-                self.deliver_direct_answer(&dispatch, report.as_ref());
+            Message::DirectResponse { dispatch, report } => {
+                self.deliver_direct_response(&dispatch, report.as_ref());
             }
         }
     }
@@ -36,67 +40,73 @@
     /// The store carries out late what it did not answer; after an outage, if there is one.
     fn deliver_late_write(&mut self, txn: Txn) {
         if self.store.is_down() {
-            self.send(RETRY_WHILE_DOWN, Message::LateWrite(txn));
+            self.send(LATE_WRITE_RETRY_DELAY, Message::LateWrite(txn));
         } else {
             self.commit(&txn);
         }
     }
 
     /// A controller takes a heartbeat, once it is not paused any more, and answers it.
-    fn deliver_heartbeat(&mut self, node: usize, report: WorkerStatus, copy: bool) {
+    fn deliver_heartbeat(&mut self, node: usize, report: WorkerStatus, discards_response: bool) {
         let (now, paused_until) = (self.now(), self.nodes[node].paused_until);
         if now < paused_until {
-            let again = Message::Heartbeat { node, report, copy };
-            return self.send(paused_until.saturating_duration_since(now), again);
+            let retry = Message::Heartbeat {
+                node,
+                report,
+                discards_response,
+            };
+            return self.send(paused_until.saturating_duration_since(now), retry);
         }
         let Some(controller) = self.nodes[node].controller.as_mut() else {
             return;
         };
-        let answer = controller.handle_heartbeat(&report);
-        if let (HeartbeatOutcome::Reply(HeartbeatReply { commands, .. }), false) = (&answer, copy) {
-            self.record_sent_commands(commands);
+        let outcome = controller.handle_heartbeat(&report);
+        if let (HeartbeatOutcome::Reply(HeartbeatReply { commands, .. }), false) =
+            (&outcome, discards_response)
+        {
+            self.check_sent_commands(commands);
         }
         let Some(worker) = self.workers.get(&report.machine) else {
             return;
         };
-        let lost = copy
+        let lost = discards_response
             || worker.session != report.session
             || worker.sequence < report.sequence
-            || now < worker.deaf_until
+            || now < worker.inbound_dropped_until
             || !self.faults.node_reaches_zone(node, &worker.zone);
         if lost {
             return;
         }
-        let answer = Message::HeartbeatAnswer {
-            sent_at: worker.awaiting_answer_since.unwrap_or_default(),
+        let response = Message::HeartbeatResponse {
+            sent_at: worker.awaiting_response_since.unwrap_or_default(),
             machine: report.machine,
             session: report.session,
             node,
-            answer,
+            outcome,
         };
-        self.send(STEP, answer);
+        self.send(STEP, response);
     }
 
-    /// A worker takes the answer to its heartbeat, if it still waits for it.
-    fn deliver_heartbeat_answer(
+    /// A worker takes the answer to its heartbeat, if it still is_awaited for it.
+    fn deliver_heartbeat_response(
         &mut self,
         machine: &str,
         session: u64,
         sent_at: Timestamp,
         node: usize,
-        answer: HeartbeatOutcome,
+        outcome: HeartbeatOutcome,
     ) {
-        let (now, image_fetch) = (self.now(), self.image_fetch);
+        let (now, image_fetch_time) = (self.now(), self.image_fetch_time);
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        let waits =
-            worker.awaiting_answer_since == Some(sent_at) && now <= sent_at + HEARTBEAT_TIMEOUT;
-        if now < worker.hung_until || !waits || worker.session != session {
+        let is_awaited =
+            worker.awaiting_response_since == Some(sent_at) && now <= sent_at + HEARTBEAT_TIMEOUT;
+        if now < worker.hung_until || !is_awaited || worker.session != session {
             return;
         }
-        if let Some(commands) = worker.take_answer(now, sent_at, node, answer) {
-            worker.execute(machine, &commands, now, image_fetch, &self.jobs);
+        if let Some(commands) = worker.handle_response(now, sent_at, node, outcome) {
+            worker.execute(machine, &commands, now, image_fetch_time, &self.jobs);
         }
     }
 
@@ -118,14 +128,14 @@
 
     /// A worker takes direct commands: it executes them unless a newer leader or its next incarnation has made them void.
     fn deliver_direct_commands(&mut self, dispatch: Dispatch, sent_at: Timestamp) {
-        let (now, image_fetch) = (self.now(), self.image_fetch);
+        let (now, image_fetch_time) = (self.now(), self.image_fetch_time);
         let machine = dispatch.direct.machine.clone();
         let Some(worker) = self.workers.get_mut(&machine) else {
-            return self.lose_direct_answer(DIRECT_TIMEOUT, dispatch);
+            return self.schedule_direct_timeout(DIRECT_TIMEOUT, dispatch);
         };
-        let reached = self.faults.node_reaches_zone(dispatch.node, &worker.zone);
-        if now < worker.deaf_until || !reached {
-            return self.lose_direct_answer(DIRECT_TIMEOUT, dispatch);
+        let reachable = self.faults.node_reaches_zone(dispatch.node, &worker.zone);
+        if now < worker.inbound_dropped_until || !reachable {
+            return self.schedule_direct_timeout(DIRECT_TIMEOUT, dispatch);
         }
         if now < worker.hung_until {
             let hung_until = worker.hung_until;
@@ -136,18 +146,18 @@
                 &machine,
                 &dispatch.direct.commands,
                 now,
-                image_fetch,
+                image_fetch_time,
                 &self.jobs,
             );
         }
         let report = worker.next_heartbeat(&machine);
         if now < sent_at + DIRECT_TIMEOUT {
             let report = Some(report);
-            self.send(STEP, Message::DirectAnswer { dispatch, report });
+            self.send(STEP, Message::DirectResponse { dispatch, report });
         }
     }
 
-    /// A worker that hangs executes direct commands when it goes on, though nobody waits for the answer any more.
+    /// A worker that hangs executes direct commands when it goes on, though nobody is_awaited for the answer any more.
     fn postpone_direct_commands(
         &mut self,
         dispatch: Dispatch,
@@ -156,26 +166,26 @@
     ) {
         let now = self.now();
         if now < sent_at + DIRECT_TIMEOUT {
-            let rest = (sent_at + DIRECT_TIMEOUT).saturating_duration_since(now);
-            self.lose_direct_answer(rest, dispatch.clone());
+            let remaining = (sent_at + DIRECT_TIMEOUT).saturating_duration_since(now);
+            self.schedule_direct_timeout(remaining, dispatch.clone());
         }
-        let again = Message::DirectCommands {
+        let retry = Message::DirectCommands {
             dispatch,
             sent_at: Timestamp::ZERO,
         };
-        self.send(hung_until.saturating_duration_since(now) + STEP, again);
+        self.send(hung_until.saturating_duration_since(now) + STEP, retry);
     }
 
     /// A controller gives up waiting for the answer to direct commands after that time.
-    pub(super) fn lose_direct_answer(&mut self, delay: Duration, dispatch: Dispatch) {
-        let lost = Message::DirectAnswer {
+    pub(super) fn schedule_direct_timeout(&mut self, delay: Duration, dispatch: Dispatch) {
+        let lost = Message::DirectResponse {
             dispatch,
             report: None,
         };
         self.send(delay, lost);
     }
 
-    fn deliver_direct_answer(&mut self, dispatch: &Dispatch, report: Option<&WorkerStatus>) {
+    fn deliver_direct_response(&mut self, dispatch: &Dispatch, report: Option<&WorkerStatus>) {
         let node = &mut self.nodes[dispatch.node];
         if node.incarnation != dispatch.incarnation {
             return;
--- a/src/controller/tests/simulation/faults.rs
+++ b/src/controller/tests/simulation/faults.rs
@@ -29,17 +29,17 @@
     /// Pairs of controllers of which the first does not reach the second.
     pub cut_paths: BTreeSet<(usize, usize)>,
     /// Share of heartbeats of which a copy arrives again later.
-    pub duplicated_heartbeats: f64,
+    pub heartbeat_duplicate_probability: f64,
     /// Share of direct commands that are delayed on their way.
-    pub delayed_commands: f64,
+    pub command_delay_probability: f64,
     /// Shortest such delay.
-    pub command_delay: Duration,
+    pub min_command_delay: Duration,
     /// How long a connection to a worker takes to open.
     pub connection_delay: Duration,
     /// The next controller that decides to start something is paused for so long before it sends that; zero for none.
     pub pause_before_send: Duration,
     /// Share of transactions that get no answer and are carried out later.
-    pub late_writes: f64,
+    pub late_write_probability: f64,
     /// Watches that stalled once stay silent, even after they should be opened anew.
     pub watches_stay_stalled: bool,
 }
@@ -53,12 +53,12 @@
             cut_from_workers: BTreeSet::new(),
             cut_from_peers: BTreeSet::new(),
             cut_paths: BTreeSet::new(),
-            duplicated_heartbeats: 0.0,
-            delayed_commands: 0.0,
-            command_delay: 2 * SECOND,
+            heartbeat_duplicate_probability: 0.0,
+            command_delay_probability: 0.0,
+            min_command_delay: 2 * SECOND,
             connection_delay: Duration::ZERO,
             pause_before_send: Duration::ZERO,
-            late_writes: 0.0,
+            late_write_probability: 0.0,
             watches_stay_stalled: false,
         }
     }
@@ -67,8 +67,8 @@
 impl Faults {
     /// Whether a controller and the machines of a zone reach each other.
     pub(super) fn node_reaches_zone(&self, node: usize, zone: &str) -> bool {
-        let split = |isolated: IsolatedZone| (isolated.zone == zone) != (isolated.node == node);
-        !self.cut_from_workers.contains(&node) && !self.isolated_zone.is_some_and(split)
+        let separated = |isolated: IsolatedZone| (isolated.zone == zone) != (isolated.node == node);
+        !self.cut_from_workers.contains(&node) && !self.isolated_zone.is_some_and(separated)
     }
 
     /// Whether a controller reaches another.
@@ -86,13 +86,13 @@
 impl Simulation {
     /// The store goes down for everybody.
     pub(crate) fn begin_store_outage(&mut self) {
-        self.store.go_down();
+        self.store.begin_outage();
     }
 
     /// The store comes back.
     pub(crate) fn end_store_outage(&mut self) {
         let now = self.now();
-        self.store.come_back(now);
+        self.store.end_outage(now);
     }
 
     /// No controller reaches another for that time.
@@ -139,10 +139,10 @@
         self.nodes[node].paused_until = self.now() + pause;
     }
 
-    /// The machine at that place in the order of names, counted round.
-    pub(crate) fn nth_machine(&self, place: usize) -> String {
+    /// The machine at that index in the order of names, counted round.
+    pub(crate) fn nth_machine(&self, index: usize) -> String {
         let mut machines = self.workers.keys();
-        machines.nth(place % self.workers.len()).unwrap().clone()
+        machines.nth(index % self.workers.len()).unwrap().clone()
     }
 
     /// A worker that a test names.
@@ -151,20 +151,20 @@
     }
 
     /// A worker's process hangs: it neither reports nor executes anything, and its tasks stand still.
-    pub(crate) fn hang_worker(&mut self, machine: &str, hang: Duration) {
-        let until = self.now() + hang;
+    pub(crate) fn hang_worker(&mut self, machine: &str, duration: Duration) {
+        let until = self.now() + duration;
         self.worker_mut(machine).hung_until = until;
     }
 
     /// A worker hears nothing, neither answers nor direct commands.
-    pub(crate) fn deafen_worker(&mut self, machine: &str, deaf: Duration) {
-        let until = self.now() + deaf;
-        self.worker_mut(machine).deaf_until = until;
+    pub(crate) fn drop_worker_inbound(&mut self, machine: &str, duration: Duration) {
+        let until = self.now() + duration;
+        self.worker_mut(machine).inbound_dropped_until = until;
     }
 
     /// A worker's heartbeats get lost.
-    pub(crate) fn mute_worker(&mut self, machine: &str, mute: Duration) {
-        let until = self.now() + mute;
-        self.worker_mut(machine).mute_until = until;
+    pub(crate) fn drop_worker_heartbeats(&mut self, machine: &str, duration: Duration) {
+        let until = self.now() + duration;
+        self.worker_mut(machine).heartbeats_dropped_until = until;
     }
 }
--- a/src/controller/tests/simulation/invariants.rs
+++ b/src/controller/tests/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! The safety rules, checked after each step and at each change that could violate one.
+//! The safety rules, checked after each step and at each change that could record_violation one.
 
 use super::Simulation;
 use crate::protocol::{split_task, Change, Command, Txn};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// A cancelled task has ended so long after the confirmation of its cancellation; `cancel_s` of the tests' settings.
-pub(crate) const CANCEL: Duration = Duration::from_secs(42);
+pub(crate) const CANCELLATION_DEADLINE: Duration = Duration::from_secs(42);
 
 /// Tolerance of a sum of CPUs.
 const CPUS_TOLERANCE: f64 = 1e-9;
@@ -48,8 +48,8 @@
 
 impl Simulation {
     /// Records that a rule was violated.
-    pub(super) fn violate(&mut self, what: impl std::fmt::Display) {
-        let violation = format!("{}: {what}", self.now().as_millis());
+    pub(super) fn record_violation(&mut self, description: impl std::fmt::Display) {
+        let violation = format!("{}: {description}", self.now().as_millis());
         self.violations.push(violation);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Number of tasks of a job that run.
-    pub(crate) fn running(&self, id: &str) -> usize {
+    pub(crate) fn running_task_count(&self, id: &str) -> usize {
         self.running_tasks_of(id).count()
     }
 
@@ -98,7 +98,7 @@
             let job = &self.jobs[running.job()];
             cpus_in_use += job.spec.cpus;
             let confirmed_at = job.cancellation_confirmed_at;
-            if confirmed_at.is_some_and(|at| now > at + CANCEL) {
+            if confirmed_at.is_some_and(|at| now > at + CANCELLATION_DEADLINE) {
                 late.push(format!(
                     "ran_cancelled: {} on {}",
                     running.task, running.machine
@@ -106,35 +106,35 @@
             }
         }
         for violation in late {
-            self.violate(violation);
+            self.record_violation(violation);
         }
         let over_limit = |limit| cpus_in_use > limit + CPUS_TOLERANCE;
-        if self.team_limit.is_some_and(over_limit) {
-            self.violate(format!("quota: {cpus_in_use}"));
+        if self.team_cpu_limit.is_some_and(over_limit) {
+            self.record_violation(format!("quota: {cpus_in_use}"));
         }
     }
 
     /// A task begins to run: it runs nowhere else, and where its job wants it.
-    pub(super) fn check_begun_task(&mut self, machine: &str, task: &str) {
+    pub(super) fn check_started_task(&mut self, machine: &str, task: &str) {
         let elsewhere: Vec<String> = self
             .running_tasks()
             .filter(|other| other.task == task && other.machine != machine)
             .map(|other| other.machine.to_string())
             .collect();
         if !elsewhere.is_empty() {
-            self.violate(format!(
+            self.record_violation(format!(
                 "ran_twice: {task} starts on {machine}, is on {elsewhere:?}"
             ));
         }
         let (id, _) = split_task(task).unwrap();
-        let wanted_zone = self.jobs[id].spec.zone.as_ref();
-        if wanted_zone.is_some_and(|zone| *zone != self.workers[machine].zone) {
-            self.violate(format!("wrong_place: {task} on {machine}"));
+        let required_zone = self.jobs[id].spec.zone.as_ref();
+        if required_zone.is_some_and(|zone| *zone != self.workers[machine].zone) {
+            self.record_violation(format!("wrong_place: {task} on {machine}"));
         }
         self.check_spread(id, task);
     }
 
-    /// A job that is to be scattered has at most half of its tasks in a zone, and one that is to be together is in one zone.
+    /// A job that is to be is_spread has at most half of its tasks in a zone, and one that is to be together is in one zone.
     fn check_spread(&mut self, id: &str, task: &str) {
         let spec = &self.jobs[id].spec;
         if !spec.spread_zones && !spec.single_zone {
@@ -145,15 +145,15 @@
             *by_zone.entry(running.zone).or_default() += 1;
         }
         let zone_limit = spec.tasks.div_ceil(2);
-        let scattered = by_zone.values().all(|tasks| *tasks <= zone_limit);
-        if (spec.spread_zones && !scattered) || (spec.single_zone && by_zone.len() > 1) {
+        let is_spread = by_zone.values().all(|tasks| *tasks <= zone_limit);
+        if (spec.spread_zones && !is_spread) || (spec.single_zone && by_zone.len() > 1) {
             let violation = format!("wrong_place: {task}, {by_zone:?}");
-            self.violate(violation);
+            self.record_violation(violation);
         }
     }
 
     /// Commands leave a controller: none may start a task of a job whose cancellation was confirmed to its user.
-    pub(super) fn record_sent_commands(&mut self, commands: &[Command]) {
+    pub(super) fn check_sent_commands(&mut self, commands: &[Command]) {
         let now = self.now();
         for command in commands {
             let Command::Start { task, .. } = command else {
@@ -162,7 +162,7 @@
             let (id, _) = split_task(task).unwrap();
             let confirmed_at = self.jobs[id].cancellation_confirmed_at;
             if confirmed_at.is_some_and(|at| at < now) {
-                self.violate(format!(
+                self.record_violation(format!(
                     "start of {task} sent after its confirmed cancellation"
                 ));
             }
@@ -181,16 +181,16 @@
             .filter(|state| self.store.contains(state.key))
             .map(|state| state.job)
             .collect();
-        let decided = self.store.commit(txn);
-        if let TxnOutcome::Applied(_) = decided {
+        let outcome = self.store.commit(txn);
+        if let TxnOutcome::Applied(_) = outcome {
             for job in rewritten {
-                self.violate(format!("went_back: {job}"));
+                self.record_violation(format!("went_back: {job}"));
             }
             for state in &written {
                 self.check_final_state(state.job, state.record);
             }
         }
-        decided
+        outcome
     }
 
     /// A job is cancelled only if its user asked for it, and done only if all its tasks are.
@@ -198,10 +198,10 @@
         let job = &self.jobs[id];
         let all_done = job.done.len() >= job.spec.tasks as usize;
         if record.cancelled && !job.cancellation_requested {
-            self.violate(format!("went_back: {id} cancelled by nobody"));
+            self.record_violation(format!("went_back: {id} cancelled by nobody"));
         }
         if !record.cancelled && !all_done {
-            self.violate(format!("not_done: {id}"));
+            self.record_violation(format!("not_done: {id}"));
         }
     }
 }
--- a/src/controller/tests/simulation/mod.rs
+++ b/src/controller/tests/simulation/mod.rs
@@ -29,8 +29,8 @@
 mod workers;
 
 pub(super) use cluster::node_name;
-pub(super) use invariants::CANCEL;
-pub(super) use workers::LEASE;
+pub(super) use invariants::CANCELLATION_DEADLINE;
+pub(super) use workers::WORKER_LEASE;
 
 use crate::controller::state::ControllerState;
 use crate::coordination::leadership::Authority;
@@ -60,7 +60,7 @@
 pub(super) const NODES: usize = 3;
 
 /// Time in which the machines boot and a first leader is elected.
-const START_UP: Duration = Duration::from_secs(12);
+const STARTUP_TIME: Duration = Duration::from_secs(12);
 
 /// Three controllers with everything around them.
 pub(super) struct Simulation {
@@ -80,23 +80,23 @@
     /// The rules that were violated, each with its time.
     pub violations: Vec<String>,
     /// Time from a start of a task to its first run: its image is fetched.
-    pub image_fetch: Duration,
+    pub image_fetch_time: Duration,
     /// How long the answer to a write of the start log takes.
-    pub start_log_write: Duration,
+    pub start_log_write_latency: Duration,
     cloud: Cloud,
     network: Network,
     /// The limit of the only team in CPUs.
-    team_limit: Option<f64>,
+    team_cpu_limit: Option<f64>,
 }
 
 impl Simulation {
     /// A cluster with that many machines in two zones, up and led.
     pub(super) fn new(seed: u64, machines: u32) -> Simulation {
-        Simulation::with_team_limit(seed, machines, None)
+        Simulation::with_team_cpu_limit(seed, machines, None)
     }
 
     /// A cluster whose only team may use so many CPUs.
-    pub(super) fn with_team_limit(seed: u64, machines: u32, limit: Option<f64>) -> Simulation {
+    pub(super) fn with_team_cpu_limit(seed: u64, machines: u32, limit: Option<f64>) -> Simulation {
         let mut simulation = Simulation {
             clock: Rc::new(Cell::new(1000)),
             rng: StdRng::seed_from_u64(seed),
@@ -106,13 +106,13 @@
             jobs: BTreeMap::new(),
             faults: Faults::default(),
             violations: Vec::new(),
-            image_fetch: 800 * MILLISECOND,
-            start_log_write: STEP,
+            image_fetch_time: 800 * MILLISECOND,
+            start_log_write_latency: STEP,
             cloud: Cloud::new(machines),
             network: Network::default(),
-            team_limit: limit,
+            team_cpu_limit: limit,
         };
-        simulation.run(START_UP);
+        simulation.run(STARTUP_TIME);
         assert!(simulation.leader().is_some() && simulation.workers.len() == machines as usize);
         simulation
     }
@@ -144,7 +144,7 @@
         for node in 0..self.nodes.len() {
             self.step_node(node);
         }
-        self.exchange_between_peers();
+        self.exchange_peer_messages();
         self.confirm_cancellations();
         let machines: Vec<String> = self.workers.keys().cloned().collect();
         for machine in &machines {
--- a/src/controller/tests/simulation/network.rs
+++ b/src/controller/tests/simulation/network.rs
@@ -31,15 +31,15 @@
         node: usize,
         report: WorkerStatus,
         /// Nobody waits for the answer.
-        copy: bool,
+        discards_response: bool,
     },
     /// The answer to a heartbeat on its way to the worker.
-    HeartbeatAnswer {
+    HeartbeatResponse {
         machine: String,
         session: u64,
         sent_at: Timestamp,
         node: usize,
-        answer: HeartbeatOutcome,
+        outcome: HeartbeatOutcome,
     },
     /// Direct commands that were decided, but not sent yet: the process is paused, or the connection is being opened.
     UnsentCommands(Dispatch),
@@ -49,7 +49,7 @@
         sent_at: Timestamp,
     },
     /// The answer to direct commands; none if it was lost or came too late.
-    DirectAnswer {
+    DirectResponse {
         dispatch: Dispatch,
         report: Option<WorkerStatus>,
     },
--- a/src/controller/tests/simulation/settling.rs
+++ b/src/controller/tests/simulation/settling.rs
@@ -9,10 +9,10 @@
 
 /// What faults may still cost once they are over: twice a lease, the silence before a release, and the waits that the protocol
 /// allows.
-const RECOVERY: Duration = Duration::from_secs(200);
+const RECOVERY_TIME: Duration = Duration::from_secs(200);
 
 /// How long the tests of chosen faults wait for everything to settle.
-const SETTLING: Duration = Duration::from_mins(2);
+const SETTLE_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// Tasks for which a machine has room.
 const TASKS_PER_MACHINE: u32 = 4;
@@ -21,29 +21,31 @@
 const TASK_CPUS: f64 = 2.0;
 
 impl Simulation {
-    /// How long the rest of all work may take once all faults are over: what is left of it, on the places that the team's limit
+    /// How long the remaining of all work may take once all faults are over: what is left of it, on the capacity that the team's limit
     /// or the machines give beside services, and as long as silence, leases, displaced work and waits may cost.
     pub(crate) fn time_to_settle(&self) -> Duration {
-        let (mut rest, mut longest) = (Duration::ZERO, Duration::ZERO);
+        let (mut remaining, mut longest_run_time) = (Duration::ZERO, Duration::ZERO);
         let mut services = 0;
-        let expected = |job: &&SubmittedJob| !job.cancellation_requested;
-        for job in self.jobs.values().filter(expected) {
+        let not_cancelled = |job: &&SubmittedJob| !job.cancellation_requested;
+        for job in self.jobs.values().filter(not_cancelled) {
             if job.spec.kind == JobKind::Service {
                 services += job.spec.tasks;
                 continue;
             }
             for task in (0..job.spec.tasks).filter(|task| !job.done.contains(task)) {
-                let run_time = job.run_time_of(task) + self.image_fetch;
-                rest += run_time;
-                longest = longest.max(run_time);
+                let run_time = job.run_time_of(task) + self.image_fetch_time;
+                remaining += run_time;
+                longest_run_time = longest_run_time.max(run_time);
             }
         }
-        let places = self.cloud.target() * TASKS_PER_MACHINE;
-        let allowed = self.team_limit.map_or(places, |cpus| {
+        let capacity = self.cloud.target_machines() * TASKS_PER_MACHINE;
+        let usable_capacity = self.team_cpu_limit.map_or(capacity, |cpus| {
             let fits = |tasks: &u32| f64::from(*tasks) * TASK_CPUS <= cpus;
-            (1..=places).take_while(fits).last().unwrap_or(0)
+            (1..=capacity).take_while(fits).last().unwrap_or(0)
         });
-        rest / allowed.saturating_sub(services).max(1) + 2 * longest + RECOVERY
+        remaining / usable_capacity.saturating_sub(services).max(1)
+            + 2 * longest_run_time
+            + RECOVERY_TIME
     }
 
     /// Runs until everything is settled; it is a violation if that takes longer.
@@ -55,7 +57,7 @@
                 return;
             }
             if self.now() > until {
-                self.report_unsettled(&unsettled);
+                self.record_unsettled(&unsettled);
                 return;
             }
             self.step();
@@ -64,21 +66,21 @@
 
     /// After all faults: everything is settled, and no rule was violated.
     pub(crate) fn assert_settles(mut self) {
-        self.settle(SETTLING);
+        self.settle(SETTLE_TIMEOUT);
         self.assert_no_violations();
     }
 
     fn unsettled_jobs(&self) -> Vec<String> {
         self.jobs
             .iter()
-            .filter_map(|(id, job)| self.unsettled(id, job))
+            .filter_map(|(id, job)| self.describe_unsettled(id, job))
             .collect()
     }
 
     /// What is left to do for a job.
-    fn unsettled(&self, id: &str, job: &SubmittedJob) -> Option<String> {
+    fn describe_unsettled(&self, id: &str, job: &SubmittedJob) -> Option<String> {
         let live = self.store.contains(&store::live_key(id));
-        let running = self.running(id);
+        let running = self.running_task_count(id);
         let settled = match (self.final_state(id), job.spec.kind) {
             (Some(state), _) => !state.cancelled || running == 0,
             (None, JobKind::Service) => live && running == job.spec.tasks as usize,
@@ -89,7 +91,7 @@
     }
 
     /// Records what did not settle, with all that may tell why.
-    fn report_unsettled(&mut self, unsettled: &[String]) {
+    fn record_unsettled(&mut self, unsettled: &[String]) {
         let roles: Vec<Option<Role>> = self
             .nodes
             .iter()
@@ -100,11 +102,11 @@
             })
             .collect();
         let machines = self.describe_workers();
-        self.violate(format!(
+        self.record_violation(format!(
             "not settled: {unsettled:?}, {roles:?}, {machines:#?}"
         ));
         if let Some(leader) = self.leader() {
-            let scheduler = self.nodes[leader].running().scheduler();
+            let scheduler = self.nodes[leader].running_controller().scheduler();
             eprintln!("{}", scheduler.unwrap().describe());
         }
     }
--- a/src/controller/tests/simulation/store.rs
+++ b/src/controller/tests/simulation/store.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// Bounds of the time until a transaction without answer is carried out.
-const LATE_WRITE_MS: std::ops::Range<u64> = 2000..12_000;
+const LATE_WRITE_DELAY_MS: std::ops::Range<u64> = 2000..12_000;
 
 /// A key's value.
 struct StoredValue {
@@ -47,7 +47,7 @@
 
 impl SimulatedStore {
     /// Whether the store answers a node.
-    pub(super) fn answers(&self, node: usize) -> bool {
+    pub(super) fn is_available_to(&self, node: usize) -> bool {
         !self.down && !self.refused_nodes.contains(&node)
     }
 
@@ -67,12 +67,12 @@
     }
 
     /// Goes down for everybody.
-    pub(super) fn go_down(&mut self) {
+    pub(super) fn begin_outage(&mut self) {
         self.down = true;
     }
 
     /// Comes back, if it was down; every lease has its full time again.
-    pub(super) fn come_back(&mut self, now: Timestamp) {
+    pub(super) fn end_outage(&mut self, now: Timestamp) {
         if !self.down {
             return;
         }
@@ -120,7 +120,7 @@
         if !failed.is_empty() {
             return TxnOutcome::Failed(failed);
         }
-        if txn.apply.iter().any(|change| self.lease_is_lost(change)) {
+        if txn.apply.iter().any(|change| self.uses_ended_lease(change)) {
             return TxnOutcome::Failed(vec!["hold".into()]);
         }
         if !txn.apply.is_empty() {
@@ -132,7 +132,7 @@
         TxnOutcome::Applied(self.revision)
     }
 
-    fn lease_is_lost(&self, change: &Change) -> bool {
+    fn uses_ended_lease(&self, change: &Change) -> bool {
         matches!(change, Change::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease))
     }
 
@@ -241,12 +241,12 @@
 impl Simulation {
     /// A controller's transaction; it may get no answer.
     pub(super) fn transact(&mut self, node: usize, txn: &Txn) -> Result<TxnOutcome, StoreError> {
-        if !self.store.answers(node) {
+        if !self.store.is_available_to(node) {
             return Err(StoreError::Unavailable);
         }
-        let late_writes = self.faults.late_writes;
-        if late_writes > 0.0 && self.rng.gen_bool(late_writes) {
-            let delay = Duration::from_millis(self.rng.gen_range(LATE_WRITE_MS));
+        let late_write_probability = self.faults.late_write_probability;
+        if late_write_probability > 0.0 && self.rng.gen_bool(late_write_probability) {
+            let delay = Duration::from_millis(self.rng.gen_range(LATE_WRITE_DELAY_MS));
             self.send(delay, Message::LateWrite(txn.clone()));
             return Err(StoreError::OutcomeUnknown(UnknownOutcome::NoResponse));
         }
--- a/src/controller/tests/simulation/users.rs
+++ b/src/controller/tests/simulation/users.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Length of the leader lease, with the steady clock's drift: after so long no leader starts what it did not know of.
-const LEADER_LEASE: Duration = Duration::from_millis(2500 * 1001 / 1000);
+const LONGEST_AUTHORITY: Duration = Duration::from_millis(2500 * 1001 / 1000);
 
 /// After so long a user gives up a controller that has ended, and asks another.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -36,7 +36,7 @@
     pub cancellation_confirmed_at: Option<Timestamp>,
     /// Its user has asked for its cancellation.
     pub(super) cancellation_requested: bool,
-    unconfirmed: Option<UnconfirmedCancellation>,
+    unconfirmed_cancellation: Option<UnconfirmedCancellation>,
 }
 
 impl SubmittedJob {
@@ -64,7 +64,7 @@
             done: BTreeSet::new(),
             cancellation_confirmed_at: None,
             cancellation_requested: false,
-            unconfirmed: None,
+            unconfirmed_cancellation: None,
         };
         self.jobs.insert(job.spec.id.clone(), job);
     }
@@ -78,7 +78,7 @@
     pub(crate) fn cancel(&mut self, node: usize, id: &str) -> bool {
         self.job_mut(id).cancellation_requested = true;
         let now = self.now();
-        if !self.store.answers(node) || now < self.nodes[node].paused_until {
+        if !self.store.is_available_to(node) || now < self.nodes[node].paused_until {
             return false;
         }
         let Some(controller) = self.nodes[node].controller.as_mut() else {
@@ -95,7 +95,7 @@
             tasks: live.record.spec.tasks,
             revision,
         });
-        self.job_mut(id).unconfirmed = Some(UnconfirmedCancellation {
+        self.job_mut(id).unconfirmed_cancellation = Some(UnconfirmedCancellation {
             node,
             notice,
             since: now,
@@ -124,19 +124,20 @@
     pub(super) fn confirm_cancellations(&mut self) {
         let now = self.now();
         for job in self.jobs.values_mut() {
-            let Some(cancellation) = &job.unconfirmed else {
+            let Some(cancellation) = &job.unconfirmed_cancellation else {
                 continue;
             };
             let waited = now.saturating_duration_since(cancellation.since);
             let confirmed = match self.nodes[cancellation.node].controller.as_ref() {
                 Some(controller) => {
-                    controller.is_cancellation_settled(cancellation.notice) || waited > LEADER_LEASE
+                    controller.is_cancellation_settled(cancellation.notice)
+                        || waited > LONGEST_AUTHORITY
                 }
                 // Its user hears nothing from it and asks another, to which the job is cancelled.
                 None => waited > USER_TIMEOUT,
             };
             if confirmed {
-                job.unconfirmed = None;
+                job.unconfirmed_cancellation = None;
                 job.cancellation_confirmed_at = Some(now);
             }
         }
--- a/src/controller/tests/simulation/workers/commands.rs
+++ b/src/controller/tests/simulation/workers/commands.rs
@@ -1,7 +1,7 @@
 //! What a worker does with commands, whether they come in the answer to a heartbeat or directly.
 
 use super::super::users::SubmittedJob;
-use super::{Attempt, Worker, CHANGE_HEARTBEAT};
+use super::{Attempt, Worker, CHANGE_HEARTBEAT_DELAY};
 use crate::protocol::{split_task, Command, ExitReason, JobKind, TaskState};
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
         machine: &str,
         commands: &[Command],
         now: Timestamp,
-        image_fetch: Duration,
+        image_fetch_time: Duration,
         jobs: &BTreeMap<String, SubmittedJob>,
     ) {
         if !commands.is_empty() {
@@ -32,12 +32,12 @@
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    self.start(task, *attempt, now + image_fetch, jobs);
+                    self.start(task, *attempt, now + image_fetch_time, jobs);
                 }
                 Command::Stop { task, attempt, .. } => self.stop(task, *attempt),
                 Command::Forget { task, attempt } => self.forget(task, *attempt),
             }
-            self.report_within(now, CHANGE_HEARTBEAT);
+            self.schedule_heartbeat_within(now, CHANGE_HEARTBEAT_DELAY);
         }
     }
 
@@ -52,7 +52,7 @@
         if self.attempts.contains_key(&key) {
             return;
         }
-        let refusal = self.refusal_of(task);
+        let refusal = self.refusal_reason(task);
         let state = match refusal {
             Some(_) => TaskState::Exited,
             None => TaskState::Fetching,
@@ -68,7 +68,7 @@
     }
 
     /// Why a start of a task is refused.
-    fn refusal_of(&self, task: &str) -> Option<ExitReason> {
+    fn refusal_reason(&self, task: &str) -> Option<ExitReason> {
         let active = self.attempts.iter().filter(|(_, a)| !a.has_exited());
         if active.clone().any(|((other, _), _)| other == task) {
             return Some(ExitReason::ConflictingAttempt);
@@ -94,7 +94,7 @@
 
 impl SubmittedJob {
     /// When a task ends that begins at that time; a service's never does. One that has ended before ends at once.
-    fn end_of_task(&self, number: u32, begins_at: Timestamp) -> Option<Timestamp> {
+    fn end_of_task(&self, number: u32, starts_at: Timestamp) -> Option<Timestamp> {
         if self.spec.kind == JobKind::Service {
             return None;
         }
@@ -103,6 +103,6 @@
         } else {
             self.run_time_of(number)
         };
-        Some(begins_at + run_time)
+        Some(starts_at + run_time)
     }
 }
--- a/src/controller/tests/simulation/workers/mod.rs
+++ b/src/controller/tests/simulation/workers/mod.rs
@@ -19,28 +19,28 @@
 use std::time::Duration;
 
 /// Length of a worker's lease; as in the tests' settings.
-pub(crate) const LEASE: Duration = Duration::from_secs(12);
+pub(crate) const WORKER_LEASE: Duration = Duration::from_secs(12);
 
 /// Bounds of the time between two heartbeats.
 const HEARTBEAT_INTERVAL_MS: std::ops::Range<u64> = 1100..1900;
 
 /// Longest time until the heartbeat after a change.
-const CHANGE_HEARTBEAT: Duration = Duration::from_millis(500);
+const CHANGE_HEARTBEAT_DELAY: Duration = Duration::from_millis(500);
 
 /// Longest time until the heartbeat after the exit of a task.
-const EXIT_HEARTBEAT: Duration = Duration::from_millis(100);
+const EXIT_HEARTBEAT_DELAY: Duration = Duration::from_millis(100);
 
 /// Time until a worker turns to the leader that was named to it.
-const REDIRECT: Duration = Duration::from_millis(300);
+const REDIRECT_DELAY: Duration = Duration::from_millis(300);
 
 /// A heartbeat that is delayed for longer gets no answer, since its worker has given up waiting.
-const UNANSWERED_DELAY: Duration = Duration::from_secs(4);
+const MAX_ANSWERED_DELAY: Duration = Duration::from_secs(4);
 
 /// Bounds of the delay of a duplicated heartbeat.
 const DUPLICATE_DELAY_MS: std::ops::Range<u64> = 2000..20_000;
 
 /// Time until a worker turns to another controller.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// A task and its attempt.
 type AttemptKey = (String, u64);
@@ -78,15 +78,15 @@
     pub(super) node: usize,
     next_heartbeat_at: Timestamp,
     /// When the heartbeat that is in flight was sent.
-    pub(super) awaiting_answer_since: Option<Timestamp>,
+    pub(super) awaiting_response_since: Option<Timestamp>,
     /// Until when its process hangs.
     pub hung_until: Timestamp,
     /// Until when nothing reaches it.
-    pub deaf_until: Timestamp,
+    pub inbound_dropped_until: Timestamp,
     /// Until when its heartbeats get lost.
-    pub mute_until: Timestamp,
+    pub heartbeats_dropped_until: Timestamp,
     /// The next heartbeat is delayed for so long.
-    pub delay_next_heartbeat: Duration,
+    pub next_heartbeat_delay: Duration,
 }
 
 impl Worker {
@@ -101,11 +101,11 @@
             attempts: BTreeMap::new(),
             node,
             next_heartbeat_at: up_at,
-            awaiting_answer_since: None,
+            awaiting_response_since: None,
             hung_until: Timestamp::ZERO,
-            deaf_until: Timestamp::ZERO,
-            mute_until: Timestamp::ZERO,
-            delay_next_heartbeat: Duration::ZERO,
+            inbound_dropped_until: Timestamp::ZERO,
+            heartbeats_dropped_until: Timestamp::ZERO,
+            next_heartbeat_delay: Duration::ZERO,
         }
     }
 
@@ -133,13 +133,13 @@
         }
     }
 
-    fn report_within(&mut self, now: Timestamp, delay: Duration) {
+    fn schedule_heartbeat_within(&mut self, now: Timestamp, delay: Duration) {
         self.next_heartbeat_at = self.next_heartbeat_at.min(now + delay);
     }
 
     /// Ends the session if the lease has expired, also while the process hangs: it goes on within its lease only.
     fn expire_lease(&mut self, machine: &str, now: Timestamp) {
-        if now <= self.lease_renewed_at + LEASE {
+        if now <= self.lease_renewed_at + WORKER_LEASE {
             return;
         }
         let (session, tasks) = (self.session, self.attempts.len());
@@ -153,7 +153,7 @@
         self.attempts.clear();
         self.session += 1;
         self.lease_renewed_at = now;
-        self.awaiting_answer_since = None;
+        self.awaiting_response_since = None;
     }
 
     /// The tasks of a worker that hangs stand still.
@@ -170,12 +170,12 @@
         now: Timestamp,
         jobs: &mut BTreeMap<String, SubmittedJob>,
     ) -> Vec<String> {
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         let mut ended = false;
         for ((task, _), attempt) in &mut self.attempts {
             if attempt.state == TaskState::Fetching && now >= attempt.ready_at {
                 attempt.state = TaskState::Running;
-                begun.push(task.clone());
+                started.push(task.clone());
             }
             if attempt.state == TaskState::Running && now >= attempt.ends_at {
                 (attempt.state, attempt.reason) = (TaskState::Exited, Some(ExitReason::Done));
@@ -185,38 +185,38 @@
             }
         }
         if ended {
-            self.report_within(now, EXIT_HEARTBEAT);
+            self.schedule_heartbeat_within(now, EXIT_HEARTBEAT_DELAY);
         }
-        begun
+        started
     }
 
     /// Turns to the next controller if the heartbeat in flight was not answered in time.
-    fn give_up_waiting(&mut self, now: Timestamp) {
+    fn time_out_heartbeat(&mut self, now: Timestamp) {
         let expired = |sent_at: Timestamp| now > sent_at + HEARTBEAT_TIMEOUT;
-        if self.awaiting_answer_since.is_some_and(expired) {
-            self.awaiting_answer_since = None;
+        if self.awaiting_response_since.is_some_and(expired) {
+            self.awaiting_response_since = None;
             self.node = (self.node + 1) % NODES;
-            self.next_heartbeat_at = now + RETRY;
+            self.next_heartbeat_at = now + RETRY_DELAY;
         }
     }
 
     /// Takes the answer to a heartbeat; returns the commands that are to be executed.
-    pub(super) fn take_answer(
+    pub(super) fn handle_response(
         &mut self,
         now: Timestamp,
         sent_at: Timestamp,
         node: usize,
-        answer: HeartbeatOutcome,
+        outcome: HeartbeatOutcome,
     ) -> Option<Vec<Command>> {
-        self.awaiting_answer_since = None;
-        match answer {
+        self.awaiting_response_since = None;
+        match outcome {
             HeartbeatOutcome::Reply(HeartbeatReply { token, commands }) => {
                 // An answer of an earlier leader is dropped.
                 if token < self.token {
                     return None;
                 }
                 if token > self.token {
-                    self.report_within(now, CHANGE_HEARTBEAT);
+                    self.schedule_heartbeat_within(now, CHANGE_HEARTBEAT_DELAY);
                 }
                 (self.token, self.lease_renewed_at, self.node) = (token, sent_at, node);
                 return Some(commands);
@@ -224,11 +224,16 @@
             HeartbeatOutcome::Redirect(leader) => {
                 let leader = leader.as_deref().and_then(super::cluster::node_index);
                 self.node = leader.unwrap_or((node + 1) % NODES);
-                self.next_heartbeat_at = now + if leader.is_some() { REDIRECT } else { RETRY };
+                self.next_heartbeat_at = now
+                    + if leader.is_some() {
+                        REDIRECT_DELAY
+                    } else {
+                        RETRY_DELAY
+                    };
             }
             HeartbeatOutcome::NoLeader => {
                 self.node = (node + 1) % NODES;
-                self.next_heartbeat_at = now + RETRY;
+                self.next_heartbeat_at = now + RETRY_DELAY;
             }
         }
         None
@@ -255,14 +260,14 @@
         if now < worker.hung_until {
             return worker.stall_attempts();
         }
-        let begun = worker.advance_attempts(now, &mut self.jobs);
-        worker.give_up_waiting(now);
-        if worker.awaiting_answer_since.is_none() && now >= worker.next_heartbeat_at {
+        let started = worker.advance_attempts(now, &mut self.jobs);
+        worker.time_out_heartbeat(now);
+        if worker.awaiting_response_since.is_none() && now >= worker.next_heartbeat_at {
             worker.next_heartbeat_at = now + interval;
             self.send_heartbeat(machine);
         }
-        for task in &begun {
-            self.check_begun_task(machine, task);
+        for task in &started {
+            self.check_started_task(machine, task);
         }
     }
 
@@ -270,25 +275,33 @@
     fn send_heartbeat(&mut self, machine: &str) {
         let now = self.now();
         let worker = self.workers.get_mut(machine).unwrap();
-        worker.awaiting_answer_since = Some(now);
+        worker.awaiting_response_since = Some(now);
         let node = worker.node;
-        let lost = now < worker.mute_until || !self.faults.node_reaches_zone(node, &worker.zone);
-        let delay = std::mem::take(&mut worker.delay_next_heartbeat);
+        let lost = now < worker.heartbeats_dropped_until
+            || !self.faults.node_reaches_zone(node, &worker.zone);
+        let delay = std::mem::take(&mut worker.next_heartbeat_delay);
         let report = worker.next_heartbeat(machine);
         if lost {
             return;
         }
-        let duplicated = self.faults.duplicated_heartbeats;
+        let duplicated = self.faults.heartbeat_duplicate_probability;
         if duplicated > 0.0 && self.rng.gen_bool(duplicated) {
             let delay = Duration::from_millis(self.rng.gen_range(DUPLICATE_DELAY_MS));
             let duplicate = Message::Heartbeat {
                 node: self.rng.gen_range(0..NODES),
                 report: report.clone(),
-                copy: true,
+                discards_response: true,
             };
             self.send(delay, duplicate);
         }
-        let copy = delay > UNANSWERED_DELAY;
-        self.send(STEP + delay, Message::Heartbeat { node, report, copy });
+        let discards_response = delay > MAX_ANSWERED_DELAY;
+        self.send(
+            STEP + delay,
+            Message::Heartbeat {
+                node,
+                report,
+                discards_response,
+            },
+        );
     }
 }
