--- a/src/controller/tests/simulation/mod.rs
+++ b/src/controller/tests/simulation/mod.rs
@@ -1,21 +1,21 @@
-//! A deterministic simulation of whole controllers: a discrete-event simulator under a fake clock.
+//! A deterministic simulator of a cluster with a simulated clock that advances in fixed steps.
 //!
-//! The controllers are the real [`ControllerState`]s. The simulation plays everything around them, carries out what they ask
-//! for as the controller's loops do, and checks the safety rules after each step. All randomness comes from one seeded
-//! generator, so that a seed always gives the same run.
+//! The controllers are real [`ControllerState`]s. The simulator replaces everything around them, executes their requests as the
+//! controller's loops do, and checks the safety rules after each step. All randomness comes from one seeded generator, so a
+//! seed always produces the same run.
 //!
-//! | module | simulates |
+//! | module | contents |
 //! | --- | --- |
 //! | [`cluster`] | the controllers' processes: restarts, watches, leadership, durable writes, scheduling rounds |
-//! | [`store`] | the consensus-backed key-value store with its leases and refusals |
-//! | [`network`] | messages under way, and which processes reach each other |
-//! | [`delivery`] | what a message does when it arrives |
-//! | [`workers`] | the workers: heartbeats, leases, agent incarnations, tasks |
-//! | [`cloud`] | the machines that are rented and released |
-//! | [`users`] | submissions, cancellations, and the truth about each job |
-//! | [`faults`] | what is broken at present |
-//! | [`invariants`] | the safety rules, checked after each step |
-//! | [`settling`] | liveness: everything is served once all faults are over |
+//! | [`store`] | the consensus-backed key-value store with its leases, outages and refusals |
+//! | [`network`] | messages in flight |
+//! | [`delivery`] | the effect of each message when it arrives |
+//! | [`workers`] | the workers: heartbeats, leases, sessions, tasks |
+//! | [`cloud`] | the rental, boot and release of machines |
+//! | [`users`] | submissions and cancellations, and the actual progress of each job |
+//! | [`faults`] | the faults in effect, including which processes reach each other |
+//! | [`invariants`] | the safety rules |
+//! | [`settling`] | the liveness check: every job settles once all faults have ended |
 
 mod cloud;
 mod cluster;
@@ -48,54 +48,54 @@
 use users::SubmittedJob;
 use workers::Worker;
 
-/// Length of a step of the clock.
+/// Time by which the clock advances in a step.
 const STEP: Duration = Duration::from_millis(50);
 
-/// A unit of time.
+/// One second.
 pub(super) const SECOND: Duration = Duration::from_secs(1);
-/// A unit of time.
+/// One millisecond.
 pub(super) const MILLISECOND: Duration = Duration::from_millis(1);
 
-/// Number of controllers.
+/// Number of controllers, which are numbered from 0.
 pub(super) const NODES: usize = 3;
 
-/// Time in which the machines boot and a first leader is elected.
+/// Time for the machines to boot and a first leader to be elected.
 const STARTUP_TIME: Duration = Duration::from_secs(12);
 
-/// Three controllers with everything around them.
+/// A cluster of [`NODES`] controllers, with its store, network, workers, cloud and users.
 pub(super) struct Simulation {
     clock: Rc<Cell<u64>>,
-    /// The only source of randomness.
+    /// The only source of randomness of a run.
     pub rng: StdRng,
     /// The key-value store.
     pub store: SimulatedStore,
     /// The controllers' processes.
     pub nodes: Vec<Node>,
-    /// The workers by machine.
+    /// The workers, by name of their machine.
     pub workers: BTreeMap<String, Worker>,
-    /// The jobs that users submitted, by id.
+    /// The jobs that users have submitted, by ID.
     pub jobs: BTreeMap<String, SubmittedJob>,
-    /// What is broken at present.
+    /// The faults in effect.
     pub faults: Faults,
-    /// The rules that were violated, each with its time.
+    /// Descriptions of the rule violations so far, each with its time in milliseconds.
     pub violations: Vec<String>,
-    /// Time from a start of a task to its first run: its image is fetched.
+    /// Time that a worker takes to fetch the image of a task before the task runs.
     pub image_fetch_time: Duration,
-    /// How long the answer to a write of the start log takes.
+    /// Time until the answer to a write of the start log arrives.
     pub start_log_write_latency: Duration,
     cloud: Cloud,
     network: Network,
-    /// The limit of the only team in CPUs.
+    /// Maximum CPUs of the only team; unlimited if absent.
     team_cpu_limit: Option<f64>,
 }
 
 impl Simulation {
-    /// A cluster with that many machines in two zones, up and led.
+    /// Creates a cluster with machines in two zones and lets it run until the machines are up and a controller leads.
     pub(super) fn new(seed: u64, machines: u32) -> Simulation {
         Simulation::with_team_cpu_limit(seed, machines, None)
     }
 
-    /// A cluster whose only team may use so many CPUs.
+    /// Creates a cluster like [`Simulation::new`] whose only team may use at most `limit` CPUs.
     pub(super) fn with_team_cpu_limit(seed: u64, machines: u32, limit: Option<f64>) -> Simulation {
         let mut simulation = Simulation {
             clock: Rc::new(Cell::new(1000)),
@@ -117,12 +117,12 @@
         simulation
     }
 
-    /// The time of the clock.
+    /// Returns the time of the simulated clock.
     pub(super) fn now(&self) -> Timestamp {
         Timestamp::from_millis(self.clock.get())
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for a time, rounded up to whole steps.
     pub(super) fn run(&mut self, duration: Duration) {
         let until = self.now() + duration;
         while self.now() < until {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// One step of the clock. The order is part of what a seed means.
+    /// Advances the clock by one step. Another order of the calls would change the run that a seed produces.
     fn step(&mut self) {
         let now = self.now() + STEP;
         self.clock.set(now.as_millis());
@@ -153,7 +153,7 @@
         self.check_invariants();
     }
 
-    /// The controller that has the authority to start tasks.
+    /// Returns the controller that has the authority to start tasks, if any.
     pub(super) fn leader(&self) -> Option<usize> {
         let leads = |controller: &ControllerState| {
             controller.is_scheduling() && controller.authority() == Authority::Full
