--- a/src/controller/tests/simulation/cluster/dispatch.rs
+++ b/src/controller/tests/simulation/cluster/dispatch.rs
@@ -1,4 +1,4 @@
-//! Scheduling rounds, and the sending of direct commands to workers.
+//! Scheduling rounds, and the sending of their direct commands to workers.
 
 use super::super::network::{Dispatch, Message, DIRECT_TIMEOUT};
 use super::super::{Simulation, STEP};
@@ -9,13 +9,13 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// What is sent in a round.
+/// Limits on the number of messages per round.
 const SEND_LIMITS: SendLimits = SendLimits {
     messages: 16,
     probes: 8,
 };
 
-/// Longest delay of direct commands.
+/// Upper bound of the random delay of direct commands.
 const MAX_COMMAND_DELAY_MS: u64 = 20_000;
 
 fn starts_tasks(direct: &DirectCommands) -> bool {
@@ -26,7 +26,7 @@
 }
 
 impl Simulation {
-    /// A scheduling round of a leader: decides, and sends what was decided.
+    /// Runs a scheduling round of a controller and sends its direct commands, immediately or after a delay that a fault causes.
     pub(super) fn scheduling_round(&mut self, node: usize) {
         let controller = self.nodes[node].running_controller_mut();
         let sends = match controller.run_scheduling_round(SEND_LIMITS) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Direct commands leave their controller; some are delayed on their way, which may be longer than it waits for the answer.
+    /// Sends direct commands. Some are delayed in the network, possibly for longer than the controller waits for the response.
     pub(in super::super) fn send_commands(&mut self, dispatches: Vec<Dispatch>) {
         for dispatch in dispatches {
             self.check_sent_commands(&dispatch.direct.commands);
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -1,4 +1,4 @@
-//! Elections and the leader lease.
+//! Elections, and renewals of the leader lease.
 
 use super::super::Simulation;
 use crate::coordination::leadership::{Authority, LeadershipEvent, Term};
@@ -6,16 +6,16 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time between two renewals of a leader lease.
+/// Time between two renewals of the leader lease.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// After a lost election a controller waits for so long.
+/// Time for which a controller does not campaign after it lost an election.
 const LOST_ELECTION_BACKOFF: Duration = Duration::from_millis(200);
 
-/// A controller that has stepped down does not campaign for so long.
+/// Time for which a controller does not campaign after it stepped down.
 const STEP_DOWN_BACKOFF: Duration = Duration::from_secs(10);
 
-/// An epoch that was won; its leader begins once its replica shows the claim.
+/// An epoch that a controller has won but not started yet.
 #[derive(Clone, Copy)]
 pub(super) struct ClaimedEpoch {
     epoch: Epoch,
@@ -25,7 +25,7 @@
 }
 
 impl Simulation {
-    /// Campaigns, begins an epoch, or renews the leader lease.
+    /// Starts a claimed epoch, renews the leader lease, or campaigns.
     pub(super) fn drive_leadership(&mut self, node: usize) {
         if let Some(claimed) = self.nodes[node].claimed_epoch {
             self.begin_epoch(node, claimed);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A new leader begins once its replica shows its own claim.
+    /// Starts a claimed epoch once the replica contains the claim. Ends the term if that does not happen in time.
     fn begin_epoch(&mut self, node: usize, claimed: ClaimedEpoch) {
         let now = self.now();
         let controller = self.nodes[node].running_controller_mut();
@@ -53,6 +53,8 @@
         }
     }
 
+    /// Renews the leader lease once per [`RENEWAL_INTERVAL`]. Ends the term if the lease has ended, or if the store does not
+    /// answer and no authority is left. A leader without authority although its lease is renewed steps down: its replica lags.
     fn renew_leader_lease(&mut self, node: usize, term: Term) {
         let now = self.now();
         if now < self.nodes[node].next_renewal_at {
@@ -86,7 +88,7 @@
         self.store.is_available_to(node) && self.nodes[node].running_controller().may_campaign()
     }
 
-    /// Claims the next epoch under a new lease.
+    /// Claims the next epoch under a new leader lease.
     fn campaign(&mut self, node: usize) {
         let now = self.now();
         let controller = self.nodes[node].running_controller_mut();
@@ -122,7 +124,7 @@
         }
     }
 
-    /// A leader steps down and ends its lease, if it can.
+    /// Makes a leader step down. Revokes its lease if the store answers it; otherwise the lease has to expire.
     pub(super) fn step_down(&mut self, node: usize) {
         let controller = self.nodes[node].running_controller_mut();
         let lease = controller.term().map(|term| term.lease);
--- a/src/controller/tests/simulation/cluster/mod.rs
+++ b/src/controller/tests/simulation/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The controllers' processes. The decisions are the real [`ControllerState`]'s; these modules carry out what it asks for, as
-//! the controller's loops do.
+//! The controllers' processes. The real [`ControllerState`] makes the decisions, and these modules execute them as the
+//! controller's loops do.
 
 mod dispatch;
 mod leadership;
@@ -17,29 +17,29 @@
 use std::time::Duration;
 use writes::PendingSlotWrite;
 
-/// How long a watch waits for changes; as in the controller.
+/// Time for which the store holds a watch request without changes, as in the controller.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A watch that lags behind a read for so long is opened anew; as in the controller.
+/// Time for which the replica may lag behind a read before the watch is reopened: the controller's minimum stall timeout.
 const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A watch of the store.
+/// An open watch of the store.
 #[derive(Clone, Copy)]
 struct Watch {
     opened_at: Timestamp,
-    /// The store did not answer while it was open: it waits silently until its time is over.
+    /// Whether the store was unavailable while the watch was open. Such a watch delivers no changes until it is reopened.
     stalled: bool,
 }
 
-/// A controller's process and its calls.
+/// A controller's process, with its timers and its requests in flight.
 #[derive(Default)]
 pub(crate) struct Node {
-    /// Its state; none while the process is down.
+    /// State of the controller; none while the process is down.
     pub controller: Option<ControllerState>,
-    /// Until when its process is paused.
+    /// End of the pause of the process; in the past if it is not paused.
     pub paused_until: Timestamp,
     pub(super) next_cloud_round_at: Timestamp,
-    /// Number of its crashes.
+    /// Number of crashes so far. It identifies the process that sent a message.
     pub(super) incarnation: u64,
     restart_at: Timestamp,
     watch: Option<Watch>,
@@ -50,22 +50,22 @@
 }
 
 impl Node {
-    /// The state of a process that runs.
+    /// Returns the state of the controller. Panics if the process is down.
     pub(crate) fn running_controller(&self) -> &ControllerState {
         self.controller.as_ref().unwrap()
     }
 
-    /// The state of a process that runs.
+    /// Returns the state of the controller for changes. Panics if the process is down.
     pub(crate) fn running_controller_mut(&mut self) -> &mut ControllerState {
         self.controller.as_mut().unwrap()
     }
 
-    /// The scheduler of a process that leads.
+    /// Returns the scheduler. Panics unless this controller leads.
     pub(super) fn leader_scheduler_mut(&mut self) -> &mut Scheduler {
         self.running_controller_mut().scheduler_mut().unwrap()
     }
 
-    /// The process ends.
+    /// Ends the process, which loses its state and the answers to its requests in flight.
     pub(super) fn crash(&mut self, restart_at: Timestamp) {
         self.controller = None;
         self.watch = None;
@@ -76,12 +76,12 @@
     }
 }
 
-/// The name of a controller.
+/// Returns the name of a controller.
 pub(crate) fn node_name(node: usize) -> String {
     format!("drover-{node}")
 }
 
-/// The controller of a name.
+/// Returns the number of the controller with this name.
 pub(super) fn node_index(name: &str) -> Option<usize> {
     name.strip_prefix("drover-")?.parse().ok()
 }
@@ -99,7 +99,7 @@
 }
 
 impl Simulation {
-    /// One step of a controller.
+    /// Runs one step of a controller. Restarts its process if that is due and the store answers it.
     pub(super) fn step_node(&mut self, node: usize) {
         let now = self.now();
         if self.nodes[node].controller.is_none() {
@@ -119,7 +119,7 @@
         self.cloud_round(node);
     }
 
-    /// A process starts and reads the store.
+    /// Starts the process of a controller with a replica read from the store.
     fn start_process(&mut self, node: usize) {
         let mut controller = ControllerState::new(
             settings(node, self.team_cpu_limit),
@@ -127,12 +127,12 @@
             Clock::Scripted(self.clock.clone()),
         );
         controller.set_machine_types(&[machine_type()]);
-        // A vacancy need not be noticed here: every step campaigns if it may.
+        // A deleted leader key needs no handling here: each step campaigns if leadership is vacant.
         let _ = controller.replace_replica(self.store.replica());
         self.nodes[node].controller = Some(controller);
     }
 
-    /// Keeps a watch open and hands its changes to the controller.
+    /// Keeps a watch open and applies the changes that it delivers.
     fn drive_watch(&mut self, node: usize) {
         let (now, available) = (self.now(), self.store.is_available_to(node));
         let stays_stalled = self.faults.watches_stay_stalled;
@@ -165,7 +165,7 @@
         let delivers = watch.is_some_and(|open| !open.stalled);
         if delivers && self.store.revision() > controller.replica().revision {
             let changes = self.store.events_after(controller.replica().revision);
-            // A vacancy need not be noticed here: every step campaigns if it may.
+            // A deleted leader key needs no handling here: each step campaigns if leadership is vacant.
             let _ = controller.apply_watch_events(self.store.revision(), &changes);
             *watch = Some(new_watch);
         }
--- a/src/controller/tests/simulation/cluster/peers.rs
+++ b/src/controller/tests/simulation/cluster/peers.rs
@@ -1,18 +1,18 @@
-//! What the controllers tell each other: cancellations, and each one's view.
+//! Messages between controllers: cancellations and views.
 
 use super::super::{Simulation, STEP};
 use super::node_name;
 use crate::time::whole_millis;
 use std::time::Duration;
 
-/// Time between two exchanges of views.
+/// Interval of the exchanges of views.
 const VIEW_INTERVAL: Duration = Duration::from_millis(900);
 
 /// Every ordered pair of controllers.
 const PAIRS: [(usize, usize); 6] = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
 
 impl Simulation {
-    /// Each controller calls each other one that it reaches.
+    /// Lets each controller call every other one that it reaches, unless either of the two is paused.
     pub(in super::super) fn exchange_peer_messages(&mut self) {
         let now = self.now();
         if now < self.faults.peers_cut_until {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Passes on the cancellations that the other does not know, and from time to time reads its view.
+    /// Sends the cancellations that the peer does not know of, and reads the peer's view once per [`VIEW_INTERVAL`].
     fn call_peer(&mut self, from: usize, to: usize) {
         let peer = node_name(to);
         let Some(sender) = self.nodes[from].controller.as_ref() else {
--- a/src/controller/tests/simulation/cluster/writes.rs
+++ b/src/controller/tests/simulation/cluster/writes.rs
@@ -1,4 +1,4 @@
-//! A leader's durable writes: the start log, and the rounds of results, rentals and cancellations.
+//! Durable writes of the leader: the start log, and the periodic writes of results, final states and cleanups.
 
 use super::super::Simulation;
 use crate::coordination::leadership::Term;
@@ -8,13 +8,13 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time between two rounds of a leader's durable writes.
+/// Time between two rounds of the leader's durable writes.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// After so long a write counts as unanswered.
+/// Time after which an unanswered write counts as one with an unknown outcome.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A write of the start log whose latency is under way.
+/// A write of the start log whose outcome the controller does not know yet.
 pub(super) struct PendingSlotWrite {
     slot_write: SlotWrite,
     term: Term,
@@ -23,7 +23,7 @@
 }
 
 impl Simulation {
-    /// Takes the latency to the last write of the start log, and makes the next.
+    /// Finishes the last write of the start log once it was answered, and makes the next one.
     pub(super) fn drive_start_log(&mut self, node: usize) {
         let now = self.now();
         let under_way = |pending: &PendingSlotWrite| now < pending.answered_at;
@@ -57,7 +57,8 @@
         });
     }
 
-    /// The controller learns what became of a write; where that is in doubt, it reads the key.
+    /// Hands the outcome of a write to the controller, and the stored slot too if the outcome does not tell whether the write was
+    /// applied.
     fn finish_slot_write(&mut self, node: usize, pending: PendingSlotWrite) {
         let certain = matches!(
             pending.outcome,
@@ -78,7 +79,7 @@
         );
     }
 
-    /// A round of a leader's durable writes.
+    /// Runs a round of the leader's durable writes.
     pub(super) fn flush(&mut self, node: usize) {
         let now = self.now();
         if now < self.nodes[node].next_flush_at {
@@ -95,16 +96,17 @@
             .running_controller_mut()
             .final_job_cleanup(&epoch);
         if let Some(txn) = cleanup {
-            // What fails here is tried again in the next round.
+            // A failed cleanup is repeated in the next round.
             let _ = self.transact(node, &txn);
         }
     }
 
+    /// Runs a transaction and reports whether the controller knows that it was applied.
     fn try_apply(&mut self, node: usize, txn: &Txn) -> bool {
         matches!(self.transact(node, txn), Ok(TxnOutcome::Applied(_)))
     }
 
-    /// Writes the final states of jobs whose tasks are all done.
+    /// Makes jobs final whose tasks are all done.
     fn write_completions(&mut self, node: usize, epoch: &Guard) {
         for completion in self.nodes[node]
             .running_controller_mut()
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Writes the results of tasks of unfinished jobs.
+    /// Stores task results of unfinished jobs.
     fn write_results(&mut self, node: usize, epoch: &Guard) {
         let results = self.nodes[node]
             .running_controller_mut()
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Takes released machines out of the rentals.
+    /// Removes released machines from their rental records.
     fn clean_up_rentals(&mut self, node: usize, epoch: &Guard) {
         let cleanup = self.nodes[node]
             .running_controller_mut()
