--- a/src/controller/tests/simulation/delivery.rs
+++ b/src/controller/tests/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! What a message does when it arrives.
+//! Delivery of messages: the effect of each one when it arrives.
 
 use super::network::{Dispatch, Message, DIRECT_TIMEOUT, HEARTBEAT_TIMEOUT};
 use super::{Simulation, STEP};
@@ -7,19 +7,19 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// After how long a late transaction is tried retry while the store is down.
+/// Delay before a late transaction is tried again while the store is down.
 const LATE_WRITE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Simulation {
-    /// Hands a message to its receiver.
+    /// Delivers a message to its receiver.
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
             Message::LateWrite(txn) => self.deliver_late_write(txn),
             Message::Heartbeat {
                 node,
                 report,
-                discards_response,
-            } => self.deliver_heartbeat(node, report, discards_response),
+                response_discarded,
+            } => self.deliver_heartbeat(node, report, response_discarded),
             Message::HeartbeatResponse {
                 machine,
                 session,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The store carries out late what it did not answer; after an outage, if there is one.
+    /// Commits a transaction that the store did not answer. During an outage it is postponed until the store is back.
     fn deliver_late_write(&mut self, txn: Txn) {
         if self.store.is_down() {
             self.send(LATE_WRITE_RETRY_DELAY, Message::LateWrite(txn));
@@ -46,14 +46,14 @@
         }
     }
 
-    /// A controller takes a heartbeat, once it is not paused any more, and answers it.
-    fn deliver_heartbeat(&mut self, node: usize, report: WorkerStatus, discards_response: bool) {
+    /// Delivers a heartbeat to a controller, after the end of the controller's pause if it is paused, and sends the response.
+    fn deliver_heartbeat(&mut self, node: usize, report: WorkerStatus, response_discarded: bool) {
         let (now, paused_until) = (self.now(), self.nodes[node].paused_until);
         if now < paused_until {
             let retry = Message::Heartbeat {
                 node,
                 report,
-                discards_response,
+                response_discarded,
             };
             return self.send(paused_until.saturating_duration_since(now), retry);
         }
@@ -62,14 +62,14 @@
         };
         let outcome = controller.handle_heartbeat(&report);
         if let (HeartbeatOutcome::Reply(HeartbeatReply { commands, .. }), false) =
-            (&outcome, discards_response)
+            (&outcome, response_discarded)
         {
             self.check_sent_commands(commands);
         }
         let Some(worker) = self.workers.get(&report.machine) else {
             return;
         };
-        let lost = discards_response
+        let lost = response_discarded
             || worker.session != report.session
             || worker.sequence < report.sequence
             || now < worker.inbound_dropped_until
@@ -87,7 +87,7 @@
         self.send(STEP, response);
     }
 
-    /// A worker takes the answer to its heartbeat, if it still is_awaited for it.
+    /// Delivers the response to a heartbeat if the worker, in the same session, still waits for it.
     fn deliver_heartbeat_response(
         &mut self,
         machine: &str,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// What was decided before a pause or before its connection was open is sent only if it still may be.
+    /// Sends direct commands that were delayed by a pause or an opening connection, unless they are no longer valid.
     fn send_delayed_commands(&mut self, dispatch: Dispatch) {
         let node = &mut self.nodes[dispatch.node];
         if node.incarnation != dispatch.incarnation {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A worker takes direct commands: it executes them unless a newer leader or its next incarnation has made them void.
+    /// Delivers direct commands. The worker executes them unless it has seen a higher fencing token or begun another session.
     fn deliver_direct_commands(&mut self, dispatch: Dispatch, sent_at: Timestamp) {
         let (now, image_fetch_time) = (self.now(), self.image_fetch_time);
         let machine = dispatch.direct.machine.clone();
@@ -157,7 +157,8 @@
         }
     }
 
-    /// A worker that hangs executes direct commands when it goes on, though nobody is_awaited for the answer any more.
+    /// Postpones direct commands to a hung worker. It executes them when it resumes, although the controller no longer waits for
+    /// the response then.
     fn postpone_direct_commands(
         &mut self,
         dispatch: Dispatch,
@@ -176,13 +177,13 @@
         self.send(hung_until.saturating_duration_since(now) + STEP, retry);
     }
 
-    /// A controller gives up waiting for the answer to direct commands after that time.
+    /// Lets the controller's wait for the response to direct commands time out after a delay.
     pub(super) fn schedule_direct_timeout(&mut self, delay: Duration, dispatch: Dispatch) {
-        let lost = Message::DirectResponse {
+        let no_response = Message::DirectResponse {
             dispatch,
             report: None,
         };
-        self.send(delay, lost);
+        self.send(delay, no_response);
     }
 
     fn deliver_direct_response(&mut self, dispatch: &Dispatch, report: Option<&WorkerStatus>) {
--- a/src/controller/tests/simulation/network.rs
+++ b/src/controller/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! Messages under way. Each arrives at a time that is known when it is sent.
+//! Messages in flight. The arrival time of a message is fixed when it is sent.
 
 use super::Simulation;
 use crate::controller::HeartbeatOutcome;
@@ -8,32 +8,32 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// After how long a controller gives up waiting for the answer to direct commands.
+/// Time for which a controller waits for the response to direct commands.
 pub(super) const DIRECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// After how long a worker gives up waiting for the answer to a heartbeat.
+/// Time for which a worker waits for the response to a heartbeat.
 pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Direct commands with the process that decided them.
+/// Direct commands, with the controller's process and the term in which they were decided.
 #[derive(Clone)]
 pub(super) struct Dispatch {
     pub node: usize,
-    /// Incarnation of the node's process; another one takes no notice of an answer.
+    /// Incarnation of the controller's process. A later one ignores the response.
     pub incarnation: u64,
     pub term: Option<Term>,
     pub direct: DirectCommands,
 }
 
-/// A message under way.
+/// A message in flight.
 pub(super) enum Message {
     /// A heartbeat on its way to a controller.
     Heartbeat {
         node: usize,
         report: WorkerStatus,
-        /// Nobody waits for the answer.
-        discards_response: bool,
+        /// Whether the response is discarded, because the heartbeat is a duplicate or the worker no longer waits for it.
+        response_discarded: bool,
     },
-    /// The answer to a heartbeat on its way to the worker.
+    /// The response to a heartbeat on its way to the worker.
     HeartbeatResponse {
         machine: String,
         session: u64,
@@ -41,19 +41,19 @@
         node: usize,
         outcome: HeartbeatOutcome,
     },
-    /// Direct commands that were decided, but not sent yet: the process is paused, or the connection is being opened.
+    /// Direct commands that were decided but not sent yet: the process is paused, or the connection is still being opened.
     UnsentCommands(Dispatch),
     /// Direct commands on their way to a worker.
     DirectCommands {
         dispatch: Dispatch,
         sent_at: Timestamp,
     },
-    /// The answer to direct commands; none if it was lost or came too late.
+    /// The response to direct commands; its report is absent if the response was lost or too late.
     DirectResponse {
         dispatch: Dispatch,
         report: Option<WorkerStatus>,
     },
-    /// A transaction that got no answer and is carried out late.
+    /// A transaction that was not answered and is committed late.
     LateWrite(Txn),
 }
 
@@ -62,14 +62,14 @@
     message: Message,
 }
 
-/// The messages under way, in the order in which they were sent.
+/// The messages in flight, in the order in which they were sent.
 #[derive(Default)]
 pub(super) struct Network {
     in_flight: Vec<InFlight>,
 }
 
 impl Network {
-    /// Takes what has arrived.
+    /// Removes and returns the messages that have arrived.
     pub(super) fn take_due(&mut self, now: Timestamp) -> Vec<Message> {
         let (due, rest): (Vec<InFlight>, Vec<InFlight>) = std::mem::take(&mut self.in_flight)
             .into_iter()
@@ -89,7 +89,7 @@
         });
     }
 
-    /// Commits a transaction late, as a test wants it.
+    /// Schedules a transaction, chosen by a test, to be committed after a delay.
     pub(crate) fn commit_late(&mut self, delay: Duration, txn: Txn) {
         self.send(delay, Message::LateWrite(txn));
     }
--- a/src/controller/tests/simulation/workers/mod.rs
+++ b/src/controller/tests/simulation/workers/mod.rs
@@ -1,7 +1,7 @@
-//! The workers: one for each machine, with a lease, agent incarnations (sessions), a fencing token and tasks.
+//! The workers: one for each machine, with a session, a lease, a fencing token and task attempts.
 //!
-//! A worker has one heartbeat in flight. It ends its tasks and begins a new session when no answer has renewed its lease in
-//! time. [`delivery`](super::delivery) hands it what arrives, and [`commands`] executes the commands.
+//! A worker has at most one heartbeat in flight. If no response has renewed its lease in time, it kills its tasks and begins a
+//! new session. [`delivery`](super::delivery) delivers messages to it, and [`commands`] executes its commands.
 
 mod commands;
 
@@ -18,44 +18,46 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Length of a worker's lease; as in the tests' settings.
+/// Time to live of a worker's lease: `lease_s` of the tests' settings.
 pub(crate) const WORKER_LEASE: Duration = Duration::from_secs(12);
 
-/// Bounds of the time between two heartbeats.
+/// Range of the time between two heartbeats, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: std::ops::Range<u64> = 1100..1900;
 
-/// Longest time until the heartbeat after a change.
+/// Maximum time from a change on the worker to its next heartbeat.
 const CHANGE_HEARTBEAT_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest time until the heartbeat after the exit of a task.
+/// Maximum time from the exit of a task to the next heartbeat.
 const EXIT_HEARTBEAT_DELAY: Duration = Duration::from_millis(100);
 
-/// Time until a worker turns to the leader that was named to it.
+/// Delay before a worker that was redirected to the leader sends it a heartbeat.
 const REDIRECT_DELAY: Duration = Duration::from_millis(300);
 
-/// A heartbeat that is delayed for longer gets no answer, since its worker has given up waiting.
+/// Maximum delay of a heartbeat that is answered. After a longer delay, the worker no longer waits for the response.
 const MAX_ANSWERED_DELAY: Duration = Duration::from_secs(4);
 
-/// Bounds of the delay of a duplicated heartbeat.
+/// Range of the delay of a duplicate heartbeat, in milliseconds.
 const DUPLICATE_DELAY_MS: std::ops::Range<u64> = 2000..20_000;
 
-/// Time until a worker turns to another controller.
+/// Delay before a worker tries another controller.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A task and its attempt.
+/// Name of a task, `job/number`, and number of the attempt to run it.
 type AttemptKey = (String, u64);
 
-/// An attempt of a task on a machine.
+/// An attempt to run a task on this machine.
 #[derive(Clone)]
 pub(super) struct Attempt {
     pub state: TaskState,
     pub reason: Option<ExitReason>,
+    /// Time at which the image is fetched and the task starts to run.
     ready_at: Timestamp,
+    /// Time at which the task is done.
     ends_at: Timestamp,
 }
 
 impl Attempt {
-    /// Whether the task's own program runs.
+    /// Reports whether the program of the task is running.
     pub(super) fn is_running(&self) -> bool {
         matches!(self.state, TaskState::Running | TaskState::Saving)
     }
@@ -65,32 +67,32 @@
     }
 }
 
-/// A machine and its worker.
+/// The worker of a machine.
 pub(crate) struct Worker {
     pub(super) zone: String,
     pub(super) token: FencingToken,
     pub(super) session: u64,
-    /// Number of heartbeats made.
+    /// Sequence number of the newest heartbeat or response to direct commands.
     pub(super) sequence: u64,
     lease_renewed_at: Timestamp,
     pub(super) attempts: BTreeMap<AttemptKey, Attempt>,
-    /// The controller to which it reports.
+    /// Controller to which the worker sends its heartbeats.
     pub(super) node: usize,
     next_heartbeat_at: Timestamp,
-    /// When the heartbeat that is in flight was sent.
+    /// Time at which the heartbeat in flight was sent.
     pub(super) awaiting_response_since: Option<Timestamp>,
-    /// Until when its process hangs.
+    /// Time until which the worker hangs.
     pub hung_until: Timestamp,
-    /// Until when nothing reaches it.
+    /// Time until which messages to the worker are lost.
     pub inbound_dropped_until: Timestamp,
-    /// Until when its heartbeats get lost.
+    /// Time until which the worker's heartbeats are lost.
     pub heartbeats_dropped_until: Timestamp,
-    /// The next heartbeat is delayed for so long.
+    /// Additional delay of the next heartbeat in the network.
     pub next_heartbeat_delay: Duration,
 }
 
 impl Worker {
-    /// A worker that begins to report at that time.
+    /// Creates the worker of a machine that boots. It sends its first heartbeat, to `node`, at `up_at`.
     pub(super) fn booting(zone: &str, node: usize, up_at: Timestamp) -> Worker {
         Worker {
             zone: zone.into(),
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Makes the next heartbeat.
+    /// Returns the next heartbeat.
     pub(super) fn next_heartbeat(&mut self, machine: &str) -> WorkerStatus {
         self.sequence += 1;
         let status = |((task, attempt), state): (&AttemptKey, &Attempt)| TaskStatus {
@@ -133,11 +135,13 @@
         }
     }
 
+    /// Moves the next heartbeat forward so that it is sent within `delay`.
     fn schedule_heartbeat_within(&mut self, now: Timestamp, delay: Duration) {
         self.next_heartbeat_at = self.next_heartbeat_at.min(now + delay);
     }
 
-    /// Ends the session if the lease has expired, also while the process hangs: it goes on within its lease only.
+    /// Kills all tasks and begins a new session if the lease has expired, even while the worker hangs: no task may run beyond the
+    /// lease.
     fn expire_lease(&mut self, machine: &str, now: Timestamp) {
         if now <= self.lease_renewed_at + WORKER_LEASE {
             return;
@@ -148,7 +152,7 @@
             machine,
             session,
             tasks,
-            "worker lease expired"
+            "worker lease expired, its tasks were killed and a new session begins"
         );
         self.attempts.clear();
         self.session += 1;
@@ -156,7 +160,7 @@
         self.awaiting_response_since = None;
     }
 
-    /// The tasks of a worker that hangs stand still.
+    /// Delays all attempts by a step: tasks make no progress while their worker hangs.
     fn stall_attempts(&mut self) {
         for attempt in self.attempts.values_mut() {
             attempt.ready_at += STEP;
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Lets tasks begin and end; returns those that began.
+    /// Starts the tasks whose images are fetched and ends those that are done. Returns the started ones.
     fn advance_attempts(
         &mut self,
         now: Timestamp,
@@ -190,7 +194,7 @@
         started
     }
 
-    /// Turns to the next controller if the heartbeat in flight was not answered in time.
+    /// Switches to the next controller if the response to the heartbeat in flight is overdue.
     fn time_out_heartbeat(&mut self, now: Timestamp) {
         let expired = |sent_at: Timestamp| now > sent_at + HEARTBEAT_TIMEOUT;
         if self.awaiting_response_since.is_some_and(expired) {
@@ -200,7 +204,7 @@
         }
     }
 
-    /// Takes the answer to a heartbeat; returns the commands that are to be executed.
+    /// Handles the response to a heartbeat. Returns the commands to execute, if the response renewed the lease.
     pub(super) fn handle_response(
         &mut self,
         now: Timestamp,
@@ -211,7 +215,7 @@
         self.awaiting_response_since = None;
         match outcome {
             HeartbeatOutcome::Reply(HeartbeatReply { token, commands }) => {
-                // An answer of an earlier leader is dropped.
+                // A lower token than the highest one seen belongs to an earlier leader.
                 if token < self.token {
                     return None;
                 }
@@ -239,7 +243,8 @@
         None
     }
 
-    /// Takes the fencing token of direct commands; false if they are void, since a newer one is known or the session has ended.
+    /// Adopts the fencing token of direct commands. Returns false if they must not be executed: a higher token was seen, or they
+    /// are meant for another session.
     pub(super) fn accept_token(&mut self, token: FencingToken, session: u64) -> bool {
         let valid = token >= self.token && session == self.session;
         if valid {
@@ -250,10 +255,10 @@
 }
 
 impl Simulation {
-    /// One step of a worker.
+    /// Runs one step of a worker.
     pub(super) fn step_worker(&mut self, machine: &str) {
         let now = self.now();
-        // Drawn in every step, whether it is used or not: the order of draws is part of what a seed means.
+        // Drawn in every step, even if it is not used: a conditional draw would change the run that each seed produces.
         let interval = Duration::from_millis(self.rng.gen_range(HEARTBEAT_INTERVAL_MS));
         let worker = self.workers.get_mut(machine).unwrap();
         worker.expire_lease(machine, now);
@@ -271,7 +276,7 @@
         }
     }
 
-    /// Sends a worker's heartbeat to its controller, perhaps with a delay, perhaps twice, perhaps not at all.
+    /// Sends a worker's heartbeat to its controller. Depending on the faults in effect, it is lost, delayed or duplicated.
     fn send_heartbeat(&mut self, machine: &str) {
         let now = self.now();
         let worker = self.workers.get_mut(machine).unwrap();
@@ -290,17 +295,17 @@
             let duplicate = Message::Heartbeat {
                 node: self.rng.gen_range(0..NODES),
                 report: report.clone(),
-                discards_response: true,
+                response_discarded: true,
             };
             self.send(delay, duplicate);
         }
-        let discards_response = delay > MAX_ANSWERED_DELAY;
+        let response_discarded = delay > MAX_ANSWERED_DELAY;
         self.send(
             STEP + delay,
             Message::Heartbeat {
                 node,
                 report,
-                discards_response,
+                response_discarded,
             },
         );
     }
