--- a/src/controller/tests/simulation/workers/commands.rs
+++ b/src/controller/tests/simulation/workers/commands.rs
@@ -1,4 +1,4 @@
-//! What a worker does with commands, whether they come in the answer to a heartbeat or directly.
+//! Execution of commands by a worker, whether they arrive directly or in the response to a heartbeat.
 
 use super::super::users::SubmittedJob;
 use super::{Attempt, Worker, CHANGE_HEARTBEAT_DELAY};
@@ -10,14 +10,14 @@
 /// CPUs of a machine.
 const MACHINE_CPUS: f64 = 8.0;
 
-/// CPUs of a task.
+/// CPUs that each task uses.
 const TASK_CPUS: f64 = 2.0;
 
-/// When a service's task ends.
+/// End of a service's task, which is never reached.
 const NEVER: Timestamp = Timestamp::from_millis(u64::MAX);
 
 impl Worker {
-    /// Executes commands.
+    /// Executes commands. Each one brings the next heartbeat forward.
     pub(in super::super) fn execute(
         &mut self,
         machine: &str,
@@ -27,7 +27,12 @@
         jobs: &BTreeMap<String, SubmittedJob>,
     ) {
         if !commands.is_empty() {
-            tracing::info!(now = now.as_millis(), machine, ?commands, "executes");
+            tracing::info!(
+                now = now.as_millis(),
+                machine,
+                ?commands,
+                "worker executes commands"
+            );
         }
         for command in commands {
             match command {
@@ -41,6 +46,7 @@
         }
     }
 
+    /// Starts an attempt, or lists it as exited if the start is refused. A repeated start has no effect.
     fn start(
         &mut self,
         task: &str,
@@ -67,7 +73,7 @@
         self.attempts.insert(key, started);
     }
 
-    /// Why a start of a task is refused.
+    /// Returns the reason to refuse the start of a task: another attempt of it is active, or too few CPUs are free.
     fn refusal_reason(&self, task: &str) -> Option<ExitReason> {
         let active = self.attempts.iter().filter(|(_, a)| !a.has_exited());
         if active.clone().any(|((other, _), _)| other == task) {
@@ -93,7 +99,7 @@
 }
 
 impl SubmittedJob {
-    /// When a task ends that begins at that time; a service's never does. One that has ended before ends at once.
+    /// Returns when a task that starts at `starts_at` ends: never for a service, and at once for a task that was done before.
     fn end_of_task(&self, number: u32, starts_at: Timestamp) -> Option<Timestamp> {
         if self.spec.kind == JobKind::Service {
             return None;
