--- a/src/controller/tests/simulation/store.rs
+++ b/src/controller/tests/simulation/store.rs
@@ -1,7 +1,7 @@
 //! The consensus-backed key-value store: compare-and-swap transactions, a log of changes for watches, and leader leases.
 //!
-//! It is one map, so every transaction is linearizable. It can be down for everybody or refuse single nodes, and
-//! [`Simulation::transact`] draws which transactions get no answer and are carried out late.
+//! The store is a single map, which makes every transaction linearizable. It can be down for all controllers or refuse
+//! individual ones, and [`Simulation::transact`] picks at random the transactions that are not answered and committed late.
 
 use super::network::Message;
 use super::Simulation;
@@ -16,14 +16,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Bounds of the time until a transaction without answer is carried out.
+/// Range of the delay after which an unanswered transaction is committed, in milliseconds.
 const LATE_WRITE_DELAY_MS: std::ops::Range<u64> = 2000..12_000;
 
-/// A key's value.
+/// The value of a key, with the revision of its last change.
 struct StoredValue {
     value: Value,
     version: Revision,
-    /// The lease with which the key ends.
+    /// Lease at whose end the key is deleted, if any.
     lease: Option<u64>,
 }
 
@@ -33,7 +33,7 @@
     ttl: Duration,
 }
 
-/// The store.
+/// The simulated store.
 #[derive(Default)]
 pub(crate) struct SimulatedStore {
     keys: BTreeMap<String, StoredValue>,
@@ -46,32 +46,32 @@
 }
 
 impl SimulatedStore {
-    /// Whether the store answers a node.
+    /// Reports whether the store answers a controller.
     pub(super) fn is_available_to(&self, node: usize) -> bool {
         !self.down && !self.refused_nodes.contains(&node)
     }
 
-    /// Whether the store answers nobody.
+    /// Reports whether the store is down for all controllers.
     pub(super) fn is_down(&self) -> bool {
         self.down
     }
 
-    /// Refuses a node until it is accepted again.
+    /// Refuses the requests of a controller until [`SimulatedStore::accept`] is called.
     pub(crate) fn refuse(&mut self, node: usize) {
         self.refused_nodes.insert(node);
     }
 
-    /// Ends the refusal of a node.
+    /// Accepts the requests of a controller again.
     pub(crate) fn accept(&mut self, node: usize) {
         self.refused_nodes.remove(&node);
     }
 
-    /// Goes down for everybody.
+    /// Takes the store down for all controllers.
     pub(super) fn begin_outage(&mut self) {
         self.down = true;
     }
 
-    /// Comes back, if it was down; every lease has its full time again.
+    /// Ends an outage, if there is one. Every lease gets its full time to live again.
     pub(super) fn end_outage(&mut self, now: Timestamp) {
         if !self.down {
             return;
@@ -82,24 +82,24 @@
         }
     }
 
-    /// Revision of the newest change.
+    /// Returns the revision of the newest change.
     pub(super) fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Version of a key, 0 if there is none.
+    /// Returns the version of a key: the revision of its last change, or 0 if the key does not exist.
     pub(crate) fn version(&self, key: &str) -> Revision {
         self.keys
             .get(key)
             .map_or(Revision::ZERO, |stored| stored.version)
     }
 
-    /// Whether a key exists.
+    /// Reports whether a key exists.
     pub(crate) fn contains(&self, key: &str) -> bool {
         self.keys.contains_key(key)
     }
 
-    /// Reads a record.
+    /// Returns a record, if the key exists and its value can be decoded.
     pub(super) fn get<T: DeserializeOwned>(&self, key: &str) -> Option<Versioned<T>> {
         let stored = self.keys.get(key)?;
         Some(Versioned {
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Commits a transaction whose guards all hold.
+    /// Commits a transaction if all of its guards hold and the leases of its keys exist.
     pub(super) fn commit(&mut self, txn: &Txn) -> TxnOutcome {
         let changed = |guard: &&Guard| self.version(&guard.key) != guard.version;
         let failed: Vec<String> = txn
@@ -132,6 +132,7 @@
         TxnOutcome::Applied(self.revision)
     }
 
+    /// Reports whether a change would put a key under a lease that has ended.
     fn uses_ended_lease(&self, change: &Change) -> bool {
         matches!(change, Change::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease))
     }
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Grants a lease.
+    /// Grants a lease and returns its ID.
     pub(super) fn grant_lease(&mut self, now: Timestamp, ttl: Duration) -> u64 {
         self.last_lease += 1;
         let lease = StoreLease {
@@ -175,7 +176,7 @@
         self.last_lease
     }
 
-    /// Renews a lease; false if it has ended.
+    /// Renews a lease. Returns false if it has ended.
     pub(super) fn renew_lease(&mut self, lease: u64, now: Timestamp) -> bool {
         let Some(lease) = self.leases.get_mut(&lease) else {
             return false;
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Ends the leases that were not renewed in time. None ends during an outage.
+    /// Ends the leases that were not renewed in time. No lease expires during an outage.
     pub(super) fn expire_leases(&mut self, now: Timestamp) {
         if self.down {
             return;
@@ -217,7 +218,7 @@
         }
     }
 
-    /// The changes after a revision, as a watch shows them.
+    /// Returns the changes after a revision, as a watch delivers them.
     pub(super) fn events_after(&self, revision: Revision) -> Vec<Event> {
         let newer = |event: &&Event| match event {
             Event::Put { version, .. } | Event::Delete { version, .. } => *version > revision,
@@ -225,7 +226,7 @@
         self.events.iter().filter(newer).cloned().collect()
     }
 
-    /// A replica as a controller reads it at its start: everything but final states.
+    /// Returns the replica that a controller loads at its start: all records but final states.
     pub(super) fn replica(&self) -> Replica {
         let (mut replica, mut changes) = (Replica::default(), Vec::new());
         let final_states = store::final_key("");
@@ -239,7 +240,7 @@
 }
 
 impl Simulation {
-    /// A controller's transaction; it may get no answer.
+    /// Runs a transaction of a controller. With the probability `late_write_probability` it is not answered and committed later.
     pub(super) fn transact(&mut self, node: usize, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         if !self.store.is_available_to(node) {
             return Err(StoreError::Unavailable);
@@ -253,14 +254,14 @@
         Ok(self.commit(txn))
     }
 
-    /// The number of the current epoch.
+    /// Returns the number of the current epoch.
     pub(crate) fn epoch(&self) -> Epoch {
         self.store
             .get::<EpochRecord>(&store::epoch_key())
             .map_or(Epoch::ZERO, |epoch| epoch.record.number)
     }
 
-    /// The guard of the current epoch.
+    /// Returns the guard on the current epoch.
     pub(crate) fn epoch_guard(&self) -> Guard {
         let key = store::epoch_key();
         let version = self.store.version(&key);
