--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machines of one type in two zones, rented and released by the leader.
+//! The cloud: machines of one type in two zones, which the leader rents and releases.
 
 use super::workers::Worker;
 use super::{Simulation, NODES};
@@ -9,25 +9,25 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// The zones.
+/// The zones of the cloud.
 pub(super) const ZONES: [&str; 2] = ["a", "b"];
 
-/// Time between two of a leader's rounds with the cloud.
+/// Time between two cloud rounds of the leader.
 const ROUND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time from the rental of a machine to its first heartbeat.
+/// Time from the rental of a machine to the first heartbeat of its worker.
 const BOOT_TIME: Duration = Duration::from_secs(3);
 
-/// The cloud.
+/// The simulated cloud.
 pub(super) struct Cloud {
-    /// How many machines the leader is to keep.
+    /// Number of machines that the leader keeps rented.
     target_machines: u32,
-    /// Number of rental_count so far.
+    /// Number of rental requests so far. It numbers the machines and the rental records.
     rental_count: u64,
 }
 
 impl Cloud {
-    /// A cloud of which the leader rents that many machines.
+    /// Creates a cloud from which the leader rents a number of machines.
     pub(super) fn new(target_machines: u32) -> Cloud {
         Cloud {
             target_machines,
@@ -35,13 +35,13 @@
         }
     }
 
-    /// How many machines the leader is to keep.
+    /// Returns the number of machines that the leader keeps rented.
     pub(super) fn target_machines(&self) -> u32 {
         self.target_machines
     }
 }
 
-/// The only machine type.
+/// Returns the only machine type.
 pub(super) fn machine_type() -> MachineType {
     MachineType {
         name: "m8".into(),
@@ -68,7 +68,7 @@
 }
 
 impl Simulation {
-    /// A leader's round with the cloud: machines that went silent are released, missing ones rented.
+    /// Runs a cloud round of the leader: releases silent machines, and rents one if there are fewer than the target.
     pub(super) fn cloud_round(&mut self, node: usize) {
         let now = self.now();
         if now < self.nodes[node].next_cloud_round_at || self.faults.cloud_down {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Releases the machines that are silent for too long or that the scheduler gives back.
+    /// Releases the machines that have been silent for too long and the other ones that the scheduler wants to release.
     fn release_machines(&mut self, node: usize) {
         let controller = self.nodes[node].running_controller_mut();
         let policy = ScalingPolicy::new(controller.settings());
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Rents a machine in the zone that has fewer.
+    /// Rents a machine in the zone with fewer machines. No machine is added if the write of the rental record fails or is not
+    /// answered.
     fn rent_machine(&mut self, node: usize, epoch: &Guard) {
         self.cloud.rental_count += 1;
         let number = self.cloud.rental_count;
@@ -124,7 +125,7 @@
         self.boot(machine, zone);
     }
 
-    /// A machine boots; its worker reports to any controller first.
+    /// Boots a machine. Its worker sends the first heartbeat to a random controller.
     fn boot(&mut self, machine: String, zone: &str) {
         let up_at = self.now() + BOOT_TIME;
         let first_node = self.rng.gen_range(0..NODES);
--- a/src/controller/tests/simulation/users.rs
+++ b/src/controller/tests/simulation/users.rs
@@ -1,4 +1,4 @@
-//! The users: what they submit and cancel, when a cancellation is confirmed to them, and the truth about each job.
+//! The users: submissions, cancellations and their confirmation, and the actual progress of each job.
 
 use super::Simulation;
 use crate::coordination::cancellations::Notice;
@@ -9,45 +9,46 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Length of the leader lease, with the steady clock's drift: after so long no leader starts what it did not know of.
+/// The tests' leader lease of 2500 ms, extended by the assumed clock drift of 0.1%. After this time no leader can start tasks of
+/// a job whose cancellation it did not know of when the cancellation became durable.
 const LONGEST_AUTHORITY: Duration = Duration::from_millis(2500 * 1001 / 1000);
 
-/// After so long a user gives up a controller that has ended, and asks another.
+/// Time after which a user whose controller has crashed asks another controller.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A cancellation that is durable, and not confirmed to its user yet.
+/// A durable cancellation that is not confirmed to its user yet.
 struct UnconfirmedCancellation {
     node: usize,
     notice: Notice,
     since: Timestamp,
 }
 
-/// What is true of a job.
+/// A submitted job with its actual progress, independent of what the controllers know.
 pub(crate) struct SubmittedJob {
-    /// What was submitted.
+    /// Specification of the job as submitted.
     pub spec: JobSpec,
-    /// Run time of its first task.
+    /// Run time of the first task.
     pub run_time: Duration,
-    /// By how much longer each task runs than the one before it.
+    /// Additional run time of each task compared to the previous one.
     pub stagger: Duration,
-    /// The tasks that have ended well.
+    /// Numbers of the tasks that are done.
     pub done: BTreeSet<u32>,
-    /// When its cancellation was confirmed to its user.
+    /// Time at which the cancellation was confirmed to the user.
     pub cancellation_confirmed_at: Option<Timestamp>,
-    /// Its user has asked for its cancellation.
+    /// Whether the user has requested a cancellation, successful or not.
     pub(super) cancellation_requested: bool,
     unconfirmed_cancellation: Option<UnconfirmedCancellation>,
 }
 
 impl SubmittedJob {
-    /// Run time of a task.
+    /// Returns the run time of a task.
     pub(super) fn run_time_of(&self, number: u32) -> Duration {
         self.run_time + self.stagger * number
     }
 }
 
 impl Simulation {
-    /// A user submits a job whose tasks run for that time.
+    /// Submits a job whose tasks run for a given time.
     pub(crate) fn submit(&mut self, spec: JobSpec, run_time: Duration) {
         let record = LiveRecord {
             spec: spec.clone(),
@@ -69,12 +70,12 @@
         self.jobs.insert(job.spec.id.clone(), job);
     }
 
-    /// A job that a test names.
+    /// Returns a job for changes. Panics if it was not submitted.
     pub(crate) fn job_mut(&mut self, id: &str) -> &mut SubmittedJob {
         self.jobs.get_mut(id).unwrap()
     }
 
-    /// A user cancels a job through a controller; false if that cannot take it.
+    /// Cancels a job through a controller. Returns false if the controller cannot accept the cancellation.
     pub(crate) fn cancel(&mut self, node: usize, id: &str) -> bool {
         self.job_mut(id).cancellation_requested = true;
         let now = self.now();
@@ -103,24 +104,24 @@
         true
     }
 
-    /// Whether a job's cancellation was confirmed to its user.
+    /// Reports whether the cancellation of a job was confirmed to its user.
     pub(crate) fn cancellation_is_confirmed(&self, id: &str) -> bool {
         self.jobs[id].cancellation_confirmed_at.is_some()
     }
 
-    /// Whether a user may still cancel this job.
+    /// Reports whether a job is not final and nobody has requested its cancellation.
     pub(crate) fn is_cancellable(&self, id: &str) -> bool {
         !self.jobs[id].cancellation_requested && self.store.contains(&store::live_key(id))
     }
 
-    /// The final state of a job.
+    /// Returns the final state of a job, once it has one.
     pub(crate) fn final_state(&self, id: &str) -> Option<FinalRecord> {
         self.store
             .get::<FinalRecord>(&store::final_key(id))
             .map(|stored| stored.record)
     }
 
-    /// Confirms cancellations once the controller that took them knows that no start can follow.
+    /// Confirms cancellations once the controller that accepted them knows that no start of a task can follow.
     pub(super) fn confirm_cancellations(&mut self) {
         let now = self.now();
         for job in self.jobs.values_mut() {
@@ -133,7 +134,8 @@
                     controller.is_cancellation_settled(cancellation.notice)
                         || waited > LONGEST_AUTHORITY
                 }
-                // Its user hears nothing from it and asks another, to which the job is cancelled.
+                // The user's request is lost with the process. After the timeout the user asks another controller, which finds
+                // the job cancelled.
                 None => waited > USER_TIMEOUT,
             };
             if confirmed {
