--- a/src/controller/tests/simulation/faults.rs
+++ b/src/controller/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What is broken at present. Tests and random schedules set these; nothing is broken by default.
+//! The faults in effect. Tests and random schedules begin and end them; by default there are none.
 
 use super::workers::Worker;
 use super::{Simulation, NODES, SECOND};
@@ -6,41 +6,44 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A zone that is isolated together with one controller; nothing else reaches either of them.
+/// A zone and a controller that are partitioned from the rest of the cluster. They reach each other, but no other zone or
+/// controller. The store has to refuse the controller separately.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct IsolatedZone {
     pub zone: &'static str,
     pub node: usize,
 }
 
-/// Faults of network, cloud and processes. Those of a single worker are fields of [`Worker`], those of a single process of
-/// [`Node`](super::cluster::Node), and the store keeps whom it refuses.
+/// Faults of the network, the cloud, the controllers and the answers of the store. Faults of individual workers are fields of
+/// [`Worker`], those of individual processes are fields of [`Node`](super::cluster::Node), and the store holds its outage and
+/// its refusals.
 pub(crate) struct Faults {
-    /// The cloud answers nobody.
+    /// The cloud does not answer.
     pub cloud_down: bool,
-    /// No controller reaches another before this time.
+    /// Time until which no controller reaches another.
     pub peers_cut_until: Timestamp,
-    /// A zone that is isolated.
+    /// The isolated zone, if any.
     pub isolated_zone: Option<IsolatedZone>,
     /// Controllers that reach no worker.
     pub cut_from_workers: BTreeSet<usize>,
     /// Controllers that reach no other controller.
     pub cut_from_peers: BTreeSet<usize>,
-    /// Pairs of controllers of which the first does not reach the second.
+    /// Pairs of controllers; the first does not reach the second.
     pub cut_paths: BTreeSet<(usize, usize)>,
-    /// Share of heartbeats of which a copy arrives again later.
+    /// Probability that a heartbeat is duplicated. The duplicate arrives later, at a random controller.
     pub heartbeat_duplicate_probability: f64,
-    /// Share of direct commands that are delayed on their way.
+    /// Probability that direct commands are delayed in the network.
     pub command_delay_probability: f64,
-    /// Shortest such delay.
+    /// Minimum delay of delayed direct commands.
     pub min_command_delay: Duration,
-    /// How long a connection to a worker takes to open.
+    /// Time that a controller takes to open a connection to a worker.
     pub connection_delay: Duration,
-    /// The next controller that decides to start something is paused for so long before it sends that; zero for none.
+    /// Duration of a pause, if not zero, between the next decision to start tasks and the sending of the starts. It pauses the
+    /// deciding controller, once.
     pub pause_before_send: Duration,
-    /// Share of transactions that get no answer and are carried out later.
+    /// Probability that a transaction is not answered and committed later.
     pub late_write_probability: f64,
-    /// Watches that stalled once stay silent, even after they should be opened anew.
+    /// Stalled watches are not reopened, so that they deliver no changes for as long as this is set.
     pub watches_stay_stalled: bool,
 }
 
@@ -65,13 +68,13 @@
 }
 
 impl Faults {
-    /// Whether a controller and the machines of a zone reach each other.
+    /// Reports whether a controller and the workers of a zone reach each other.
     pub(super) fn node_reaches_zone(&self, node: usize, zone: &str) -> bool {
         let separated = |isolated: IsolatedZone| (isolated.zone == zone) != (isolated.node == node);
         !self.cut_from_workers.contains(&node) && !self.isolated_zone.is_some_and(separated)
     }
 
-    /// Whether a controller reaches another.
+    /// Reports whether a controller reaches another.
     pub(super) fn node_reaches_peer(&self, from: usize, to: usize) -> bool {
         let isolated = self
             .isolated_zone
@@ -84,42 +87,42 @@
 }
 
 impl Simulation {
-    /// The store goes down for everybody.
+    /// Takes the store down for all controllers.
     pub(crate) fn begin_store_outage(&mut self) {
         self.store.begin_outage();
     }
 
-    /// The store comes back.
+    /// Ends the outage of the store, if there is one.
     pub(crate) fn end_store_outage(&mut self) {
         let now = self.now();
         self.store.end_outage(now);
     }
 
-    /// No controller reaches another for that time.
+    /// Cuts the controllers off from each other for a time.
     pub(crate) fn cut_peers(&mut self, duration: Duration) {
         self.faults.peers_cut_until = self.now() + duration;
     }
 
-    /// The controllers reach each other again.
+    /// Lets the controllers reach each other again.
     pub(crate) fn reconnect_peers(&mut self) {
         self.faults.peers_cut_until = Timestamp::ZERO;
     }
 
-    /// A controller loses the whole network: store, workers and the other controllers.
+    /// Cuts a controller off from the whole network: the store, the workers and the other controllers.
     pub(crate) fn disconnect(&mut self, node: usize) {
         self.store.refuse(node);
         self.faults.cut_from_workers.insert(node);
         self.faults.cut_from_peers.insert(node);
     }
 
-    /// A controller has the whole network again.
+    /// Connects a controller to the whole network again.
     pub(crate) fn reconnect(&mut self, node: usize) {
         self.store.accept(node);
         self.faults.cut_from_workers.remove(&node);
         self.faults.cut_from_peers.remove(&node);
     }
 
-    /// Ends all faults but those of single workers and processes, which end by themselves.
+    /// Ends all faults but those of individual workers and processes, which end by themselves.
     pub(crate) fn end_all_faults(&mut self) {
         for node in 0..NODES {
             self.store.accept(node);
@@ -128,41 +131,41 @@
         self.faults = Faults::default();
     }
 
-    /// Ends a controller's process, which is started again after that time.
+    /// Crashes a controller's process and restarts it after a time.
     pub(crate) fn crash(&mut self, node: usize, restart_after: Duration) {
         let restart_at = self.now() + restart_after;
         self.nodes[node].crash(restart_at);
     }
 
-    /// Pauses a controller's process while the clocks run on.
+    /// Pauses a controller's process while all clocks continue.
     pub(crate) fn pause(&mut self, node: usize, pause: Duration) {
         self.nodes[node].paused_until = self.now() + pause;
     }
 
-    /// The machine at that index in the order of names, counted round.
+    /// Returns the machine at an index, modulo their number, in the order of names.
     pub(crate) fn nth_machine(&self, index: usize) -> String {
         let mut machines = self.workers.keys();
         machines.nth(index % self.workers.len()).unwrap().clone()
     }
 
-    /// A worker that a test names.
+    /// Returns the worker of a machine for changes. Panics if there is none.
     pub(crate) fn worker_mut(&mut self, machine: &str) -> &mut Worker {
         self.workers.get_mut(machine).unwrap()
     }
 
-    /// A worker's process hangs: it neither reports nor executes anything, and its tasks stand still.
+    /// Hangs a worker for a time: it sends no heartbeats, executes no commands, and its tasks make no progress.
     pub(crate) fn hang_worker(&mut self, machine: &str, duration: Duration) {
         let until = self.now() + duration;
         self.worker_mut(machine).hung_until = until;
     }
 
-    /// A worker hears nothing, neither answers nor direct commands.
+    /// Drops all messages to a worker for a time: responses to its heartbeats, and direct commands.
     pub(crate) fn drop_worker_inbound(&mut self, machine: &str, duration: Duration) {
         let until = self.now() + duration;
         self.worker_mut(machine).inbound_dropped_until = until;
     }
 
-    /// A worker's heartbeats get lost.
+    /// Drops the heartbeats of a worker for a time.
     pub(crate) fn drop_worker_heartbeats(&mut self, machine: &str, duration: Duration) {
         let until = self.now() + duration;
         self.worker_mut(machine).heartbeats_dropped_until = until;
