--- a/src/controller/tests/simulation/invariants.rs
+++ b/src/controller/tests/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! The safety rules, checked after each step and at each change that could record_violation one.
+//! The safety rules, checked after each step and at each event that could violate one.
 
 use super::Simulation;
 use crate::protocol::{split_task, Change, Command, Txn};
@@ -6,13 +6,13 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A cancelled task has ended so long after the confirmation of its cancellation; `cancel_s` of the tests' settings.
+/// Time after the confirmation of a cancellation at which no task of the job may run: `cancel_s` of the tests' settings.
 pub(crate) const CANCELLATION_DEADLINE: Duration = Duration::from_secs(42);
 
-/// Tolerance of a sum of CPUs.
+/// Tolerance for rounding errors in a sum of CPUs.
 const CPUS_TOLERANCE: f64 = 1e-9;
 
-/// A task that runs on a machine.
+/// A task whose program runs on a machine.
 pub(super) struct RunningTask<'a> {
     pub machine: &'a str,
     pub zone: &'a str,
@@ -47,18 +47,18 @@
 }
 
 impl Simulation {
-    /// Records that a rule was violated.
+    /// Records the violation of a rule.
     pub(super) fn record_violation(&mut self, description: impl std::fmt::Display) {
         let violation = format!("{}: {description}", self.now().as_millis());
         self.violations.push(violation);
     }
 
-    /// No rule was violated so far.
+    /// Asserts that no rule was violated so far.
     pub(crate) fn assert_no_violations(&self) {
         assert!(self.violations.is_empty(), "{:#?}", self.violations);
     }
 
-    /// Tasks whose program runs.
+    /// Returns the tasks whose program runs.
     pub(super) fn running_tasks(&self) -> impl Iterator<Item = RunningTask<'_>> {
         self.workers.iter().flat_map(|(machine, worker)| {
             let running = worker.attempts.iter().filter(|(_, a)| a.is_running());
@@ -74,12 +74,12 @@
         self.running_tasks().filter(move |task| task.job() == id)
     }
 
-    /// Number of tasks of a job that run.
+    /// Returns the number of running tasks of a job.
     pub(crate) fn running_task_count(&self, id: &str) -> usize {
         self.running_tasks_of(id).count()
     }
 
-    /// Machines on which a job runs.
+    /// Returns the machines on which tasks of a job run.
     pub(crate) fn machines_of(&self, id: &str) -> Vec<String> {
         let mut machines: Vec<String> = self
             .running_tasks_of(id)
@@ -89,7 +89,7 @@
         machines
     }
 
-    /// A cancelled task ends in time, and a team stays within its limit.
+    /// Checks that no task runs beyond the deadline of its cancellation and that the team stays within its CPU limit.
     pub(super) fn check_invariants(&mut self) {
         let now = self.now();
         let mut cpus_in_use = 0.0;
@@ -100,7 +100,7 @@
             let confirmed_at = job.cancellation_confirmed_at;
             if confirmed_at.is_some_and(|at| now > at + CANCELLATION_DEADLINE) {
                 late.push(format!(
-                    "ran_cancelled: {} on {}",
+                    "task still runs after its cancellation deadline: {} on {}",
                     running.task, running.machine
                 ));
             }
@@ -110,11 +110,13 @@
         }
         let over_limit = |limit| cpus_in_use > limit + CPUS_TOLERANCE;
         if self.team_cpu_limit.is_some_and(over_limit) {
-            self.record_violation(format!("quota: {cpus_in_use}"));
+            self.record_violation(format!(
+                "team CPU limit exceeded: {cpus_in_use} CPUs in use"
+            ));
         }
     }
 
-    /// A task begins to run: it runs nowhere else, and where its job wants it.
+    /// Checks that a started task runs on no other machine, and where its job's constraints on zones permit.
     pub(super) fn check_started_task(&mut self, machine: &str, task: &str) {
         let elsewhere: Vec<String> = self
             .running_tasks()
@@ -123,18 +125,21 @@
             .collect();
         if !elsewhere.is_empty() {
             self.record_violation(format!(
-                "ran_twice: {task} starts on {machine}, is on {elsewhere:?}"
+                "task runs twice: {task} started on {machine}, still runs on {elsewhere:?}"
             ));
         }
         let (id, _) = split_task(task).unwrap();
         let required_zone = self.jobs[id].spec.zone.as_ref();
         if required_zone.is_some_and(|zone| *zone != self.workers[machine].zone) {
-            self.record_violation(format!("wrong_place: {task} on {machine}"));
+            self.record_violation(format!(
+                "task runs outside its job's zone: {task} on {machine}"
+            ));
         }
         self.check_spread(id, task);
     }
 
-    /// A job that is to be is_spread has at most half of its tasks in a zone, and one that is to be together is in one zone.
+    /// Checks the distribution over zones: at most half of the tasks of a spread job run in one zone, and all tasks of a
+    /// single-zone job run in the same zone.
     fn check_spread(&mut self, id: &str, task: &str) {
         let spec = &self.jobs[id].spec;
         if !spec.spread_zones && !spec.single_zone {
@@ -147,12 +152,12 @@
         let zone_limit = spec.tasks.div_ceil(2);
         let is_spread = by_zone.values().all(|tasks| *tasks <= zone_limit);
         if (spec.spread_zones && !is_spread) || (spec.single_zone && by_zone.len() > 1) {
-            let violation = format!("wrong_place: {task}, {by_zone:?}");
+            let violation = format!("zone distribution violated by {task}: {by_zone:?}");
             self.record_violation(violation);
         }
     }
 
-    /// Commands leave a controller: none may start a task of a job whose cancellation was confirmed to its user.
+    /// Checks commands that a controller sends: none may start a task of a job whose cancellation was confirmed to its user.
     pub(super) fn check_sent_commands(&mut self, commands: &[Command]) {
         let now = self.now();
         for command in commands {
@@ -163,13 +168,13 @@
             let confirmed_at = self.jobs[id].cancellation_confirmed_at;
             if confirmed_at.is_some_and(|at| at < now) {
                 self.record_violation(format!(
-                    "start of {task} sent after its confirmed cancellation"
+                    "start of {task} sent after the cancellation of its job was confirmed"
                 ));
             }
         }
     }
 
-    /// The store commits a transaction; final states never change.
+    /// Commits a transaction to the store, and checks the final states that it writes: they must be correct and never change.
     pub(super) fn commit(&mut self, txn: &Txn) -> TxnOutcome {
         let written: Vec<FinalState> = txn
             .apply
@@ -184,7 +189,7 @@
         let outcome = self.store.commit(txn);
         if let TxnOutcome::Applied(_) = outcome {
             for job in rewritten {
-                self.record_violation(format!("went_back: {job}"));
+                self.record_violation(format!("final state written again: {job}"));
             }
             for state in &written {
                 self.check_final_state(state.job, state.record);
@@ -193,15 +198,17 @@
         outcome
     }
 
-    /// A job is cancelled only if its user asked for it, and done only if all its tasks are.
+    /// Checks that a job becomes cancelled only at the request of its user, and done only if all of its tasks are done.
     fn check_final_state(&mut self, id: &str, record: FinalRecord) {
         let job = &self.jobs[id];
         let all_done = job.done.len() >= job.spec.tasks as usize;
         if record.cancelled && !job.cancellation_requested {
-            self.record_violation(format!("went_back: {id} cancelled by nobody"));
+            self.record_violation(format!("job cancelled without a request: {id}"));
         }
         if !record.cancelled && !all_done {
-            self.record_violation(format!("not_done: {id}"));
+            self.record_violation(format!(
+                "job completed before all of its tasks were done: {id}"
+            ));
         }
     }
 }
