--- a/src/controller/tests/simulation/settling.rs
+++ b/src/controller/tests/simulation/settling.rs
@@ -1,4 +1,5 @@
-//! Liveness: once all faults are over, every job is done, runs, or was cancelled, and that is known.
+//! The liveness check: after the end of all faults, every job settles within a limited time. A job has settled once it is stored
+//! as done, it is stored as cancelled and none of its tasks runs, or it is a live service of which all tasks run.
 
 use super::users::SubmittedJob;
 use super::Simulation;
@@ -7,22 +8,25 @@
 use crate::store;
 use std::time::Duration;
 
-/// What faults may still cost once they are over: twice a lease, the silence before a release, and the waits that the protocol
-/// allows.
+/// Time for recovery after the end of all faults: twice a worker's lease, the silence before a machine is released, and the
+/// waits that the protocol allows.
 const RECOVERY_TIME: Duration = Duration::from_secs(200);
 
-/// How long the tests of chosen faults wait for everything to settle.
+/// Time limit for all jobs to settle in [`Simulation::assert_settles`].
 const SETTLE_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// Tasks for which a machine has room.
+/// Number of tasks that fit on a machine.
 const TASKS_PER_MACHINE: u32 = 4;
 
-/// CPUs of a task.
+/// CPUs that each task uses.
 const TASK_CPUS: f64 = 2.0;
 
 impl Simulation {
-    /// How long the remaining of all work may take once all faults are over: what is left of it, on the capacity that the team's limit
-    /// or the machines give beside services, and as long as silence, leases, displaced work and waits may cost.
+    /// Returns the time within which all jobs have to settle after the end of all faults.
+    ///
+    /// The remaining run time of all tasks is divided by the number of tasks that can run beside the services, within the team's
+    /// limit or, if there is none, on the machines. Twice the longest run time and [`RECOVERY_TIME`] are added for silent
+    /// machines, leases, displaced tasks and waits.
     pub(crate) fn time_to_settle(&self) -> Duration {
         let (mut remaining, mut longest_run_time) = (Duration::ZERO, Duration::ZERO);
         let mut services = 0;
@@ -48,7 +52,7 @@
             + RECOVERY_TIME
     }
 
-    /// Runs until everything is settled; it is a violation if that takes longer.
+    /// Runs until all jobs have settled. Records a violation if they have not settled within a time.
     pub(crate) fn settle(&mut self, within: Duration) {
         let until = self.now() + within;
         loop {
@@ -64,7 +68,7 @@
         }
     }
 
-    /// After all faults: everything is settled, and no rule was violated.
+    /// Runs until all jobs have settled, and asserts that they did so in time and that no rule was violated.
     pub(crate) fn assert_settles(mut self) {
         self.settle(SETTLE_TIMEOUT);
         self.assert_no_violations();
@@ -77,7 +81,7 @@
             .collect()
     }
 
-    /// What is left to do for a job.
+    /// Returns a description of a job that has not settled, none if it has.
     fn describe_unsettled(&self, id: &str, job: &SubmittedJob) -> Option<String> {
         let live = self.store.contains(&store::live_key(id));
         let running = self.running_task_count(id);
@@ -90,7 +94,7 @@
         (!settled).then(|| format!("{id} live={live} running={running} done={done}"))
     }
 
-    /// Records what did not settle, with all that may tell why.
+    /// Records jobs that did not settle as a violation, and prints the state of the cluster for the diagnosis.
     fn record_unsettled(&mut self, unsettled: &[String]) {
         let roles: Vec<Option<Role>> = self
             .nodes
@@ -103,7 +107,7 @@
             .collect();
         let machines = self.describe_workers();
         self.record_violation(format!(
-            "not settled: {unsettled:?}, {roles:?}, {machines:#?}"
+            "jobs did not settle: {unsettled:?}, leadership roles: {roles:?}, workers: {machines:#?}"
         ));
         if let Some(leader) = self.leader() {
             let scheduler = self.nodes[leader].running_controller().scheduler();
