--- a/src/controller/tests/simulation/cloud.rs
+++ b/src/controller/tests/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machines of one type in two zones, rented and released by the leader.
+//! The cloud: machines of one type in two zones, which the leader rents and releases.
 
 use super::workers::Worker;
 use super::{Simulation, NODES};
@@ -9,36 +9,39 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// The zones.
+/// The zones of the cloud.
 pub(super) const ZONES: [&str; 2] = ["a", "b"];
 
-/// Time between two of a leader's rounds with the cloud.
-const ROUND: Duration = Duration::from_millis(400);
+/// Time between two cloud rounds of the leader.
+const ROUND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time from the rental of a machine to its first heartbeat.
-const BOOT: Duration = Duration::from_secs(3);
+/// Time from the rental of a machine to the first heartbeat of its worker.
+const BOOT_TIME: Duration = Duration::from_secs(3);
 
-/// The cloud.
+/// The simulated cloud.
 pub(super) struct Cloud {
-    /// How many machines the leader is to keep.
-    target: u32,
-    /// Number of rentals so far.
-    rentals: u64,
+    /// Number of machines that the leader keeps rented.
+    target_machines: u32,
+    /// Number of rental requests so far. It numbers the machines and the rental records.
+    rental_count: u64,
 }
 
 impl Cloud {
-    /// A cloud of which the leader rents that many machines.
-    pub(super) fn new(target: u32) -> Cloud {
-        Cloud { target, rentals: 0 }
+    /// Creates a cloud from which the leader rents a number of machines.
+    pub(super) fn new(target_machines: u32) -> Cloud {
+        Cloud {
+            target_machines,
+            rental_count: 0,
+        }
     }
 
-    /// How many machines the leader is to keep.
-    pub(super) fn target(&self) -> u32 {
-        self.target
+    /// Returns the number of machines that the leader keeps rented.
+    pub(super) fn target_machines(&self) -> u32 {
+        self.target_machines
     }
 }
 
-/// The only machine type.
+/// Returns the only machine type.
 pub(super) fn machine_type() -> MachineType {
     MachineType {
         name: "m8".into(),
@@ -65,25 +68,25 @@
 }
 
 impl Simulation {
-    /// A leader's round with the cloud: machines that went silent are released, missing ones rented.
+    /// Runs a cloud round of the leader: releases silent machines, and rents one if there are fewer than the target.
     pub(super) fn cloud_round(&mut self, node: usize) {
         let now = self.now();
         if now < self.nodes[node].next_cloud_round_at || self.faults.cloud_down {
             return;
         }
-        self.nodes[node].next_cloud_round_at = now + ROUND;
-        let Some(epoch) = self.nodes[node].running().write_guard() else {
+        self.nodes[node].next_cloud_round_at = now + ROUND_INTERVAL;
+        let Some(epoch) = self.nodes[node].running_controller().write_guard() else {
             return;
         };
         self.release_machines(node);
-        if self.workers.len() < self.cloud.target as usize {
+        if self.workers.len() < self.cloud.target_machines as usize {
             self.rent_machine(node, &epoch);
         }
     }
 
-    /// Releases the machines that are silent for too long or that the scheduler gives back.
+    /// Releases the machines that have been silent for too long and the other ones that the scheduler wants to release.
     fn release_machines(&mut self, node: usize) {
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         let policy = ScalingPolicy::new(controller.settings());
         let scheduler = controller.scheduler_mut().unwrap();
         release_silent_machines(scheduler, &policy);
@@ -94,10 +97,11 @@
         }
     }
 
-    /// Rents a machine in the zone that has fewer.
+    /// Rents a machine in the zone with fewer machines. No machine is added if the write of the rental record fails or is not
+    /// answered.
     fn rent_machine(&mut self, node: usize, epoch: &Guard) {
-        self.cloud.rentals += 1;
-        let number = self.cloud.rentals;
+        self.cloud.rental_count += 1;
+        let number = self.cloud.rental_count;
         let machine = format!("n-{number:04}");
         let in_first_zone = self
             .workers
@@ -116,14 +120,14 @@
             spot: false,
         };
         self.nodes[node]
-            .leading_mut()
+            .leader_scheduler_mut()
             .add_machine(&machine, hardware, Origin::Rented);
         self.boot(machine, zone);
     }
 
-    /// A machine boots; its worker reports to any controller first.
+    /// Boots a machine. Its worker sends the first heartbeat to a random controller.
     fn boot(&mut self, machine: String, zone: &str) {
-        let up_at = self.now() + BOOT;
+        let up_at = self.now() + BOOT_TIME;
         let first_node = self.rng.gen_range(0..NODES);
         let worker = Worker::booting(zone, first_node, up_at);
         self.workers.insert(machine, worker);
--- a/src/controller/tests/simulation/cluster/dispatch.rs
+++ b/src/controller/tests/simulation/cluster/dispatch.rs
@@ -1,4 +1,4 @@
-//! Scheduling rounds, and the sending of direct commands to workers.
+//! Scheduling rounds, and the sending of their direct commands to workers.
 
 use super::super::network::{Dispatch, Message, DIRECT_TIMEOUT};
 use super::super::{Simulation, STEP};
@@ -9,14 +9,14 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// What is sent in a round.
+/// Limits on the number of messages per round.
 const SEND_LIMITS: SendLimits = SendLimits {
     messages: 16,
     probes: 8,
 };
 
-/// Longest delay of direct commands.
-const LONGEST_COMMAND_DELAY_MS: u64 = 20_000;
+/// Upper bound of the random delay of direct commands.
+const MAX_COMMAND_DELAY_MS: u64 = 20_000;
 
 fn starts_tasks(direct: &DirectCommands) -> bool {
     direct
@@ -26,9 +26,9 @@
 }
 
 impl Simulation {
-    /// A scheduling round of a leader: decides, and sends what was decided.
+    /// Runs a scheduling round of a controller and sends its direct commands, immediately or after a delay that a fault causes.
     pub(super) fn scheduling_round(&mut self, node: usize) {
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         let sends = match controller.run_scheduling_round(SEND_LIMITS) {
             RoundOutcome::Send(sends) => sends,
             RoundOutcome::Idle => return,
@@ -37,7 +37,7 @@
         let starts = sends.iter().any(starts_tasks);
         let (incarnation, term) = (
             self.nodes[node].incarnation,
-            self.nodes[node].running().term(),
+            self.nodes[node].running_controller().term(),
         );
         let dispatch = |direct| Dispatch {
             node,
@@ -63,19 +63,21 @@
         }
     }
 
-    /// Direct commands leave their controller; some are delayed on their way, which may be longer than it waits for the answer.
+    /// Sends direct commands. Some are delayed in the network, possibly for longer than the controller waits for the response.
     pub(in super::super) fn send_commands(&mut self, dispatches: Vec<Dispatch>) {
         for dispatch in dispatches {
-            self.record_sent_commands(&dispatch.direct.commands);
-            let delayed_commands = self.faults.delayed_commands;
-            let delay = if delayed_commands > 0.0 && self.rng.gen_bool(delayed_commands) {
-                let shortest_ms = whole_millis(self.faults.command_delay);
-                Duration::from_millis(self.rng.gen_range(shortest_ms..LONGEST_COMMAND_DELAY_MS))
+            self.check_sent_commands(&dispatch.direct.commands);
+            let command_delay_probability = self.faults.command_delay_probability;
+            let delay = if command_delay_probability > 0.0
+                && self.rng.gen_bool(command_delay_probability)
+            {
+                let min_delay_ms = whole_millis(self.faults.min_command_delay);
+                Duration::from_millis(self.rng.gen_range(min_delay_ms..MAX_COMMAND_DELAY_MS))
             } else {
                 STEP
             };
             if delay >= DIRECT_TIMEOUT {
-                self.lose_direct_answer(DIRECT_TIMEOUT, dispatch.clone());
+                self.schedule_direct_timeout(DIRECT_TIMEOUT, dispatch.clone());
             }
             let sent_at = self.now();
             self.send(delay, Message::DirectCommands { dispatch, sent_at });
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -1,4 +1,4 @@
-//! Elections and the leader lease.
+//! Elections, and renewals of the leader lease.
 
 use super::super::Simulation;
 use crate::coordination::leadership::{Authority, LeadershipEvent, Term};
@@ -6,16 +6,16 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time between two renewals of a leader lease.
+/// Time between two renewals of the leader lease.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// After a lost election a controller waits for so long.
+/// Time for which a controller does not campaign after it lost an election.
 const LOST_ELECTION_BACKOFF: Duration = Duration::from_millis(200);
 
-/// A controller that has stepped down does not campaign for so long.
+/// Time for which a controller does not campaign after it stepped down.
 const STEP_DOWN_BACKOFF: Duration = Duration::from_secs(10);
 
-/// An epoch that was won; its leader begins once its replica shows the claim.
+/// An epoch that a controller has won but not started yet.
 #[derive(Clone, Copy)]
 pub(super) struct ClaimedEpoch {
     epoch: Epoch,
@@ -25,21 +25,21 @@
 }
 
 impl Simulation {
-    /// Campaigns, begins an epoch, or renews the leader lease.
+    /// Starts a claimed epoch, renews the leader lease, or campaigns.
     pub(super) fn drive_leadership(&mut self, node: usize) {
         if let Some(claimed) = self.nodes[node].claimed_epoch {
             self.begin_epoch(node, claimed);
-        } else if let Some(term) = self.nodes[node].running().term() {
+        } else if let Some(term) = self.nodes[node].running_controller().term() {
             self.renew_leader_lease(node, term);
         } else if self.may_campaign(node) {
             self.campaign(node);
         }
     }
 
-    /// A new leader begins once its replica shows its own claim.
+    /// Starts a claimed epoch once the replica contains the claim. Ends the term if that does not happen in time.
     fn begin_epoch(&mut self, node: usize, claimed: ClaimedEpoch) {
         let now = self.now();
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         if controller.replica().revision >= claimed.version && controller.term().is_some() {
             controller.apply_leadership_event(LeadershipEvent::RevisionRead {
                 requested_at: claimed.sent_at,
@@ -53,6 +53,8 @@
         }
     }
 
+    /// Renews the leader lease once per [`RENEWAL_INTERVAL`]. Ends the term if the lease has ended, or if the store does not
+    /// answer and no authority is left. A leader without authority although its lease is renewed steps down: its replica lags.
     fn renew_leader_lease(&mut self, node: usize, term: Term) {
         let now = self.now();
         if now < self.nodes[node].next_renewal_at {
@@ -60,9 +62,9 @@
         }
         self.nodes[node].next_renewal_at = now + RENEWAL_INTERVAL;
         let revision = self.store.revision();
-        let answers = self.store.answers(node);
-        let controller = self.nodes[node].running_mut();
-        if !answers {
+        let available = self.store.is_available_to(node);
+        let controller = self.nodes[node].running_controller_mut();
+        if !available {
             if controller.authority() == Authority::None {
                 controller.apply_leadership_event(LeadershipEvent::TermEnded);
             }
@@ -83,22 +85,22 @@
     }
 
     fn may_campaign(&self, node: usize) -> bool {
-        self.store.answers(node) && self.nodes[node].running().may_campaign()
+        self.store.is_available_to(node) && self.nodes[node].running_controller().may_campaign()
     }
 
-    /// Claims the next epoch under a new lease.
+    /// Claims the next epoch under a new leader lease.
     fn campaign(&mut self, node: usize) {
         let now = self.now();
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         let ttl = controller.settings().operator.leader_lease();
         controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
         let lease = self.store.grant_lease(now, ttl);
-        let claim = self.nodes[node].running_mut().claim_epoch(lease);
+        let claim = self.nodes[node].running_controller_mut().claim_epoch(lease);
         let won = claim.and_then(|claim| match self.transact(node, &claim.txn) {
             Ok(TxnOutcome::Applied(version)) => Some((claim.record.number, version)),
             _ => None,
         });
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         if let Some((epoch, version)) = won {
             let term = Term {
                 epoch,
@@ -122,12 +124,12 @@
         }
     }
 
-    /// A leader steps down and ends its lease, if it can.
+    /// Makes a leader step down. Revokes its lease if the store answers it; otherwise the lease has to expire.
     pub(super) fn step_down(&mut self, node: usize) {
-        let controller = self.nodes[node].running_mut();
+        let controller = self.nodes[node].running_controller_mut();
         let lease = controller.term().map(|term| term.lease);
         controller.step_down(STEP_DOWN_BACKOFF);
-        if let Some(lease) = lease.filter(|_| self.store.answers(node)) {
+        if let Some(lease) = lease.filter(|_| self.store.is_available_to(node)) {
             self.store.revoke_lease(lease);
         }
     }
--- a/src/controller/tests/simulation/workers/commands.rs
+++ b/src/controller/tests/simulation/workers/commands.rs
@@ -1,7 +1,7 @@
-//! What a worker does with commands, whether they come in the answer to a heartbeat or directly.
+//! Execution of commands by a worker, whether they arrive directly or in the response to a heartbeat.
 
 use super::super::users::SubmittedJob;
-use super::{Attempt, Worker, CHANGE_HEARTBEAT};
+use super::{Attempt, Worker, CHANGE_HEARTBEAT_DELAY};
 use crate::protocol::{split_task, Command, ExitReason, JobKind, TaskState};
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
@@ -10,37 +10,43 @@
 /// CPUs of a machine.
 const MACHINE_CPUS: f64 = 8.0;
 
-/// CPUs of a task.
+/// CPUs that each task uses.
 const TASK_CPUS: f64 = 2.0;
 
-/// When a service's task ends.
+/// End of a service's task, which is never reached.
 const NEVER: Timestamp = Timestamp::from_millis(u64::MAX);
 
 impl Worker {
-    /// Executes commands.
+    /// Executes commands. Each one brings the next heartbeat forward.
     pub(in super::super) fn execute(
         &mut self,
         machine: &str,
         commands: &[Command],
         now: Timestamp,
-        image_fetch: Duration,
+        image_fetch_time: Duration,
         jobs: &BTreeMap<String, SubmittedJob>,
     ) {
         if !commands.is_empty() {
-            tracing::info!(now = now.as_millis(), machine, ?commands, "executes");
+            tracing::info!(
+                now = now.as_millis(),
+                machine,
+                ?commands,
+                "worker executes commands"
+            );
         }
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    self.start(task, *attempt, now + image_fetch, jobs);
+                    self.start(task, *attempt, now + image_fetch_time, jobs);
                 }
                 Command::Stop { task, attempt, .. } => self.stop(task, *attempt),
                 Command::Forget { task, attempt } => self.forget(task, *attempt),
             }
-            self.report_within(now, CHANGE_HEARTBEAT);
+            self.schedule_heartbeat_within(now, CHANGE_HEARTBEAT_DELAY);
         }
     }
 
+    /// Starts an attempt, or lists it as exited if the start is refused. A repeated start has no effect.
     fn start(
         &mut self,
         task: &str,
@@ -52,7 +58,7 @@
         if self.attempts.contains_key(&key) {
             return;
         }
-        let refusal = self.refusal_of(task);
+        let refusal = self.refusal_reason(task);
         let state = match refusal {
             Some(_) => TaskState::Exited,
             None => TaskState::Fetching,
@@ -67,8 +73,8 @@
         self.attempts.insert(key, started);
     }
 
-    /// Why a start of a task is refused.
-    fn refusal_of(&self, task: &str) -> Option<ExitReason> {
+    /// Returns the reason to refuse the start of a task: another attempt of it is active, or too few CPUs are free.
+    fn refusal_reason(&self, task: &str) -> Option<ExitReason> {
         let active = self.attempts.iter().filter(|(_, a)| !a.has_exited());
         if active.clone().any(|((other, _), _)| other == task) {
             return Some(ExitReason::ConflictingAttempt);
@@ -93,8 +99,8 @@
 }
 
 impl SubmittedJob {
-    /// When a task ends that begins at that time; a service's never does. One that has ended before ends at once.
-    fn end_of_task(&self, number: u32, begins_at: Timestamp) -> Option<Timestamp> {
+    /// Returns when a task that starts at `starts_at` ends: never for a service, and at once for a task that was done before.
+    fn end_of_task(&self, number: u32, starts_at: Timestamp) -> Option<Timestamp> {
         if self.spec.kind == JobKind::Service {
             return None;
         }
@@ -103,6 +109,6 @@
         } else {
             self.run_time_of(number)
         };
-        Some(begins_at + run_time)
+        Some(starts_at + run_time)
     }
 }
--- a/src/controller/tests/simulation/workers/mod.rs
+++ b/src/controller/tests/simulation/workers/mod.rs
@@ -1,7 +1,7 @@
-//! The workers: one for each machine, with a lease, agent incarnations (sessions), a fencing token and tasks.
+//! The workers: one for each machine, with a session, a lease, a fencing token and task attempts.
 //!
-//! A worker has one heartbeat in flight. It ends its tasks and begins a new session when no answer has renewed its lease in
-//! time. [`delivery`](super::delivery) hands it what arrives, and [`commands`] executes the commands.
+//! A worker has at most one heartbeat in flight. If no response has renewed its lease in time, it kills its tasks and begins a
+//! new session. [`delivery`](super::delivery) delivers messages to it, and [`commands`] executes its commands.
 
 mod commands;
 
@@ -18,44 +18,46 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Length of a worker's lease; as in the tests' settings.
-pub(crate) const LEASE: Duration = Duration::from_secs(12);
+/// Time to live of a worker's lease: `lease_s` of the tests' settings.
+pub(crate) const WORKER_LEASE: Duration = Duration::from_secs(12);
 
-/// Bounds of the time between two heartbeats.
+/// Range of the time between two heartbeats, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: std::ops::Range<u64> = 1100..1900;
 
-/// Longest time until the heartbeat after a change.
-const CHANGE_HEARTBEAT: Duration = Duration::from_millis(500);
+/// Maximum time from a change on the worker to its next heartbeat.
+const CHANGE_HEARTBEAT_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest time until the heartbeat after the exit of a task.
-const EXIT_HEARTBEAT: Duration = Duration::from_millis(100);
+/// Maximum time from the exit of a task to the next heartbeat.
+const EXIT_HEARTBEAT_DELAY: Duration = Duration::from_millis(100);
 
-/// Time until a worker turns to the leader that was named to it.
-const REDIRECT: Duration = Duration::from_millis(300);
+/// Delay before a worker that was redirected to the leader sends it a heartbeat.
+const REDIRECT_DELAY: Duration = Duration::from_millis(300);
 
-/// A heartbeat that is delayed for longer gets no answer, since its worker has given up waiting.
-const UNANSWERED_DELAY: Duration = Duration::from_secs(4);
+/// Maximum delay of a heartbeat that is answered. After a longer delay, the worker no longer waits for the response.
+const MAX_ANSWERED_DELAY: Duration = Duration::from_secs(4);
 
-/// Bounds of the delay of a duplicated heartbeat.
+/// Range of the delay of a duplicate heartbeat, in milliseconds.
 const DUPLICATE_DELAY_MS: std::ops::Range<u64> = 2000..20_000;
 
-/// Time until a worker turns to another controller.
-const RETRY: Duration = Duration::from_secs(1);
+/// Delay before a worker tries another controller.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A task and its attempt.
+/// Name of a task, `job/number`, and number of the attempt to run it.
 type AttemptKey = (String, u64);
 
-/// An attempt of a task on a machine.
+/// An attempt to run a task on this machine.
 #[derive(Clone)]
 pub(super) struct Attempt {
     pub state: TaskState,
     pub reason: Option<ExitReason>,
+    /// Time at which the image is fetched and the task starts to run.
     ready_at: Timestamp,
+    /// Time at which the task is done.
     ends_at: Timestamp,
 }
 
 impl Attempt {
-    /// Whether the task's own program runs.
+    /// Reports whether the program of the task is running.
     pub(super) fn is_running(&self) -> bool {
         matches!(self.state, TaskState::Running | TaskState::Saving)
     }
@@ -65,32 +67,32 @@
     }
 }
 
-/// A machine and its worker.
+/// The worker of a machine.
 pub(crate) struct Worker {
     pub(super) zone: String,
     pub(super) token: FencingToken,
     pub(super) session: u64,
-    /// Number of heartbeats made.
+    /// Sequence number of the newest heartbeat or response to direct commands.
     pub(super) sequence: u64,
     lease_renewed_at: Timestamp,
     pub(super) attempts: BTreeMap<AttemptKey, Attempt>,
-    /// The controller to which it reports.
+    /// Controller to which the worker sends its heartbeats.
     pub(super) node: usize,
     next_heartbeat_at: Timestamp,
-    /// When the heartbeat that is in flight was sent.
-    pub(super) awaiting_answer_since: Option<Timestamp>,
-    /// Until when its process hangs.
+    /// Time at which the heartbeat in flight was sent.
+    pub(super) awaiting_response_since: Option<Timestamp>,
+    /// Time until which the worker hangs.
     pub hung_until: Timestamp,
-    /// Until when nothing reaches it.
-    pub deaf_until: Timestamp,
-    /// Until when its heartbeats get lost.
-    pub mute_until: Timestamp,
-    /// The next heartbeat is delayed for so long.
-    pub delay_next_heartbeat: Duration,
+    /// Time until which messages to the worker are lost.
+    pub inbound_dropped_until: Timestamp,
+    /// Time until which the worker's heartbeats are lost.
+    pub heartbeats_dropped_until: Timestamp,
+    /// Additional delay of the next heartbeat in the network.
+    pub next_heartbeat_delay: Duration,
 }
 
 impl Worker {
-    /// A worker that begins to report at that time.
+    /// Creates the worker of a machine that boots. It sends its first heartbeat, to `node`, at `up_at`.
     pub(super) fn booting(zone: &str, node: usize, up_at: Timestamp) -> Worker {
         Worker {
             zone: zone.into(),
@@ -101,15 +103,15 @@
             attempts: BTreeMap::new(),
             node,
             next_heartbeat_at: up_at,
-            awaiting_answer_since: None,
+            awaiting_response_since: None,
             hung_until: Timestamp::ZERO,
-            deaf_until: Timestamp::ZERO,
-            mute_until: Timestamp::ZERO,
-            delay_next_heartbeat: Duration::ZERO,
+            inbound_dropped_until: Timestamp::ZERO,
+            heartbeats_dropped_until: Timestamp::ZERO,
+            next_heartbeat_delay: Duration::ZERO,
         }
     }
 
-    /// Makes the next heartbeat.
+    /// Returns the next heartbeat.
     pub(super) fn next_heartbeat(&mut self, machine: &str) -> WorkerStatus {
         self.sequence += 1;
         let status = |((task, attempt), state): (&AttemptKey, &Attempt)| TaskStatus {
@@ -133,13 +135,15 @@
         }
     }
 
-    fn report_within(&mut self, now: Timestamp, delay: Duration) {
+    /// Moves the next heartbeat forward so that it is sent within `delay`.
+    fn schedule_heartbeat_within(&mut self, now: Timestamp, delay: Duration) {
         self.next_heartbeat_at = self.next_heartbeat_at.min(now + delay);
     }
 
-    /// Ends the session if the lease has expired, also while the process hangs: it goes on within its lease only.
+    /// Kills all tasks and begins a new session if the lease has expired, even while the worker hangs: no task may run beyond the
+    /// lease.
     fn expire_lease(&mut self, machine: &str, now: Timestamp) {
-        if now <= self.lease_renewed_at + LEASE {
+        if now <= self.lease_renewed_at + WORKER_LEASE {
             return;
         }
         let (session, tasks) = (self.session, self.attempts.len());
@@ -148,15 +152,15 @@
             machine,
             session,
             tasks,
-            "worker lease expired"
+            "worker lease expired, its tasks were killed and a new session begins"
         );
         self.attempts.clear();
         self.session += 1;
         self.lease_renewed_at = now;
-        self.awaiting_answer_since = None;
+        self.awaiting_response_since = None;
     }
 
-    /// The tasks of a worker that hangs stand still.
+    /// Delays all attempts by a step: tasks make no progress while their worker hangs.
     fn stall_attempts(&mut self) {
         for attempt in self.attempts.values_mut() {
             attempt.ready_at += STEP;
@@ -164,18 +168,18 @@
         }
     }
 
-    /// Lets tasks begin and end; returns those that began.
+    /// Starts the tasks whose images are fetched and ends those that are done. Returns the started ones.
     fn advance_attempts(
         &mut self,
         now: Timestamp,
         jobs: &mut BTreeMap<String, SubmittedJob>,
     ) -> Vec<String> {
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         let mut ended = false;
         for ((task, _), attempt) in &mut self.attempts {
             if attempt.state == TaskState::Fetching && now >= attempt.ready_at {
                 attempt.state = TaskState::Running;
-                begun.push(task.clone());
+                started.push(task.clone());
             }
             if attempt.state == TaskState::Running && now >= attempt.ends_at {
                 (attempt.state, attempt.reason) = (TaskState::Exited, Some(ExitReason::Done));
@@ -185,38 +189,38 @@
             }
         }
         if ended {
-            self.report_within(now, EXIT_HEARTBEAT);
+            self.schedule_heartbeat_within(now, EXIT_HEARTBEAT_DELAY);
         }
-        begun
+        started
     }
 
-    /// Turns to the next controller if the heartbeat in flight was not answered in time.
-    fn give_up_waiting(&mut self, now: Timestamp) {
+    /// Switches to the next controller if the response to the heartbeat in flight is overdue.
+    fn time_out_heartbeat(&mut self, now: Timestamp) {
         let expired = |sent_at: Timestamp| now > sent_at + HEARTBEAT_TIMEOUT;
-        if self.awaiting_answer_since.is_some_and(expired) {
-            self.awaiting_answer_since = None;
+        if self.awaiting_response_since.is_some_and(expired) {
+            self.awaiting_response_since = None;
             self.node = (self.node + 1) % NODES;
-            self.next_heartbeat_at = now + RETRY;
+            self.next_heartbeat_at = now + RETRY_DELAY;
         }
     }
 
-    /// Takes the answer to a heartbeat; returns the commands that are to be executed.
-    pub(super) fn take_answer(
+    /// Handles the response to a heartbeat. Returns the commands to execute, if the response renewed the lease.
+    pub(super) fn handle_response(
         &mut self,
         now: Timestamp,
         sent_at: Timestamp,
         node: usize,
-        answer: HeartbeatOutcome,
+        outcome: HeartbeatOutcome,
     ) -> Option<Vec<Command>> {
-        self.awaiting_answer_since = None;
-        match answer {
+        self.awaiting_response_since = None;
+        match outcome {
             HeartbeatOutcome::Reply(HeartbeatReply { token, commands }) => {
-                // An answer of an earlier leader is dropped.
+                // A lower token than the highest one seen belongs to an earlier leader.
                 if token < self.token {
                     return None;
                 }
                 if token > self.token {
-                    self.report_within(now, CHANGE_HEARTBEAT);
+                    self.schedule_heartbeat_within(now, CHANGE_HEARTBEAT_DELAY);
                 }
                 (self.token, self.lease_renewed_at, self.node) = (token, sent_at, node);
                 return Some(commands);
@@ -224,17 +228,23 @@
             HeartbeatOutcome::Redirect(leader) => {
                 let leader = leader.as_deref().and_then(super::cluster::node_index);
                 self.node = leader.unwrap_or((node + 1) % NODES);
-                self.next_heartbeat_at = now + if leader.is_some() { REDIRECT } else { RETRY };
+                self.next_heartbeat_at = now
+                    + if leader.is_some() {
+                        REDIRECT_DELAY
+                    } else {
+                        RETRY_DELAY
+                    };
             }
             HeartbeatOutcome::NoLeader => {
                 self.node = (node + 1) % NODES;
-                self.next_heartbeat_at = now + RETRY;
+                self.next_heartbeat_at = now + RETRY_DELAY;
             }
         }
         None
     }
 
-    /// Takes the fencing token of direct commands; false if they are void, since a newer one is known or the session has ended.
+    /// Adopts the fencing token of direct commands. Returns false if they must not be executed: a higher token was seen, or they
+    /// are meant for another session.
     pub(super) fn accept_token(&mut self, token: FencingToken, session: u64) -> bool {
         let valid = token >= self.token && session == self.session;
         if valid {
@@ -245,50 +255,58 @@
 }
 
 impl Simulation {
-    /// One step of a worker.
+    /// Runs one step of a worker.
     pub(super) fn step_worker(&mut self, machine: &str) {
         let now = self.now();
-        // Drawn in every step, whether it is used or not: the order of draws is part of what a seed means.
+        // Drawn in every step, even if it is not used: a conditional draw would change the run that each seed produces.
         let interval = Duration::from_millis(self.rng.gen_range(HEARTBEAT_INTERVAL_MS));
         let worker = self.workers.get_mut(machine).unwrap();
         worker.expire_lease(machine, now);
         if now < worker.hung_until {
             return worker.stall_attempts();
         }
-        let begun = worker.advance_attempts(now, &mut self.jobs);
-        worker.give_up_waiting(now);
-        if worker.awaiting_answer_since.is_none() && now >= worker.next_heartbeat_at {
+        let started = worker.advance_attempts(now, &mut self.jobs);
+        worker.time_out_heartbeat(now);
+        if worker.awaiting_response_since.is_none() && now >= worker.next_heartbeat_at {
             worker.next_heartbeat_at = now + interval;
             self.send_heartbeat(machine);
         }
-        for task in &begun {
-            self.check_begun_task(machine, task);
+        for task in &started {
+            self.check_started_task(machine, task);
         }
     }
 
-    /// Sends a worker's heartbeat to its controller, perhaps with a delay, perhaps twice, perhaps not at all.
+    /// Sends a worker's heartbeat to its controller. Depending on the faults in effect, it is lost, delayed or duplicated.
     fn send_heartbeat(&mut self, machine: &str) {
         let now = self.now();
         let worker = self.workers.get_mut(machine).unwrap();
-        worker.awaiting_answer_since = Some(now);
+        worker.awaiting_response_since = Some(now);
         let node = worker.node;
-        let lost = now < worker.mute_until || !self.faults.node_reaches_zone(node, &worker.zone);
-        let delay = std::mem::take(&mut worker.delay_next_heartbeat);
+        let lost = now < worker.heartbeats_dropped_until
+            || !self.faults.node_reaches_zone(node, &worker.zone);
+        let delay = std::mem::take(&mut worker.next_heartbeat_delay);
         let report = worker.next_heartbeat(machine);
         if lost {
             return;
         }
-        let duplicated = self.faults.duplicated_heartbeats;
+        let duplicated = self.faults.heartbeat_duplicate_probability;
         if duplicated > 0.0 && self.rng.gen_bool(duplicated) {
             let delay = Duration::from_millis(self.rng.gen_range(DUPLICATE_DELAY_MS));
             let duplicate = Message::Heartbeat {
                 node: self.rng.gen_range(0..NODES),
                 report: report.clone(),
-                copy: true,
+                response_discarded: true,
             };
             self.send(delay, duplicate);
         }
-        let copy = delay > UNANSWERED_DELAY;
-        self.send(STEP + delay, Message::Heartbeat { node, report, copy });
+        let response_discarded = delay > MAX_ANSWERED_DELAY;
+        self.send(
+            STEP + delay,
+            Message::Heartbeat {
+                node,
+                report,
+                response_discarded,
+            },
+        );
     }
 }
