--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -1,22 +1,22 @@
-//! A scheduler with scripted workers.
+//! A scheduler with a fake clock and scripted workers.
 
 use super::*;
 
-/// A scheduler of epoch 5, at time 1000.
+/// A scheduler of [`EPOCH`] whose clock starts at 1000 ms, and the state of the scripted workers.
 pub(super) struct Cluster {
     pub(super) scheduler: Scheduler,
-    /// The sequence number of the last heartbeat.
+    /// Sequence number of the last heartbeat of any machine.
     sequence: u64,
 }
 
 impl Cluster {
-    /// A cluster without machines, whose teams have no limits.
+    /// Creates a cluster without machines, whose teams have no limits.
     pub(super) fn new() -> Cluster {
-        Cluster::with(u64::MAX)
+        Cluster::with_cpu_limit(u64::MAX)
     }
 
-    /// A cluster without machines, whose teams may use that many thousandths of CPUs.
-    pub(super) fn with(limit: u64) -> Cluster {
+    /// Creates a cluster without machines, in which each team may use this many thousandths of CPUs.
+    pub(super) fn with_cpu_limit(cpu_limit_milli: u64) -> Cluster {
         let team = |name: &str, guarantee| TeamQuota {
             name: name.into(),
             guarantee: QuotaResources {
@@ -24,14 +24,14 @@
                 accelerator_milli: 0,
             },
             limit: QuotaResources {
-                cpu_milli: limit,
+                cpu_milli: cpu_limit_milli,
                 ..QuotaResources::UNLIMITED
             },
         };
         let params = Params {
-            lease: ms(LEASE),
+            lease: ms(LEASE_MS),
             heartbeat_interval: ms(1500),
-            grace_period: ms(GRACE),
+            grace_period: ms(GRACE_PERIOD_MS),
             group_factor: 1.25,
             fetch_gb_per_s: 0.1,
             transfer_test: true,
@@ -39,7 +39,7 @@
             finish_within: HashMap::new(),
         };
         let mut scheduler = Scheduler::new(params, EPOCH, 1000);
-        let kind = MachineType {
+        let machine_type = MachineType {
             name: "m8".into(),
             cpus: 8.0,
             gpus: 0.0,
@@ -51,14 +51,14 @@
             boot_s: 30.0,
             zones: vec!["a".into(), "b".into()],
         };
-        scheduler.update_machine_types(&[kind]);
+        scheduler.update_machine_types(&[machine_type]);
         Cluster {
             scheduler,
             sequence: 0,
         }
     }
 
-    /// Adds a job.
+    /// Adds a job whose record has this version.
     pub(super) fn submit(&mut self, spec: JobSpec, version: u64) {
         self.scheduler.add_job(
             LiveRecord { spec, at_ms: 0 },
@@ -69,7 +69,7 @@
         );
     }
 
-    /// A machine of this epoch, up.
+    /// Adds a machine that was rented in this epoch and is up.
     pub(super) fn add_machine(&mut self, name: &str, zone: &str) {
         self.scheduler.add_machine(
             name,
@@ -84,7 +84,7 @@
         self.heartbeat_with_token(name, first_token(EPOCH), &[]);
     }
 
-    /// A machine that was rented before this epoch.
+    /// Adds a machine that was rented in an earlier epoch and has not sent a heartbeat in this one.
     pub(super) fn inherit_machine(&mut self, name: &str) {
         self.scheduler.add_machine(
             name,
@@ -97,9 +97,9 @@
         );
     }
 
-    /// Replays a start log of earlier epochs: machine, task, attempt.
-    pub(super) fn replay(&mut self, lines: &[(&str, &str, u64)]) {
-        let slots: Vec<String> = lines
+    /// Replays a start log of earlier epochs, one slot for each entry of machine, task and attempt number.
+    pub(super) fn replay(&mut self, entries: &[(&str, &str, u64)]) {
+        let slots: Vec<String> = entries
             .iter()
             .map(|(machine, task, attempt)| {
                 let (job, number) = task.split_once('/').unwrap();
@@ -114,26 +114,26 @@
         self.scheduler.replay_start_log(slots);
     }
 
-    /// Makes the entries of assigned starts durable.
+    /// Makes the start-log entries of all assigned tasks durable.
     pub(super) fn write_start_log(&mut self) {
         while let Some(write) = self.scheduler.next_log_write(8000, 60) {
             self.scheduler.log_write_applied(write, Revision::new(200));
         }
     }
 
-    /// The next heartbeat of a machine.
-    pub(super) fn report(
+    /// Returns the next status of a machine's worker, as its heartbeats and its responses to direct commands carry it.
+    pub(super) fn next_status(
         &mut self,
         machine: &str,
         token: FencingToken,
-        tasks: &[TaskLine],
+        tasks: &[ReportedTask],
     ) -> WorkerStatus {
         self.sequence += 1;
         let zone = self
             .scheduler
             .machine_index(machine)
             .map(|i| self.scheduler.zone_name(self.scheduler.machine(i).zone()));
-        let lines = tasks
+        let statuses = tasks
             .iter()
             .map(|(task, attempt, state, reason)| TaskStatus {
                 task: (*task).into(),
@@ -152,76 +152,76 @@
             sequence: self.sequence,
             token,
             eviction_notice_s: None,
-            tasks: lines.collect(),
+            tasks: statuses.collect(),
         }
     }
 
-    /// Handles a heartbeat, after a scheduling pass whose starts are durable; returns the commands of the reply.
-    pub(super) fn handle(&mut self, r: &WorkerStatus) -> Vec<Command> {
+    /// Runs a scheduling pass, makes its starts durable, then handles a heartbeat. Returns the commands of the reply.
+    pub(super) fn handle_after_pass(&mut self, status: &WorkerStatus) -> Vec<Command> {
         self.scheduler.place();
         self.write_start_log();
         match self
             .scheduler
-            .handle_heartbeat(r, HeartbeatSource::Request { may_start: true })
+            .handle_heartbeat(status, HeartbeatSource::Request { may_start: true })
         {
             HeartbeatDecision::Reply(reply) => reply.commands,
             other => panic!("{other:?}"),
         }
     }
 
-    /// The reply to an empty heartbeat of a machine, without a scheduling pass before.
+    /// Handles a heartbeat that lists no tasks, without a scheduling pass before, and returns the decision on it.
     pub(super) fn reply_without_pass(&mut self, machine: &str) -> HeartbeatDecision {
-        let heartbeat = self.report(machine, first_token(EPOCH), &[]);
+        let status = self.next_status(machine, first_token(EPOCH), &[]);
         self.scheduler
-            .handle_heartbeat(&heartbeat, HeartbeatSource::Request { may_start: true })
+            .handle_heartbeat(&status, HeartbeatSource::Request { may_start: true })
     }
 
-    /// A machine sends a heartbeat.
+    /// Handles the next heartbeat of a machine after a scheduling pass. Returns the commands of the reply.
     pub(super) fn heartbeat_with_token(
         &mut self,
         machine: &str,
         token: FencingToken,
-        tasks: &[TaskLine],
+        tasks: &[ReportedTask],
     ) -> Vec<Command> {
-        let r = self.report(machine, token, tasks);
-        self.handle(&r)
+        let status = self.next_status(machine, token, tasks);
+        self.handle_after_pass(&status)
     }
 
-    /// A machine sends a heartbeat under the current token.
-    pub(super) fn heartbeat(&mut self, machine: &str, tasks: &[TaskLine]) -> Vec<Command> {
+    /// Handles the next heartbeat of a machine under the first token of the epoch. Returns the commands of the reply.
+    pub(super) fn heartbeat(&mut self, machine: &str, tasks: &[ReportedTask]) -> Vec<Command> {
         self.heartbeat_with_token(machine, first_token(EPOCH), tasks)
     }
 
-    /// A machine responds to direct commands with these tasks.
-    pub(super) fn respond(&mut self, sent: &DirectCommands, tasks: &[TaskLine]) {
-        let response = self.report(&sent.machine, first_token(EPOCH), tasks);
+    /// Handles a machine's response to direct commands, which lists these tasks.
+    pub(super) fn respond(&mut self, sent: &DirectCommands, tasks: &[ReportedTask]) {
+        let response = self.next_status(&sent.machine, first_token(EPOCH), tasks);
         self.scheduler.handle_direct_response(sent, Some(&response));
     }
 
-    /// Machines that are unresponsive, by the times that the controller uses.
+    /// Returns the machines that are unresponsive by a silence limit of 5 s, or 40 s in a zone with an outage.
     pub(super) fn unresponsive_machines(&mut self) -> Vec<MachineIndex> {
         self.scheduler.unresponsive_machines(ms(5000), ms(40_000))
     }
 
-    /// How many tasks find no machine.
+    /// Returns the number of tasks for which no machine is available or booting.
     pub(super) fn unmet_tasks(&mut self) -> u32 {
         let demands = self.scheduler.unmet_demand(false);
         demands.iter().map(|demand| demand.tasks).sum()
     }
 
-    /// CPUs in thousandths that a team uses.
+    /// Returns the CPUs that a team uses, in thousandths.
     pub(super) fn cpu_milli_in_use(&self, team: &str) -> u64 {
         let quotas = &self.scheduler.quotas;
         quotas.in_use(quotas.team(team).unwrap()).cpu_milli
     }
 
-    /// CPUs in thousandths of a team that are being evicted.
+    /// Returns the CPUs of a team's tasks that are being stopped, in thousandths.
     pub(super) fn cpu_milli_being_evicted(&self, team: &str) -> u64 {
         let quotas = &self.scheduler.quotas;
         quotas.being_evicted(quotas.team(team).unwrap()).cpu_milli
     }
 
-    /// Lets time pass tick by tick, as a controller does whose process does not pause.
+    /// Advances the clock in ticks of at most 500 ms, so that the scheduler detects no pause of its process.
     pub(super) fn advance_to(&mut self, now: u64) {
         while self.scheduler.now().as_millis() + 500 < now {
             self.scheduler.tick(self.scheduler.now().as_millis() + 500);
@@ -229,7 +229,7 @@
         self.scheduler.tick(now);
     }
 
-    /// Moves the clock and runs a round of the leader: a scheduling pass whose starts are durable.
+    /// Advances the clock in one tick, then runs a scheduling pass and makes its starts durable.
     pub(super) fn run_round(&mut self, now: u64) {
         self.scheduler.tick(now);
         self.scheduler.request_pass();
--- a/src/scheduler/tests/describe.rs
+++ b/src/scheduler/tests/describe.rs
@@ -1,37 +1,37 @@
-//! The state of a scheduler as text, for tests that fail.
+//! A text form of the scheduler's state, printed by tests that fail.
 
 use super::*;
 
 impl Scheduler {
-    /// What a test wants to see of a scheduler that does not do what it should.
+    /// Returns the state of machines, jobs, quotas and start log as text.
     #[must_use]
     pub fn describe(&self) -> String {
-        let machine = |(i, m): (MachineIndex, &Machine)| {
+        let machine = |(i, machine): (MachineIndex, &Machine)| {
             format!(
-                "{} {} {:?} zone {} current {} heard {} answer {} direct {} room {:?} tasks {:?} before {}\n",
+                "machine {} {} {:?} zone {} token acknowledged {} acknowledged at {} lease renewed at {} direct in flight {} free {:?} tasks {:?} backoff until {}\n",
                 i.position(),
-                m.name(),
-                m.state(),
-                m.zone().position(),
-                m.contact.acknowledges_token(),
-                m.contact.acknowledged_at().as_millis(),
-                m.lease.renewed_at().as_millis(),
-                m.commands.is_direct_in_flight(),
-                m.load.free(),
-                m.load.tasks(),
-                m.health.backoff_until().as_millis()
+                machine.name(),
+                machine.state(),
+                machine.zone().position(),
+                machine.contact.acknowledges_token(),
+                machine.contact.acknowledged_at().as_millis(),
+                machine.lease.renewed_at().as_millis(),
+                machine.commands.is_direct_in_flight(),
+                machine.load.free(),
+                machine.load.tasks(),
+                machine.health.backoff_until().as_millis()
             )
         };
-        let job = |j: &Job| {
+        let job = |job: &Job| {
             format!(
-                "{} ended {} pending {} zones {:?} active {:?} before {} turn {:?}\n",
-                j.record.spec.id,
-                j.cancelled,
-                j.pending(),
-                j.active_by_zone,
-                j.active,
-                j.retry_at,
-                j.record.spec.single_zone
+                "job {} cancelled {} pending {} active by zone {:?} active {:?} retry at {} single zone {:?}\n",
+                job.record.spec.id,
+                job.cancelled,
+                job.pending(),
+                job.active_by_zone,
+                job.active,
+                job.retry_at,
+                job.record.spec.single_zone
             )
         };
         let machines: String = self.machines().map(machine).collect();
--- a/src/scheduler/tests/direct_commands.rs
+++ b/src/scheduler/tests/direct_commands.rs
@@ -65,7 +65,7 @@
             grace_s: 0.0,
         }],
     };
-    let answer = cluster.report("n-1", first_token(EPOCH), &[]);
+    let answer = cluster.next_status("n-1", first_token(EPOCH), &[]);
     cluster
         .scheduler
         .handle_direct_response(&sent, Some(&answer));
@@ -94,7 +94,7 @@
     let line = |state, reason| [(got[0].0.as_str(), got[0].1, state, reason)];
     cluster.respond(&sent[0], &line(TaskState::Running, None));
     cluster.scheduler.stop_job("wk-1");
-    let r = cluster.report(
+    let r = cluster.next_status(
         "n-1",
         first_token(EPOCH),
         &line(TaskState::Exited, Some(ExitReason::Stopped)),
@@ -162,8 +162,8 @@
     // Every report is overtaken by the answer to a probe. It is as old as its tasks, but its worker waits for the answer
     // and counts its lease from it: taken for run out, the task was once started a second time.
     for s in 1..10u64 {
-        let overtaken = cluster.report("n-1", first_token(EPOCH), &line);
-        let answer = cluster.report("n-1", first_token(EPOCH), &line);
+        let overtaken = cluster.next_status("n-1", first_token(EPOCH), &line);
+        let answer = cluster.next_status("n-1", first_token(EPOCH), &line);
         cluster.scheduler.advance_clock(2000 + s * 1500);
         cluster.scheduler.handle_direct_response(
             &DirectCommands {
@@ -172,7 +172,7 @@
             },
             Some(&answer),
         );
-        cluster.handle(&overtaken);
+        cluster.handle_after_pass(&overtaken);
         cluster.scheduler.tick(2000 + s * 1500);
     }
     assert_eq!(
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -86,8 +86,8 @@
     let mut stopped = Vec::new();
     while let Some(sent) = cluster.scheduler.direct_commands(9).pop() {
         assert!(sent.commands.len() <= 300);
-        stopped.push(stops(&sent.commands));
-        let answer = cluster.report("n-1", first_token(EPOCH), &as_running(&running));
+        stopped.push(count_stops(&sent.commands));
+        let answer = cluster.next_status("n-1", first_token(EPOCH), &as_running(&running));
         cluster
             .scheduler
             .handle_direct_response(&sent, Some(&answer));
@@ -122,7 +122,7 @@
         cluster.scheduler.place();
     }
     assert!(!cluster.scheduler.needs_pass());
-    let unchanged = cluster.report("n-1", first_token(EPOCH), &as_running(&start));
+    let unchanged = cluster.next_status("n-1", first_token(EPOCH), &as_running(&start));
     cluster
         .scheduler
         .handle_heartbeat(&unchanged, HeartbeatSource::Request { may_start: true });
@@ -134,7 +134,7 @@
         TaskState::Exited,
         Some(ExitReason::Done),
     )];
-    let report = cluster.report("n-1", first_token(EPOCH), &ended);
+    let report = cluster.next_status("n-1", first_token(EPOCH), &ended);
     cluster
         .scheduler
         .handle_heartbeat(&report, HeartbeatSource::Request { may_start: true });
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The scheduler under a fake clock, with scripted workers.
+//! Tests of the scheduler with a fake clock and scripted workers.
 
 mod booting;
 mod cluster;
@@ -32,14 +32,16 @@
     Timestamp::from_millis(millis)
 }
 
-/// The epoch of the scheduler.
+/// Epoch of the scheduler under test.
 const EPOCH: Epoch = Epoch::new(5);
 
-const LEASE: u64 = 12_000;
+/// Duration of a worker's lease in milliseconds.
+const LEASE_MS: u64 = 12_000;
 
-const GRACE: u64 = 10_000;
+/// Grace period of an earlier leader in milliseconds.
+const GRACE_PERIOD_MS: u64 = 10_000;
 
-/// A job like many.
+/// Returns the specification of an array job whose tasks each request 2 CPUs and 2 GB of memory.
 pub(crate) fn spec(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -65,8 +67,8 @@
     }
 }
 
-/// A scheduler with one start of `wk-1` that waits for its line, and the machine it is for.
-pub(crate) fn with_a_start_to_log(version: Revision) -> (Scheduler, &'static str) {
+/// Returns a scheduler with one start of `wk-1` that is not logged yet, and the name of the machine to which it is assigned.
+pub(crate) fn scheduler_with_unlogged_start(version: Revision) -> (Scheduler, &'static str) {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), version.as_u64());
@@ -74,19 +76,19 @@
     (cluster.scheduler, "n-1")
 }
 
-/// A task in a heartbeat: its name, attempt and state, and why it has ended.
-type TaskLine<'a> = (&'a str, u64, TaskState, Option<ExitReason>);
+/// A task in a heartbeat: its name, attempt number and state, and the reason of its end.
+type ReportedTask<'a> = (&'a str, u64, TaskState, Option<ExitReason>);
 
-/// Started tasks as their worker reports them while they run.
-fn as_running(starts: &[(String, u64)]) -> Vec<TaskLine<'_>> {
+/// Returns started tasks, given as pairs of name and attempt number, as their worker reports them while they run.
+fn as_running(starts: &[(String, u64)]) -> Vec<ReportedTask<'_>> {
     starts
         .iter()
         .map(|(task, attempt)| (task.as_str(), *attempt, TaskState::Running, None))
         .collect()
 }
 
-/// Started tasks as their worker reports them when they have ended.
-fn as_exited(starts: &[(String, u64)], reason: ExitReason) -> Vec<TaskLine<'_>> {
+/// Returns started tasks as their worker reports them after they have ended.
+fn as_exited(starts: &[(String, u64)], reason: ExitReason) -> Vec<ReportedTask<'_>> {
     starts
         .iter()
         .map(|(task, attempt)| (task.as_str(), *attempt, TaskState::Exited, Some(reason)))
@@ -97,26 +99,27 @@
     TaskCounts { done, running }
 }
 
-/// A job with starts in a write of the log.
-fn logged(id: &str, version: u64) -> LoggedJob {
+/// Returns a job as named by a write of the start log.
+fn logged_job(id: &str, version: u64) -> LoggedJob {
     LoggedJob {
         id: id.into(),
         version: Revision::new(version),
     }
 }
 
-/// The starts among commands.
+/// Returns the name and the attempt number of each task that the commands start.
 fn starts(commands: &[Command]) -> Vec<(String, u64)> {
-    let start = |o: &Command| match o {
+    let start = |command: &Command| match command {
         Command::Start { task, attempt } => Some((task.clone(), *attempt)),
         _ => None,
     };
     commands.iter().filter_map(start).collect()
 }
 
-fn stops(commands: &[Command]) -> usize {
+/// Returns the number of tasks that the commands stop.
+fn count_stops(commands: &[Command]) -> usize {
     commands
         .iter()
-        .filter(|o| matches!(o, Command::Stop { .. }))
+        .filter(|command| matches!(command, Command::Stop { .. }))
         .count()
 }
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -40,14 +40,14 @@
     cluster.add_machine("n-9", "a");
     cluster.submit(spec("wk-1", 1), 50);
     cluster.replay(&[("n-1", "wk-1/0", 7)]);
-    // The earlier leader may have renewed its lease until GRACE after this epoch began.
+    // The earlier leader may have renewed its lease until GRACE_PERIOD_MS after this epoch began.
     for (after, placed) in [(0, 0), (1000, 1)] {
         // A machine that is heard just now could take the task.
         cluster
             .scheduler
-            .advance_clock(1000 + LEASE + GRACE + after);
+            .advance_clock(1000 + LEASE_MS + GRACE_PERIOD_MS + after);
         cluster.heartbeat("n-9", &[]);
-        cluster.run_round(1000 + LEASE + GRACE + after);
+        cluster.run_round(1000 + LEASE_MS + GRACE_PERIOD_MS + after);
         assert_eq!(starts(&cluster.heartbeat("n-9", &[])).len(), placed);
     }
 }
@@ -61,7 +61,7 @@
     cluster.replay(&[("n-2", "wk-1/0", 7)]);
     // Neither runs anything any more, but n-2 has fetched the image.
     for n in ["n-1", "n-2"] {
-        let r = cluster.report(n, first_token(EPOCH), &[]);
+        let r = cluster.next_status(n, first_token(EPOCH), &[]);
         cluster
             .scheduler
             .handle_heartbeat(&r, HeartbeatSource::Request { may_start: true });
@@ -75,7 +75,7 @@
 fn a_worker_that_has_seen_a_later_epoch_ends_this_one() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
-    let r = cluster.report("n-1", first_token(Epoch::new(6)), &[]);
+    let r = cluster.next_status("n-1", first_token(Epoch::new(6)), &[]);
     assert_eq!(
         cluster
             .scheduler
@@ -101,7 +101,7 @@
     cluster.replay(&[("n-1", "wk-1/0", 7)]);
     assert!(cluster.scheduler.remove_stopped_jobs().is_empty());
     assert_eq!(
-        stops(&cluster.heartbeat("n-1", &[("wk-1/0", 7, TaskState::Running, None)])),
+        count_stops(&cluster.heartbeat("n-1", &[("wk-1/0", 7, TaskState::Running, None)])),
         1
     );
     assert!(cluster.scheduler.remove_stopped_jobs().is_empty());
@@ -150,7 +150,7 @@
         cluster.advance_to(5500);
         assert!(!cluster.scheduler.is_isolated_from_workers());
         if answered {
-            let answer = cluster.report(&probes[0].machine, first_token(EPOCH), &[]);
+            let answer = cluster.next_status(&probes[0].machine, first_token(EPOCH), &[]);
             cluster
                 .scheduler
                 .handle_direct_response(&probes[0], Some(&answer));
@@ -171,14 +171,14 @@
     cluster.submit(spec("wk-1", 1), 50);
     cluster.replay(&[("n-1", "wk-1/0", (4 << EPOCH_SHIFT) + 3)]);
     // From before the task was started, and under the token of the epoch before.
-    let copy = cluster.report("n-1", first_token(Epoch::new(4)), &[]);
+    let copy = cluster.next_status("n-1", first_token(Epoch::new(4)), &[]);
     cluster.run_round(2000);
-    assert!(cluster.handle(&copy).is_empty());
+    assert!(cluster.handle_after_pass(&copy).is_empty());
     assert!(starts(&cluster.heartbeat("n-9", &[])).is_empty());
     // It also says nothing of whether the machine is alive.
     cluster.advance_to(8000);
-    let copy = cluster.report("n-1", first_token(Epoch::new(4)), &[]);
-    cluster.handle(&copy);
+    let copy = cluster.next_status("n-1", first_token(Epoch::new(4)), &[]);
+    cluster.handle_after_pass(&copy);
     let n1 = cluster
         .scheduler
         .machines()
@@ -202,7 +202,7 @@
     cluster.replay(&[("n-1", "wk-1/0", 7)]);
     cluster.run_round(1100);
     let probe = cluster.scheduler.due_probes(9).remove(0);
-    let answer = cluster.report("n-1", first_token(EPOCH), &[]);
+    let answer = cluster.next_status("n-1", first_token(EPOCH), &[]);
     cluster
         .scheduler
         .handle_direct_response(&probe, Some(&answer));
@@ -219,9 +219,9 @@
     for (after, placed) in [(0, 0), (2000, 1)] {
         cluster
             .scheduler
-            .advance_clock(1000 + LEASE + GRACE + after);
+            .advance_clock(1000 + LEASE_MS + GRACE_PERIOD_MS + after);
         let mut got = starts(&cluster.heartbeat("n-9", &[]));
-        cluster.run_round(1000 + LEASE + GRACE + after);
+        cluster.run_round(1000 + LEASE_MS + GRACE_PERIOD_MS + after);
         if got.is_empty() {
             got = starts(&cluster.heartbeat("n-9", &[]));
         }
@@ -254,7 +254,7 @@
         ("wk-9/0", 7, run, None),
         ("wk-1/1", 70, done, None),
     ];
-    let r = cluster.report("n-1", first_token(Epoch::new(4)), &lines);
+    let r = cluster.next_status("n-1", first_token(Epoch::new(4)), &lines);
     let HeartbeatDecision::Reply(reply) = cluster
         .scheduler
         .handle_heartbeat(&r, HeartbeatSource::Request { may_start: false })
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_team_stays_within_its_limit_across_epochs_and_cancellations() {
-    let mut cluster = Cluster::with(6000);
+    let mut cluster = Cluster::with_cpu_limit(6000);
     cluster.inherit_machine("n-1");
     cluster.add_machine("n-9", "a");
     cluster.submit(spec("wk-1", 2), 50);
@@ -22,7 +22,7 @@
     cluster.submit(spec("wk-3", 4), 102);
     cluster.run_round(1600);
     let commands = cluster.heartbeat("n-9", &line);
-    assert_eq!((starts(&commands).len(), stops(&commands)), (0, 1));
+    assert_eq!((starts(&commands).len(), count_stops(&commands)), (0, 1));
     cluster.heartbeat("n-9", &[]);
     assert_eq!(starts(&cluster.heartbeat("n-9", &[])).len(), 1);
 }
@@ -37,7 +37,7 @@
     // The start was in flight when its user cancelled: it is stopped once it shows.
     assert!(cluster.scheduler.remove_stopped_jobs().is_empty());
     assert_eq!(
-        stops(&cluster.heartbeat("n-1", &[("wk-1/0", got[0].1, TaskState::Fetching, None)])),
+        count_stops(&cluster.heartbeat("n-1", &[("wk-1/0", got[0].1, TaskState::Fetching, None)])),
         1
     );
     cluster.heartbeat(
@@ -171,7 +171,10 @@
     cluster.heartbeat("n-1", &here);
     assert!(starts(&cluster.heartbeat("n-1", &here[1..])).is_empty());
     let lost = cluster.heartbeat("n-1", &here[1..]);
-    assert_eq!((starts(&lost).len(), stops(&lost)), (0, here.len() - 1));
+    assert_eq!(
+        (starts(&lost).len(), count_stops(&lost)),
+        (0, here.len() - 1)
+    );
     cluster.heartbeat("n-1", &[]);
     got.clear();
     for name in ["n-2", "n-1", "n-2"] {
@@ -183,7 +186,7 @@
 #[test]
 fn the_largest_job_begins_beside_a_stream_of_small_ones() {
     // One task of the team at a time, and always a shorter job waiting.
-    let mut cluster = Cluster::with(2000);
+    let mut cluster = Cluster::with_cpu_limit(2000);
     cluster.add_machine("n-1", "a");
     cluster.submit(
         JobSpec {
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_replica_takes_the_place_of_lower_work_of_its_own_team_at_the_limit() {
-    let mut cluster = Cluster::with(8000);
+    let mut cluster = Cluster::with_cpu_limit(8000);
     cluster.add_machine("n-1", "a");
     cluster.add_machine("n-2", "a");
     cluster.submit(
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -22,11 +22,11 @@
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
-    let late = cluster.report("n-1", first_token(EPOCH), &[]);
+    let late = cluster.next_status("n-1", first_token(EPOCH), &[]);
     let got = starts(&cluster.heartbeat("n-1", &[]));
     assert_eq!(got.len(), 1);
     cluster.heartbeat("n-1", &[("wk-1/0", got[0].1, TaskState::Running, None)]);
-    assert!(cluster.handle(&late).is_empty());
+    assert!(cluster.handle_after_pass(&late).is_empty());
     assert_eq!(cluster.scheduler.task_counts("wk-1"), Some(counts(0, 1)));
 }
 
@@ -36,7 +36,7 @@
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
     cluster.run_round(1100);
-    let r = cluster.report("n-1", first_token(EPOCH), &[]);
+    let r = cluster.next_status("n-1", first_token(EPOCH), &[]);
     assert_eq!(
         cluster
             .scheduler
@@ -48,7 +48,7 @@
         "renewing in an outage starts nothing"
     );
     assert_eq!(starts(&cluster.heartbeat("n-1", &[])).len(), 1);
-    let unregistered = cluster.report("n-77", first_token(EPOCH), &[]);
+    let unregistered = cluster.next_status("n-77", first_token(EPOCH), &[]);
     assert_eq!(
         cluster
             .scheduler
@@ -98,20 +98,20 @@
     cluster.submit(spec("wk-1", 1), 101);
     let got = starts(&cluster.heartbeat("n-1", &[]));
     cluster.heartbeat("n-1", &as_running(&got[..1]));
-    let mut r = cluster.report("n-1", first_token(EPOCH), &[]);
+    let mut r = cluster.next_status("n-1", first_token(EPOCH), &[]);
     r.session = 2;
     // Its tasks are gone, but until it shows that it hears us it gets no others.
-    assert!(cluster.handle(&r).is_empty());
+    assert!(cluster.handle_after_pass(&r).is_empty());
     assert_eq!(cluster.scheduler.jobs().map(Job::pending).sum::<u32>(), 1);
-    let mut r = cluster.report("n-1", first_token(EPOCH), &[]);
+    let mut r = cluster.next_status("n-1", first_token(EPOCH), &[]);
     r.session = 2;
-    assert!(cluster.handle(&r).is_empty());
-    let mut r = cluster.report("n-1", first_token(EPOCH) + 1, &[]);
+    assert!(cluster.handle_after_pass(&r).is_empty());
+    let mut r = cluster.next_status("n-1", first_token(EPOCH) + 1, &[]);
     r.session = 2;
-    cluster.handle(&r);
-    let mut r = cluster.report("n-1", first_token(EPOCH) + 1, &[]);
+    cluster.handle_after_pass(&r);
+    let mut r = cluster.next_status("n-1", first_token(EPOCH) + 1, &[]);
     r.session = 2;
-    assert_eq!(starts(&cluster.handle(&r)).len(), 1);
+    assert_eq!(starts(&cluster.handle_after_pass(&r)).len(), 1);
 }
 
 #[test]
@@ -119,12 +119,12 @@
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
-    let empty = cluster.report("n-1", first_token(EPOCH), &[]);
+    let empty = cluster.next_status("n-1", first_token(EPOCH), &[]);
     let got = starts(&cluster.heartbeat("n-1", &[]));
     let line = (got[0].0.as_str(), got[0].1, TaskState::Running, None);
-    let running = cluster.report("n-1", first_token(EPOCH), &[line]);
-    cluster.handle(&running);
-    let exited = cluster.report(
+    let running = cluster.next_status("n-1", first_token(EPOCH), &[line]);
+    cluster.handle_after_pass(&running);
+    let exited = cluster.next_status(
         "n-1",
         first_token(EPOCH),
         &[(
@@ -135,12 +135,12 @@
         )],
     );
     cluster.scheduler.advance_clock(5000);
-    cluster.handle(&exited);
+    cluster.handle_after_pass(&exited);
     assert_eq!(cluster.scheduler.complete_jobs().len(), 1);
     // Copies in any order, from before the start, of the run, of the end: no task comes back, ends or ends again.
     cluster.scheduler.advance_clock(9000);
     for copy in [&empty, &running, &exited, &running] {
-        assert!(cluster.handle(copy).is_empty());
+        assert!(cluster.handle_after_pass(copy).is_empty());
     }
     assert_eq!(cluster.scheduler.task_counts("wk-1"), Some(counts(1, 0)));
     // Nor does a copy renew what is assumed of the lease or pass for a sign of life.
@@ -170,15 +170,15 @@
     cluster.heartbeat("n-1", &[]);
     // From now on it reaches no controller; direct commands and their answers get through. It begins its second session
     // without an answer, which a probe tells shortly before the first one's lease would be over here.
-    cluster.advance_to(1000 + LEASE / 2 - 1000);
+    cluster.advance_to(1000 + LEASE_MS / 2 - 1000);
     let at = cluster.scheduler.now().as_millis();
-    let mut r = cluster.report("n-1", first_token(EPOCH), &[]);
+    let mut r = cluster.next_status("n-1", first_token(EPOCH), &[]);
     r.session = 2;
     cluster
         .scheduler
         .handle_heartbeat(&r, HeartbeatSource::DirectResponse);
     let token = first_token(EPOCH) + 1;
-    let mut r = cluster.report("n-1", token, &[]);
+    let mut r = cluster.next_status("n-1", token, &[]);
     r.session = 2;
     cluster
         .scheduler
@@ -189,7 +189,7 @@
     cluster.write_start_log();
     let sent = cluster.scheduler.direct_commands(9);
     let started = starts(&sent[0].commands);
-    let mut r = cluster.report(
+    let mut r = cluster.next_status(
         "n-1",
         token,
         &[(&started[0].0, started[0].1, TaskState::Running, None)],
@@ -197,9 +197,9 @@
     r.session = 2;
     cluster.scheduler.handle_direct_response(&sent[0], Some(&r));
     // The task is there until the lease of the second session has surely run out.
-    cluster.advance_to(at + LEASE);
+    cluster.advance_to(at + LEASE_MS);
     let first = MachineIndex::from_position(0);
     assert_eq!(cluster.scheduler.machine(first).load.tasks().len(), 1);
-    cluster.advance_to(at + LEASE + 1000);
+    cluster.advance_to(at + LEASE_MS + 1000);
     assert!(cluster.scheduler.machine(first).load.tasks().is_empty());
 }
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -94,13 +94,16 @@
     cluster.submit(spec("wk-2", 1), 102);
     cluster.scheduler.place();
     let append = cluster.scheduler.next_log_write(8000, 60).unwrap();
-    assert_eq!(append.jobs, vec![logged("wk-1", 101), logged("wk-2", 102)]);
+    assert_eq!(
+        append.jobs,
+        vec![logged_job("wk-1", 101), logged_job("wk-2", 102)]
+    );
     // Another node has confirmed the cancellation of one, which this one's replica does not show yet: the write is refused,
     // and says why.
     cluster.scheduler.stop_job("wk-1");
     cluster.scheduler.log_write_failed(append, None);
     let again = cluster.scheduler.next_log_write(8000, 60).unwrap();
-    assert_eq!(again.jobs, vec![logged("wk-2", 102)]);
+    assert_eq!(again.jobs, vec![logged_job("wk-2", 102)]);
     assert!(!again.text.contains("wk-1"));
     cluster
         .scheduler
--- a/src/store/tests/transactions.rs
+++ b/src/store/tests/transactions.rs
@@ -81,7 +81,7 @@
         record,
         version: service.revision,
     };
-    let (mut scheduler, _) = crate::scheduler::tests::with_a_start_to_log(live.version);
+    let (mut scheduler, _) = crate::scheduler::tests::scheduler_with_unlogged_start(live.version);
     let append = scheduler.next_log_write(8000, 60).unwrap();
     let txn = log_txn(
         &guard(epoch_key(), Revision::new(1)),
