--- a/src/scheduler/tests/booting.rs
+++ b/src/scheduler/tests/booting.rs
@@ -1,9 +1,9 @@
-//! Machines that boot, as a new leader finds them.
+//! Booting machines that a new leader has inherited from earlier epochs.
 
 use super::*;
 
 #[test]
-fn a_new_leader_counts_on_a_machine_of_an_earlier_rental_only_once_it_is_listed() {
+fn an_inherited_machine_counts_as_booting_only_once_it_is_listed() {
     let mut cluster = Cluster::new();
     cluster.inherit_machine("n-1");
     cluster.submit(spec("wk-1", 2), 101);
@@ -12,7 +12,7 @@
     let i = cluster.scheduler.machine_index("n-1").unwrap();
     cluster.scheduler.record_listing(i, false, "", ms(0));
     assert!(cluster.scheduler.unmet_demand(false).is_empty());
-    // Listed as running, it is missed if it does not report.
+    // A machine that is listed as running is unresponsive if it sends no heartbeat.
     cluster
         .scheduler
         .record_listing(i, true, "1.2.3.4:9", ms(0));
@@ -25,42 +25,43 @@
 }
 
 #[test]
-fn a_machine_that_never_comes_up_is_given_up_by_its_age_also_by_a_new_leader() {
+fn the_boot_timeout_counts_from_the_rental_also_for_a_new_leader() {
     let mut cluster = Cluster::new();
     cluster.submit(spec("wk-1", 2), 101);
     cluster.inherit_machine("n-1");
     cluster.inherit_machine("n-2");
-    let (late, up) = (
+    let (booting, running) = (
         cluster.scheduler.machine_index("n-1").unwrap(),
         cluster.scheduler.machine_index("n-2").unwrap(),
     );
     cluster.run_round(5000);
-    // Both were rented 70 s before this epoch began; then the list shows one of them running.
-    for i in [late, up] {
+    // Both were rented 70 s before this epoch began. A later list shows one of them as running.
+    for i in [booting, running] {
         cluster.scheduler.record_listing(i, false, "", ms(74_000));
     }
-    let never = |cluster: &Cluster, i: MachineIndex| {
+    let timed_out = |cluster: &Cluster, i: MachineIndex| {
         cluster
             .scheduler
             .boot_timed_out(cluster.scheduler.machine(i))
     };
-    // Past the time in which it was expected, it counts no more as room to come.
+    // Both have exceeded their expected boot time of 60 s and no longer count as available soon.
     assert_eq!(cluster.unmet_tasks(), 2);
     cluster.advance_to(18_000);
     cluster
         .scheduler
-        .record_listing(up, true, "1.2.3.4:9", ms(87_000));
-    // A list may be older than the one before it, and is no reason to wait longer.
+        .record_listing(running, true, "1.2.3.4:9", ms(87_000));
+    // A list may be older than the one received before it, so a lower age does not extend the timeout.
     cluster
         .scheduler
-        .record_listing(late, false, "", ms(80_000));
-    assert!(!never(&cluster, late));
-    // 90 s: 1.5 times twice the nominal 30 s. Counted from the epoch's beginning it was once 72 s more.
+        .record_listing(booting, false, "", ms(80_000));
+    assert!(!timed_out(&cluster, booting));
+    // The timeout is 90 s: 1.5 times the expected boot time, which is twice the nominal 30 s. Counted from the beginning of the
+    // epoch, it was once 72 s longer.
     cluster.advance_to(22_000);
-    assert!(never(&cluster, late) && !never(&cluster, up));
-    let (offer, pause_ms) = cluster.scheduler.abandon_boot(late).unwrap();
+    assert!(timed_out(&cluster, booting) && !timed_out(&cluster, running));
+    let (offer, avoid_for) = cluster.scheduler.abandon_boot(booting).unwrap();
     assert_eq!(
-        (offer, pause_ms),
+        (offer, avoid_for),
         (
             Offer {
                 machine_type: MachineTypeIndex::from_position(0),
@@ -71,9 +72,9 @@
         )
     );
     assert_eq!(cluster.scheduler.machines_to_release(9), ["n-1"]);
-    // A list that nobody can believe does no harm.
+    // An implausible age causes neither an overflow nor a boot timeout of a machine that was listed as running.
     cluster
         .scheduler
-        .record_listing(up, false, "", ms(u64::MAX));
-    assert!(!never(&cluster, up));
+        .record_listing(running, false, "", ms(u64::MAX));
+    assert!(!timed_out(&cluster, running));
 }
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -1,23 +1,27 @@
-//! Machines and jobs that fail, and termination notices.
+//! Faulty machines, faulty jobs and termination notices.
 
 use super::*;
 
 #[test]
-fn a_machine_that_fails_several_jobs_is_quarantined_and_a_job_that_fails_everywhere_backs_off() {
+fn a_machine_on_which_several_jobs_fail_is_quarantined_and_a_job_that_fails_everywhere_backs_off() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
-    for (n, id) in ["wk-1", "wk-2"].into_iter().enumerate() {
-        cluster.submit(spec(id, 1), 101 + n as u64);
+    for (index, id) in ["wk-1", "wk-2"].into_iter().enumerate() {
+        cluster.submit(spec(id, 1), 101 + index as u64);
         cluster.scheduler.request_pass();
-        let now = 1000 + n as u64 * 6_000;
+        let now = 1000 + index as u64 * 6_000;
         cluster.scheduler.tick(now);
-        let mut got = starts(&cluster.heartbeat("n-1", &[]));
-        if got.is_empty() {
-            got = starts(&cluster.heartbeat("n-1", &[]));
+        let mut started = starts(&cluster.heartbeat("n-1", &[]));
+        if started.is_empty() {
+            started = starts(&cluster.heartbeat("n-1", &[]));
         }
-        cluster.heartbeat("n-1", &as_exited(&got, ExitReason::Error));
+        cluster.heartbeat("n-1", &as_exited(&started, ExitReason::Error));
     }
-    let state = cluster.scheduler.machines().next().map(|(_, m)| m.state());
+    let state = cluster
+        .scheduler
+        .machines()
+        .next()
+        .map(|(_, machine)| machine.state());
     assert_eq!(state, Some(MachineState::Draining));
 
     let mut cluster = Cluster::new();
@@ -33,22 +37,22 @@
     );
     cluster.run_round(1100);
     for name in ["n-1", "n-2", "n-3"] {
-        let got = starts(&cluster.heartbeat(name, &[]));
-        cluster.heartbeat(name, &as_exited(&got[..1], ExitReason::Error));
+        let started = starts(&cluster.heartbeat(name, &[]));
+        cluster.heartbeat(name, &as_exited(&started[..1], ExitReason::Error));
     }
     assert!(cluster
         .scheduler
         .machines()
-        .all(|(_, m)| m.state() == MachineState::Up));
+        .all(|(_, machine)| machine.state() == MachineState::Up));
     cluster.run_round(1200);
     assert!(
         starts(&cluster.heartbeat("n-1", &[])).is_empty(),
-        "a job with a mistake backs off"
+        "a job that fails everywhere backs off"
     );
 }
 
 #[test]
-fn a_termination_notice_drains_the_machine_and_lets_work_save_in_time() {
+fn a_termination_notice_drains_the_machine_and_stops_tasks_in_time_to_save() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(
@@ -59,37 +63,37 @@
         },
         101,
     );
-    let got = starts(&cluster.heartbeat("n-1", &[]));
-    let mut r = cluster.next_status("n-1", first_token(EPOCH), &as_running(&got[..1]));
-    r.eviction_notice_s = Some(20.0);
-    cluster.handle_after_pass(&r);
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    let mut status = cluster.next_status("n-1", first_token(EPOCH), &as_running(&started[..1]));
+    status.eviction_notice_s = Some(20.0);
+    cluster.handle_after_pass(&status);
     cluster.submit(spec("wk-2", 1), 102);
     cluster.run_round(2000);
-    let mut r = cluster.next_status("n-1", first_token(EPOCH), &as_running(&got[..1]));
-    r.eviction_notice_s = Some(19.0);
-    assert!(cluster.handle_after_pass(&r).is_empty());
+    let mut status = cluster.next_status("n-1", first_token(EPOCH), &as_running(&started[..1]));
+    status.eviction_notice_s = Some(19.0);
+    assert!(cluster.handle_after_pass(&status).is_empty());
     cluster.run_round(12_500);
-    let mut r = cluster.next_status("n-1", first_token(EPOCH), &as_running(&got[..1]));
-    r.eviction_notice_s = Some(8.5);
+    let mut status = cluster.next_status("n-1", first_token(EPOCH), &as_running(&started[..1]));
+    status.eviction_notice_s = Some(8.5);
     assert_eq!(
-        cluster.handle_after_pass(&r),
+        cluster.handle_after_pass(&status),
         vec![Command::Stop {
             task: "wk-1/0".into(),
-            attempt: got[0].1,
+            attempt: started[0].1,
             grace_s: 4.0
         }]
     );
 }
 
-/// Everything that starts fails; returns how many tasks did.
+/// Lets all tasks fail that start on the three machines, and returns their number.
 fn fail_all_starts(cluster: &mut Cluster) -> usize {
-    let mut tried = 0;
+    let mut failed = 0;
     for name in ["n-1", "n-2", "n-3"] {
-        let got = starts(&cluster.heartbeat(name, &[]));
-        tried += got.len();
-        cluster.heartbeat(name, &as_exited(&got, ExitReason::Error));
+        let started = starts(&cluster.heartbeat(name, &[]));
+        failed += started.len();
+        cluster.heartbeat(name, &as_exited(&started, ExitReason::Error));
     }
-    tried
+    failed
 }
 
 #[test]
@@ -98,7 +102,7 @@
     for name in ["n-1", "n-2", "n-3"] {
         cluster.add_machine(name, "a");
     }
-    // Two of them meet on a machine, which looks faulty for a moment; elsewhere they fail too.
+    // Tasks of both jobs fail on the same machine, which seems faulty until they have failed on other machines too.
     for (id, version) in [("wk-1", 101), ("wk-2", 102)] {
         cluster.submit(
             JobSpec {
@@ -108,30 +112,29 @@
             version,
         );
     }
-    let mut most = 0;
+    let mut max_failed = 0;
     for round in 0..200 {
         cluster.run_round(2000 + round * 1000);
-        let tried = fail_all_starts(&mut cluster);
+        let failed = fail_all_starts(&mut cluster);
         if round > 20 {
-            most = most.max(tried);
+            max_failed = max_failed.max(failed);
         }
     }
-    assert!(cluster
-        .scheduler
-        .machines()
-        .all(|(_, m)| m.state() == MachineState::Up && m.health.has_no_failures()));
+    assert!(cluster.scheduler.machines().all(
+        |(_, machine)| machine.state() == MachineState::Up && machine.health.has_no_failures()
+    ));
     assert!(
         cluster
             .scheduler
             .jobs()
-            .all(|j| j.fails_everywhere(cluster.scheduler.now()))
-            && most <= 2,
-        "{most}"
+            .all(|job| job.fails_everywhere(cluster.scheduler.now()))
+            && max_failed <= 2,
+        "{max_failed}"
     );
-    // Nothing is rented for them, and others find room beside the one place each.
+    // The demand has at most one task of each of them, and another job is placed beside the one task that each may run.
     cluster.run_round(202_000);
     let demands = cluster.scheduler.unmet_demand(false);
-    assert!(demands.iter().map(|n| n.tasks).sum::<u32>() <= 2);
+    assert!(demands.iter().map(|demand| demand.tasks).sum::<u32>() <= 2);
     cluster.submit(
         JobSpec {
             cpus: 8.0,
--- a/src/scheduler/tests/image_holders.rs
+++ b/src/scheduler/tests/image_holders.rs
@@ -1,4 +1,4 @@
-//! Machines that hold a job's image, and how long a task waits for one.
+//! Image holders, and how long a task waits for a slot on one.
 
 use super::*;
 use crate::placement::ResourceClass;
@@ -17,11 +17,11 @@
         101,
     );
     cluster.run_round(1100);
-    let got = cluster.scheduler.direct_commands(9).remove(0);
-    let task = starts(&got.commands).remove(0);
-    cluster.respond(&got, &as_running(&[task]));
-    // The holder is full and a little faster than the machine that has room.
-    let holder = cluster.scheduler.machine_index(&got.machine).unwrap();
+    let sent = cluster.scheduler.direct_commands(9).remove(0);
+    let task = starts(&sent.commands).remove(0);
+    cluster.respond(&sent, &as_running(&[task]));
+    // The holder is full and slightly faster than the machine with free resources.
+    let holder = cluster.scheduler.machine_index(&sent.machine).unwrap();
     cluster
         .scheduler
         .machine_mut(holder)
@@ -46,11 +46,12 @@
 }
 
 #[test]
-fn no_job_waits_for_a_holder_while_another_machine_has_had_room_for_long() {
+fn no_job_waits_long_for_a_holder_while_another_machine_has_free_resources() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.add_machine("n-2", "a");
-    // A holder that is always full, whose place always seems about to come free, and a link on which a fetch takes longer.
+    // The holder is always full, its slot is always expected to become free soon, and fetching the image over the slow link
+    // takes longer than that.
     cluster.submit(
         JobSpec {
             cpus: 8.0,
@@ -60,9 +61,9 @@
         101,
     );
     cluster.run_round(1100);
-    let got = starts(&cluster.heartbeat("n-1", &[]));
-    assert_eq!(got.len(), 1);
-    cluster.heartbeat("n-1", &as_running(&got[..1]));
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    assert_eq!(started.len(), 1);
+    cluster.heartbeat("n-1", &as_running(&started[..1]));
     cluster.submit(
         JobSpec {
             image_gb: 60.0,
@@ -70,14 +71,14 @@
         },
         102,
     );
-    for at in 2..100 {
-        cluster.advance_to(at * 1000);
-        cluster.run_round(at * 1000);
-        cluster.heartbeat("n-1", &as_running(&got[..1]));
+    for second in 2..100 {
+        cluster.advance_to(second * 1000);
+        cluster.run_round(second * 1000);
+        cluster.heartbeat("n-1", &as_running(&started[..1]));
         if !starts(&cluster.heartbeat("n-2", &[])).is_empty() {
-            assert!(at > 30, "the transfer test holds it back first");
+            assert!(second > 30, "the transfer test lets the task wait at first");
             return;
         }
     }
-    panic!("left waiting for 90 s while a machine had room");
+    panic!("the task waited for 90 s while a machine had free resources");
 }
