--- a/src/scheduler/tests/direct_commands.rs
+++ b/src/scheduler/tests/direct_commands.rs
@@ -1,31 +1,32 @@
-//! What the answers to direct commands prove, and their absence does not.
+//! Direct commands: conclusions from a response, and from the absence of one.
 
 use super::*;
 
 #[test]
-fn a_direct_start_without_answer_may_execute_late() {
+fn a_direct_start_without_a_response_may_execute_late() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
     cluster.run_round(2000);
     let sent = cluster.scheduler.direct_commands(9);
     assert_eq!(starts(&sent[0].commands).len(), 1);
-    // A report that left before the order arrived lacks the task: nothing follows from it while the answer is out.
+    // A heartbeat that was sent before the start arrived does not list the task. Nothing is concluded from it while the response
+    // is pending.
     assert!(starts(&cluster.heartbeat("n-1", &[])).is_empty());
     cluster.scheduler.handle_direct_response(&sent[0], None);
-    // The token was raised; until the worker has seen it, the order may still execute.
+    // The token was advanced. Until the worker has seen the new one, the start may still execute.
     assert!(starts(&cluster.heartbeat("n-1", &[])).is_empty());
     cluster.run_round(3000);
     assert!(cluster.scheduler.direct_commands(9).is_empty());
-    let raised = first_token(EPOCH) + 1;
-    cluster.heartbeat_with_token("n-1", raised, &[]);
-    let again = starts(&cluster.heartbeat_with_token("n-1", raised, &[]));
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0].1, starts(&sent[0].commands)[0].1);
+    let new_token = first_token(EPOCH) + 1;
+    cluster.heartbeat_with_token("n-1", new_token, &[]);
+    let restarted = starts(&cluster.heartbeat_with_token("n-1", new_token, &[]));
+    assert_eq!(restarted.len(), 1);
+    assert_ne!(restarted[0].1, starts(&sent[0].commands)[0].1);
 }
 
 #[test]
-fn an_unanswered_direct_start_counts_on_a_machine_whose_lease_runs_out_only() {
+fn a_direct_start_without_a_response_blocks_its_task_until_the_lease_expires() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.add_machine("n-2", "a");
@@ -45,32 +46,32 @@
 }
 
 #[test]
-fn a_direct_answer_says_nothing_of_a_start_in_a_response_under_way() {
+fn a_direct_response_proves_nothing_about_a_start_in_a_reply_in_transit() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.add_machine("n-2", "a");
     cluster.submit(spec("wk-1", 1), 101);
-    // The start leaves in the response to a report. Before the worker has received it, it answers a direct command: it
-    // does not have the task yet, but will.
-    let got = starts(&cluster.heartbeat("n-1", &[]));
-    assert_eq!(got.len(), 1);
+    // The start is sent in the reply to a heartbeat. Before the worker receives that reply, it responds to a direct command:
+    // it does not list the task yet, but will run it.
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    assert_eq!(started.len(), 1);
     let sent = DirectCommands {
         machine: "n-1".into(),
         address: String::new(),
         token: first_token(EPOCH),
         session: 1,
         commands: vec![Command::Stop {
-            task: got[0].0.clone(),
-            attempt: got[0].1,
+            task: started[0].0.clone(),
+            attempt: started[0].1,
             grace_s: 0.0,
         }],
     };
-    let answer = cluster.next_status("n-1", first_token(EPOCH), &[]);
+    let response = cluster.next_status("n-1", first_token(EPOCH), &[]);
     cluster
         .scheduler
-        .handle_direct_response(&sent, Some(&answer));
+        .handle_direct_response(&sent, Some(&response));
     assert_eq!(cluster.scheduler.jobs().map(Job::pending).sum::<u32>(), 0);
-    // Its next report is the truth.
+    // The worker's next heartbeat request is authoritative: it does not list the task, which is therefore started again.
     assert_eq!(
         starts(&cluster.heartbeat("n-1", &[])).len() + starts(&cluster.heartbeat("n-2", &[])).len(),
         1
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn what_makes_a_worker_forget_a_direct_start_also_voids_its_copies() {
+fn a_reply_that_forgets_a_direct_start_also_voids_its_duplicates() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(
@@ -90,27 +91,27 @@
     );
     cluster.run_round(2000);
     let sent = cluster.scheduler.direct_commands(9);
-    let got = starts(&sent[0].commands);
-    let line = |state, reason| [(got[0].0.as_str(), got[0].1, state, reason)];
-    cluster.respond(&sent[0], &line(TaskState::Running, None));
+    let started = starts(&sent[0].commands);
+    let reported = |state, reason| [(started[0].0.as_str(), started[0].1, state, reason)];
+    cluster.respond(&sent[0], &reported(TaskState::Running, None));
     cluster.scheduler.stop_job("wk-1");
-    let r = cluster.next_status(
+    let status = cluster.next_status(
         "n-1",
         first_token(EPOCH),
-        &line(TaskState::Exited, Some(ExitReason::Stopped)),
+        &reported(TaskState::Exited, Some(ExitReason::Stopped)),
     );
     match cluster
         .scheduler
-        .handle_heartbeat(&r, HeartbeatSource::Request { may_start: true })
+        .handle_heartbeat(&status, HeartbeatSource::Request { may_start: true })
     {
-        // A copy of the direct command carries the old token.
+        // The new token voids duplicates of the direct command, which carry the old one.
         HeartbeatDecision::Reply(reply) => {
             assert_eq!(reply.token, first_token(EPOCH) + 1);
             assert!(matches!(reply.commands[..], [Command::Forget { .. }]));
         }
         other => panic!("{other:?}"),
     }
-    // The machine goes on taking work.
+    // The machine still gets new tasks, under the new token.
     cluster.submit(spec("wk-2", 1), 102);
     cluster.run_round(2100);
     assert_eq!(
@@ -127,22 +128,22 @@
     cluster.submit(spec("wk-1", 1), 101);
     cluster.run_round(2000);
     let sent = cluster.scheduler.direct_commands(9);
-    let got = starts(&sent[0].commands);
-    let lines = [
+    let started = starts(&sent[0].commands);
+    let reported = [
         ("wk-1/0", 3, TaskState::Running, None),
         (
-            got[0].0.as_str(),
-            got[0].1,
+            started[0].0.as_str(),
+            started[0].1,
             TaskState::Exited,
             Some(ExitReason::ConflictingAttempt),
         ),
     ];
-    cluster.respond(&sent[0], &lines);
+    cluster.respond(&sent[0], &reported);
     assert_eq!(cluster.scheduler.jobs().map(Job::pending).sum::<u32>(), 0);
 }
 
 #[test]
-fn a_report_overtaken_by_a_direct_answer_still_renews_the_lease() {
+fn a_heartbeat_overtaken_by_a_direct_response_still_renews_the_lease() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.add_machine("n-2", "a");
@@ -155,32 +156,37 @@
     );
     cluster.run_round(2000);
     let sent = cluster.scheduler.direct_commands(9);
-    let d = sent.iter().find(|d| d.machine == "n-1").unwrap().clone();
-    let got = starts(&d.commands);
-    let line = as_running(&got[..1]);
-    cluster.respond(&d, &line);
-    // Every report is overtaken by the answer to a probe. It is as old as its tasks, but its worker waits for the answer
-    // and counts its lease from it: taken for run out, the task was once started a second time.
-    for s in 1..10u64 {
-        let overtaken = cluster.next_status("n-1", first_token(EPOCH), &line);
-        let answer = cluster.next_status("n-1", first_token(EPOCH), &line);
-        cluster.scheduler.advance_clock(2000 + s * 1500);
+    let direct = sent
+        .iter()
+        .find(|direct| direct.machine == "n-1")
+        .unwrap()
+        .clone();
+    let started = starts(&direct.commands);
+    let running = as_running(&started[..1]);
+    cluster.respond(&direct, &running);
+    // Every heartbeat is overtaken by the response to a probe. Its task list is out of date, but its worker waits for the
+    // reply and counts its lease from it. When the scheduler took the lease to have expired, the task was started a second
+    // time.
+    for interval in 1..10u64 {
+        let overtaken = cluster.next_status("n-1", first_token(EPOCH), &running);
+        let response = cluster.next_status("n-1", first_token(EPOCH), &running);
+        cluster.scheduler.advance_clock(2000 + interval * 1500);
         cluster.scheduler.handle_direct_response(
             &DirectCommands {
                 commands: vec![],
-                ..d.clone()
+                ..direct.clone()
             },
-            Some(&answer),
+            Some(&response),
         );
         cluster.handle_after_pass(&overtaken);
-        cluster.scheduler.tick(2000 + s * 1500);
+        cluster.scheduler.tick(2000 + interval * 1500);
     }
     assert_eq!(
         cluster
             .scheduler
             .machines()
-            .find(|(_, m)| m.name() == "n-1")
-            .map(|(_, m)| m.load.tasks().len()),
+            .find(|(_, machine)| machine.name() == "n-1")
+            .map(|(_, machine)| machine.load.tasks().len()),
         Some(1)
     );
 }
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -1,12 +1,12 @@
-//! Fleets of thousands of machines: nothing is truncated, and what changes nothing costs no round.
+//! Large fleets: no task or command is left out, and heartbeats without changes cause no scheduling pass.
 
 use super::*;
 use crate::store::Epoch;
 
-/// A fleet as large as any that is served.
+/// Number of machines of the largest fleet to be served.
 const MACHINES: usize = 4000;
 
-/// A job of tasks so small that hundreds fit on a machine.
+/// Returns the specification of a job whose tasks are so small that hundreds fit on a machine.
 fn small_tasks(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         cpus: 0.01,
@@ -20,7 +20,7 @@
     let mut cluster = Cluster::new();
     (0..MACHINES).for_each(|n| cluster.add_machine(&format!("n-{n}"), "a"));
     cluster.submit(spec("wk-1", 100_000), 1);
-    // Each pass asks for the next one. With only one every half second the array once took a quarter of a minute.
+    // Each pass requests the next one. With only one pass every half second, placing the array took a quarter of a minute.
     while cluster.scheduler.is_pass_requested() {
         cluster.scheduler.place();
     }
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn a_reused_machine_index_inherits_nothing() {
+fn a_reused_machine_index_keeps_nothing_of_the_previous_machine() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 1);
-    let start = starts(&cluster.heartbeat("n-1", &[]));
-    cluster.heartbeat("n-1", &as_running(&start));
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    cluster.heartbeat("n-1", &as_running(&started));
     cluster.scheduler.machine_gone("n-1");
     cluster.add_machine("n-2", "b");
     let first = MachineIndex::from_position(0);
@@ -65,9 +65,9 @@
             && machine.name() == "n-2"
             && machine.lease.latest_request().session == 1
     );
-    // The task is started anew, with an attempt of its own.
-    let again = starts(&cluster.heartbeat("n-2", &[]));
-    assert!(again[0].0 == start[0].0 && again[0].1 > start[0].1);
+    // The task is started again, with a new attempt number.
+    let restarted = starts(&cluster.heartbeat("n-2", &[]));
+    assert!(restarted[0].0 == started[0].0 && restarted[0].1 > started[0].1);
 }
 
 #[test]
@@ -87,10 +87,10 @@
     while let Some(sent) = cluster.scheduler.direct_commands(9).pop() {
         assert!(sent.commands.len() <= 300);
         stopped.push(count_stops(&sent.commands));
-        let answer = cluster.next_status("n-1", first_token(EPOCH), &as_running(&running));
+        let response = cluster.next_status("n-1", first_token(EPOCH), &as_running(&running));
         cluster
             .scheduler
-            .handle_direct_response(&sent, Some(&answer));
+            .handle_direct_response(&sent, Some(&response));
     }
     assert_eq!(stopped, [300, 300, 100]);
 }
@@ -111,32 +111,32 @@
 }
 
 #[test]
-fn a_heartbeat_without_news_requests_no_scheduling_pass() {
+fn a_heartbeat_without_changes_requests_no_scheduling_pass() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 4), 1);
-    let start = starts(&cluster.heartbeat("n-1", &[]));
-    cluster.heartbeat("n-1", &as_running(&start));
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    cluster.heartbeat("n-1", &as_running(&started));
     (2..100).for_each(|n| cluster.add_machine(&format!("n-{n}"), "a"));
     while cluster.scheduler.is_pass_requested() {
         cluster.scheduler.place();
     }
     assert!(!cluster.scheduler.needs_pass());
-    let unchanged = cluster.next_status("n-1", first_token(EPOCH), &as_running(&start));
+    let unchanged = cluster.next_status("n-1", first_token(EPOCH), &as_running(&started));
     cluster
         .scheduler
         .handle_heartbeat(&unchanged, HeartbeatSource::Request { may_start: true });
     assert!(!cluster.scheduler.needs_pass());
-    // A task that has ended leaves room.
+    // A task that has ended frees resources.
     let ended = [(
-        start[0].0.as_str(),
-        start[0].1,
+        started[0].0.as_str(),
+        started[0].1,
         TaskState::Exited,
         Some(ExitReason::Done),
     )];
-    let report = cluster.next_status("n-1", first_token(EPOCH), &ended);
+    let status = cluster.next_status("n-1", first_token(EPOCH), &ended);
     cluster
         .scheduler
-        .handle_heartbeat(&report, HeartbeatSource::Request { may_start: true });
+        .handle_heartbeat(&status, HeartbeatSource::Request { may_start: true });
     assert!(cluster.scheduler.needs_pass());
 }
