--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -1,18 +1,18 @@
-//! Preemption: what is stopped for work of higher priority, a guarantee, or a team at its limit.
+//! Preemption for jobs of higher priority, for guarantees, and for teams at their limit.
 
 use super::*;
 
-/// A cluster with one machine, which is full with the tasks of `wk-1`.
+/// Returns a cluster with one machine, which is full with running tasks of `wk-1`.
 fn full_cluster() -> Cluster {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 4), 101);
-    let got = starts(&cluster.heartbeat("n-1", &[]));
-    cluster.heartbeat("n-1", &as_running(&got));
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    cluster.heartbeat("n-1", &as_running(&started));
     cluster
 }
 
-/// How many tasks of `wk-1` are being stopped.
+/// Returns the number of tasks of `wk-1` that are being stopped.
 fn stopping(cluster: &Cluster) -> usize {
     let job = cluster.scheduler.jobs().find(|job| job.id() == "wk-1");
     job.map_or(0, |job| {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn higher_work_and_guarantees_win_room_but_equals_do_not() {
+fn higher_priority_and_guarantees_preempt_tasks_but_equal_priority_does_not() {
     let mut cluster = full_cluster();
     cluster.submit(
         JobSpec {
@@ -37,7 +37,7 @@
     assert_eq!(
         stopping(&cluster),
         2,
-        "room that is on its way is not won twice"
+        "resources that are already being freed are not freed a second time"
     );
     let mut cluster = full_cluster();
     cluster.submit(spec("wk-3", 2), 102);
@@ -48,7 +48,7 @@
         ),
         (1, 0)
     );
-    // Team u is guaranteed 4 CPUs, and team t, which has no guarantee, must give them back.
+    // Team u is guaranteed 4 CPUs, so tasks of team t, which has no guarantee, are preempted.
     cluster.submit(
         JobSpec {
             team: "u".into(),
@@ -61,15 +61,15 @@
 }
 
 #[test]
-fn displaced_work_is_not_displaced_again_while_other_work_can_be() {
+fn a_preempted_task_is_not_preempted_again_while_other_tasks_can_be() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 4), 101);
-    let mut got = starts(&cluster.heartbeat("n-1", &[]));
-    let mut seen = HashMap::new();
+    let mut started = starts(&cluster.heartbeat("n-1", &[]));
+    let mut preempted = HashMap::new();
     for round in 0..4u64 {
-        let lines = as_running(&got);
-        cluster.heartbeat("n-1", &lines);
+        let running = as_running(&started);
+        cluster.heartbeat("n-1", &running);
         let id = format!("wk-{}", round + 10);
         cluster.submit(
             JobSpec {
@@ -83,39 +83,40 @@
             let job = cluster
                 .scheduler
                 .jobs()
-                .find(|j| j.record.spec.id == "wk-1")
+                .find(|job| job.record.spec.id == "wk-1")
                 .unwrap();
-            let of = |(t, a): (&u32, &TaskAttempt)| {
-                matches!(a.phase, Phase::Stopping { .. }).then(|| (format!("wk-1/{t}"), a.attempt))
+            let stopping_task = |(number, attempt): (&u32, &TaskAttempt)| {
+                matches!(attempt.phase, Phase::Stopping { .. })
+                    .then(|| (format!("wk-1/{number}"), attempt.attempt))
             };
-            job.active.iter().filter_map(of).collect()
+            job.active.iter().filter_map(stopping_task).collect()
         };
         assert_eq!(stopped.len(), 1);
-        *seen.entry(stopped[0].0.clone()).or_insert(0) += 1;
-        // It ends, the production job takes its place, ends, and the task comes back.
-        let kept: Vec<_> = lines
+        *preempted.entry(stopped[0].0.clone()).or_insert(0) += 1;
+        // The task ends, the production job is cancelled, and the task is started again.
+        let kept: Vec<_> = running
             .iter()
-            .filter(|l| l.0 != stopped[0].0)
+            .filter(|task| task.0 != stopped[0].0)
             .copied()
             .collect();
         cluster.heartbeat("n-1", &kept);
         cluster.scheduler.stop_job(&id);
         cluster.scheduler.remove_stopped_jobs();
-        let back = starts(&cluster.heartbeat("n-1", &kept));
-        let kept: Vec<(String, u64)> = kept.iter().map(|k| (k.0.to_string(), k.1)).collect();
-        got = kept.into_iter().chain(back).collect();
-        if got.len() < 4 {
-            let lines = as_running(&got);
+        let restarted = starts(&cluster.heartbeat("n-1", &kept));
+        let kept: Vec<(String, u64)> = kept.iter().map(|t| (t.0.to_string(), t.1)).collect();
+        started = kept.into_iter().chain(restarted).collect();
+        if started.len() < 4 {
+            let running = as_running(&started);
             cluster.scheduler.request_pass();
-            let more = starts(&cluster.heartbeat("n-1", &lines));
-            got.extend(more);
+            let more = starts(&cluster.heartbeat("n-1", &running));
+            started.extend(more);
         }
     }
-    assert!(seen.values().all(|n| *n == 1), "{seen:?}");
+    assert!(preempted.values().all(|n| *n == 1), "{preempted:?}");
 }
 
 #[test]
-fn a_replica_takes_the_place_of_lower_work_of_its_own_team_at_the_limit() {
+fn a_replica_preempts_a_task_of_lower_priority_of_its_own_team_at_the_limit() {
     let mut cluster = Cluster::with_cpu_limit(8000);
     cluster.add_machine("n-1", "a");
     cluster.add_machine("n-2", "a");
@@ -129,10 +130,10 @@
         101,
     );
     cluster.run_round(1100);
-    for d in cluster.scheduler.direct_commands(9) {
-        let got = starts(&d.commands);
-        let lines = as_running(&got);
-        cluster.respond(&d, &lines);
+    for direct in cluster.scheduler.direct_commands(9) {
+        let started = starts(&direct.commands);
+        let running = as_running(&started);
+        cluster.respond(&direct, &running);
     }
     cluster.submit(
         JobSpec {
@@ -142,16 +143,16 @@
         },
         102,
     );
-    let ending = |cluster: &Cluster| cluster.cpu_milli_being_evicted("t");
+    let being_evicted = |cluster: &Cluster| cluster.cpu_milli_being_evicted("t");
     for _ in 0..3 {
         cluster.run_round(1200);
         cluster.scheduler.preempt_for_production();
-        // One task saves and ends, once.
-        assert_eq!(ending(&cluster), 2000);
+        // Exactly one task is stopped, with time to save, also when the round is repeated.
+        assert_eq!(being_evicted(&cluster), 2000);
     }
     let stop = cluster.scheduler.direct_commands(9).remove(0);
     assert!(matches!(stop.commands[..], [Command::Stop { grace_s, .. }] if grace_s == 3.0));
-    // Equal work does not yield.
+    // A job of equal priority preempts nothing.
     cluster.submit(
         JobSpec {
             priority: Priority::Low,
@@ -160,18 +161,18 @@
         103,
     );
     cluster.scheduler.preempt_for_production();
-    assert_eq!(ending(&cluster), 2000);
+    assert_eq!(being_evicted(&cluster), 2000);
 }
 
 #[test]
-fn a_spread_job_displaces_no_more_in_a_zone_than_it_may_use() {
+fn a_spread_job_preempts_no_more_tasks_in_a_zone_than_it_may_use() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 4), 101);
-    let got = starts(&cluster.heartbeat("n-1", &[]));
-    let lines = as_running(&got);
-    cluster.heartbeat("n-1", &lines);
-    // Two of the four may be in zone a; there is no other zone with machines.
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    let running = as_running(&started);
+    cluster.heartbeat("n-1", &running);
+    // Two of the four replicas may be in zone a. No other zone has machines.
     cluster.submit(
         JobSpec {
             kind: JobKind::Service,
