--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -1,4 +1,4 @@
-//! What proves that a task is not on a machine any more, and what does not.
+//! Events that prove that a task is no longer on a machine, and events that do not.
 
 use super::*;
 use crate::store::Revision;
@@ -18,15 +18,15 @@
 }
 
 #[test]
-fn a_report_held_back_by_the_network_is_as_old_as_its_tasks() {
+fn a_delayed_heartbeat_does_not_mark_a_running_task_as_gone() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
-    let late = cluster.next_status("n-1", first_token(EPOCH), &[]);
-    let got = starts(&cluster.heartbeat("n-1", &[]));
-    assert_eq!(got.len(), 1);
-    cluster.heartbeat("n-1", &[("wk-1/0", got[0].1, TaskState::Running, None)]);
-    assert!(cluster.handle_after_pass(&late).is_empty());
+    let delayed = cluster.next_status("n-1", first_token(EPOCH), &[]);
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    assert_eq!(started.len(), 1);
+    cluster.heartbeat("n-1", &[("wk-1/0", started[0].1, TaskState::Running, None)]);
+    assert!(cluster.handle_after_pass(&delayed).is_empty());
     assert_eq!(cluster.scheduler.task_counts("wk-1"), Some(counts(0, 1)));
 }
 
@@ -36,16 +36,16 @@
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
     cluster.run_round(1100);
-    let r = cluster.next_status("n-1", first_token(EPOCH), &[]);
+    let status = cluster.next_status("n-1", first_token(EPOCH), &[]);
     assert_eq!(
         cluster
             .scheduler
-            .handle_heartbeat(&r, HeartbeatSource::Request { may_start: false }),
+            .handle_heartbeat(&status, HeartbeatSource::Request { may_start: false }),
         HeartbeatDecision::Reply(HeartbeatReply {
             token: first_token(EPOCH),
             commands: vec![]
         }),
-        "renewing in an outage starts nothing"
+        "a heartbeat that is answered without the authority to start tasks gets no starts"
     );
     assert_eq!(starts(&cluster.heartbeat("n-1", &[])).len(), 1);
     let unregistered = cluster.next_status("n-77", first_token(EPOCH), &[]);
@@ -62,22 +62,22 @@
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 2), 101);
-    let got = starts(&cluster.heartbeat("n-1", &[]));
+    let tasks = starts(&cluster.heartbeat("n-1", &[]));
     let done = |i: usize| {
         (
-            got[i].0.as_str(),
-            got[i].1,
+            tasks[i].0.as_str(),
+            tasks[i].1,
             TaskState::Exited,
             Some(ExitReason::Done),
         )
     };
-    let run = |i: usize| (got[i].0.as_str(), got[i].1, TaskState::Running, None);
-    assert!(cluster.heartbeat("n-1", &[done(0), run(1)]).is_empty());
+    let running = |i: usize| (tasks[i].0.as_str(), tasks[i].1, TaskState::Running, None);
+    assert!(cluster.heartbeat("n-1", &[done(0), running(1)]).is_empty());
     assert!(cluster.scheduler.complete_jobs().is_empty());
-    let rows = cluster.scheduler.unsaved_chunks(9);
-    assert_eq!(rows.len(), 1);
-    cluster.scheduler.record_saved(&rows[0]);
-    let commands = cluster.heartbeat("n-1", &[done(0), run(1)]);
+    let chunks = cluster.scheduler.unsaved_chunks(9);
+    assert_eq!(chunks.len(), 1);
+    cluster.scheduler.record_saved(&chunks[0]);
+    let commands = cluster.heartbeat("n-1", &[done(0), running(1)]);
     assert!(matches!(commands[..], [Command::Forget { .. }]));
     assert!(cluster.scheduler.complete_jobs().is_empty());
     cluster.heartbeat("n-1", &[done(0), done(1)]);
@@ -92,44 +92,49 @@
 }
 
 #[test]
-fn a_session_that_ends_though_it_was_answered_raises_the_token() {
+fn a_new_session_after_answered_heartbeats_advances_the_token() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
-    let got = starts(&cluster.heartbeat("n-1", &[]));
-    cluster.heartbeat("n-1", &as_running(&got[..1]));
-    let mut r = cluster.next_status("n-1", first_token(EPOCH), &[]);
-    r.session = 2;
-    // Its tasks are gone, but until it shows that it hears us it gets no others.
-    assert!(cluster.handle_after_pass(&r).is_empty());
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    cluster.heartbeat("n-1", &as_running(&started[..1]));
+    let mut status = cluster.next_status("n-1", first_token(EPOCH), &[]);
+    status.session = 2;
+    // The tasks of the machine are gone, but it gets no new ones until it has acknowledged the new token.
+    assert!(cluster.handle_after_pass(&status).is_empty());
     assert_eq!(cluster.scheduler.jobs().map(Job::pending).sum::<u32>(), 1);
-    let mut r = cluster.next_status("n-1", first_token(EPOCH), &[]);
-    r.session = 2;
-    assert!(cluster.handle_after_pass(&r).is_empty());
-    let mut r = cluster.next_status("n-1", first_token(EPOCH) + 1, &[]);
-    r.session = 2;
-    cluster.handle_after_pass(&r);
-    let mut r = cluster.next_status("n-1", first_token(EPOCH) + 1, &[]);
-    r.session = 2;
-    assert_eq!(starts(&cluster.handle_after_pass(&r)).len(), 1);
+    let mut status = cluster.next_status("n-1", first_token(EPOCH), &[]);
+    status.session = 2;
+    assert!(cluster.handle_after_pass(&status).is_empty());
+    let mut status = cluster.next_status("n-1", first_token(EPOCH) + 1, &[]);
+    status.session = 2;
+    cluster.handle_after_pass(&status);
+    let mut status = cluster.next_status("n-1", first_token(EPOCH) + 1, &[]);
+    status.session = 2;
+    assert_eq!(starts(&cluster.handle_after_pass(&status)).len(), 1);
 }
 
 #[test]
-fn late_copies_of_reports_change_nothing() {
+fn delayed_duplicates_of_heartbeats_change_nothing() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
     let empty = cluster.next_status("n-1", first_token(EPOCH), &[]);
-    let got = starts(&cluster.heartbeat("n-1", &[]));
-    let line = (got[0].0.as_str(), got[0].1, TaskState::Running, None);
-    let running = cluster.next_status("n-1", first_token(EPOCH), &[line]);
+    let started = starts(&cluster.heartbeat("n-1", &[]));
+    let running_task = (
+        started[0].0.as_str(),
+        started[0].1,
+        TaskState::Running,
+        None,
+    );
+    let running = cluster.next_status("n-1", first_token(EPOCH), &[running_task]);
     cluster.handle_after_pass(&running);
     let exited = cluster.next_status(
         "n-1",
         first_token(EPOCH),
         &[(
-            got[0].0.as_str(),
-            got[0].1,
+            started[0].0.as_str(),
+            started[0].1,
             TaskState::Exited,
             Some(ExitReason::Done),
         )],
@@ -137,22 +142,26 @@
     cluster.scheduler.advance_clock(5000);
     cluster.handle_after_pass(&exited);
     assert_eq!(cluster.scheduler.complete_jobs().len(), 1);
-    // Copies in any order, from before the start, of the run, of the end: no task comes back, ends or ends again.
+    // Duplicates from before the start, of the run and of the end arrive in any order: no task becomes active again or ends a
+    // second time.
     cluster.scheduler.advance_clock(9000);
-    for copy in [&empty, &running, &exited, &running] {
-        assert!(cluster.handle_after_pass(copy).is_empty());
+    for duplicate in [&empty, &running, &exited, &running] {
+        assert!(cluster.handle_after_pass(duplicate).is_empty());
     }
     assert_eq!(cluster.scheduler.task_counts("wk-1"), Some(counts(1, 0)));
-    // Nor does a copy renew what is assumed of the lease or pass for a sign of life.
-    let m = cluster.scheduler.machines().next().unwrap().1;
+    // Nor does a duplicate renew the lease or count as contact with the machine.
+    let machine = cluster.scheduler.machines().next().unwrap().1;
     assert_eq!(
-        (m.lease.renewed_at(), m.contact.acknowledged_at()),
+        (
+            machine.lease.renewed_at(),
+            machine.contact.acknowledged_at()
+        ),
         (at(5000), at(5000))
     );
 }
 
 #[test]
-fn another_attempt_than_the_one_sent_is_taken_for_what_is_there() {
+fn a_listed_attempt_is_adopted_in_place_of_the_logged_one() {
     let mut cluster = Cluster::new();
     cluster.inherit_machine("n-1");
     cluster.add_machine("n-2", "a");
@@ -164,42 +173,45 @@
 }
 
 #[test]
-fn a_session_that_begins_unanswered_has_its_full_lease() {
+fn a_session_that_begins_without_a_reply_has_a_full_lease() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.heartbeat("n-1", &[]);
-    // From now on it reaches no controller; direct commands and their answers get through. It begins its second session
-    // without an answer, which a probe tells shortly before the first one's lease would be over here.
+    // From now on the worker's heartbeat requests reach no controller, but direct commands and their responses get through. It
+    // begins its second session without a reply. The response to a probe shows this 1 s before half of the first session's
+    // lease is over, after which the machine would get no more work.
     cluster.advance_to(1000 + LEASE_MS / 2 - 1000);
-    let at = cluster.scheduler.now().as_millis();
-    let mut r = cluster.next_status("n-1", first_token(EPOCH), &[]);
-    r.session = 2;
+    let session_seen_at = cluster.scheduler.now().as_millis();
+    let mut status = cluster.next_status("n-1", first_token(EPOCH), &[]);
+    status.session = 2;
     cluster
         .scheduler
-        .handle_heartbeat(&r, HeartbeatSource::DirectResponse);
+        .handle_heartbeat(&status, HeartbeatSource::DirectResponse);
     let token = first_token(EPOCH) + 1;
-    let mut r = cluster.next_status("n-1", token, &[]);
-    r.session = 2;
+    let mut status = cluster.next_status("n-1", token, &[]);
+    status.session = 2;
     cluster
         .scheduler
-        .handle_heartbeat(&r, HeartbeatSource::DirectResponse);
+        .handle_heartbeat(&status, HeartbeatSource::DirectResponse);
     cluster.submit(spec("wk-1", 1), 101);
     cluster.scheduler.request_pass();
     cluster.scheduler.place();
     cluster.write_start_log();
     let sent = cluster.scheduler.direct_commands(9);
     let started = starts(&sent[0].commands);
-    let mut r = cluster.next_status(
+    let mut status = cluster.next_status(
         "n-1",
         token,
         &[(&started[0].0, started[0].1, TaskState::Running, None)],
     );
-    r.session = 2;
-    cluster.scheduler.handle_direct_response(&sent[0], Some(&r));
-    // The task is there until the lease of the second session has surely run out.
-    cluster.advance_to(at + LEASE_MS);
+    status.session = 2;
+    cluster
+        .scheduler
+        .handle_direct_response(&sent[0], Some(&status));
+    // The task counts as on the machine until the lease of the second session has certainly expired.
+    cluster.advance_to(session_seen_at + LEASE_MS);
     let first = MachineIndex::from_position(0);
     assert_eq!(cluster.scheduler.machine(first).load.tasks().len(), 1);
-    cluster.advance_to(at + LEASE_MS + 1000);
+    cluster.advance_to(session_seen_at + LEASE_MS + 1000);
     assert!(cluster.scheduler.machine(first).load.tasks().is_empty());
 }
