--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -1,16 +1,16 @@
-//! The start log: no start is sent before its line is durable.
+//! The start log: no start is sent before its log entry is durable.
 
 use super::*;
 use crate::store::Revision;
 
 #[test]
-fn the_last_line_of_a_task_counts_and_what_was_released_counts_no_more() {
+fn the_latest_entry_of_a_task_counts_and_a_released_machine_has_no_tasks() {
     let mut cluster = Cluster::new();
     cluster.inherit_machine("n-1");
     cluster.inherit_machine("n-2");
     cluster.submit(spec("wk-1", 2), 50);
-    // Task 0 was first on n-1 and then, once that was proven gone, on n-2. Task 1 was last on n-9, which no rental names
-    // any more; its older line names a machine on which it is known to be no longer.
+    // Task 0 was on n-1 and, after that attempt was proven gone, on n-2. Task 1 was last on n-9, which has no rental record any
+    // more. Its older entry names n-1, from which it is known to be gone.
     cluster.replay(&[
         ("n-1", "wk-1/0", 7),
         ("n-2", "wk-1/0", 9),
@@ -18,20 +18,23 @@
         ("n-9", "wk-1/1", 8),
     ]);
     cluster.heartbeat("n-1", &[]);
-    let got = starts(&cluster.heartbeat("n-1", &[]));
+    let started = starts(&cluster.heartbeat("n-1", &[]));
     assert_eq!(
-        got.iter().map(|g| g.0.as_str()).collect::<Vec<_>>(),
+        started
+            .iter()
+            .map(|start| start.0.as_str())
+            .collect::<Vec<_>>(),
         vec!["wk-1/1"]
     );
-    // Without a new leader's knowledge of n-2 the task would be started here a second time.
-    let line = [("wk-1/1", got[0].1, TaskState::Running, None)];
-    assert!(starts(&cluster.heartbeat("n-1", &line)).is_empty());
+    // Task 0 may still be on n-2. If the new leader did not know that, the task would be started on n-1 a second time.
+    let running = [("wk-1/1", started[0].1, TaskState::Running, None)];
+    assert!(starts(&cluster.heartbeat("n-1", &running)).is_empty());
     cluster.scheduler.machine_gone("n-2");
-    assert_eq!(starts(&cluster.heartbeat("n-1", &line)).len(), 1);
+    assert_eq!(starts(&cluster.heartbeat("n-1", &running)).len(), 1);
 }
 
 #[test]
-fn nothing_is_sent_before_its_line_in_the_log_is_durable() {
+fn no_start_is_sent_before_its_log_entry_is_durable() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 2), 101);
@@ -39,10 +42,10 @@
     let first = cluster
         .scheduler
         .next_log_write(8000, 60)
-        .expect("two starts wait");
+        .expect("two starts are waiting");
     assert!(
         cluster.scheduler.next_log_write(8000, 60).is_none(),
-        "their lines are being written"
+        "their entries are being written"
     );
     assert_eq!(
         cluster.reply_without_pass("n-1"),
@@ -52,28 +55,28 @@
         })
     );
     assert!(cluster.scheduler.direct_commands(9).is_empty());
-    // The write failed since the slot had changed: an earlier write without an answer had gone through after all.
+    // The write failed because the slot had changed: an earlier write whose outcome was unknown had been applied after all.
     cluster
         .scheduler
         .log_write_failed(first, Some((Revision::new(150), "n-1 - /wk-1 0.1")));
-    let again = cluster
+    let second = cluster
         .scheduler
         .next_log_write(8000, 60)
-        .expect("they wait again");
-    assert_eq!((again.slot, again.version), (0, Revision::new(150)));
-    let text = again.text.clone();
+        .expect("the starts are waiting again");
+    assert_eq!((second.slot, second.version), (0, Revision::new(150)));
+    let text = second.text.clone();
     cluster
         .scheduler
-        .log_write_applied(again, Revision::new(151));
+        .log_write_applied(second, Revision::new(151));
     let sent = cluster.scheduler.direct_commands(9);
-    let got = starts(&sent[0].commands);
-    assert_eq!(got.len(), 2);
-    for (task, attempt) in &got {
-        let t = task.split_once('/').unwrap().1;
-        assert!(text.contains(&format!("{t}.{attempt:x}")), "{text}");
+    let started = starts(&sent[0].commands);
+    assert_eq!(started.len(), 2);
+    for (task, attempt) in &started {
+        let number = task.split_once('/').unwrap().1;
+        assert!(text.contains(&format!("{number}.{attempt:x}")), "{text}");
     }
-    // What has ended is not carried over when its slot is taken again.
-    cluster.respond(&sent[0], &as_running(&got[1..]));
+    // The entry of an attempt that has ended is left out when its slot is rewritten.
+    cluster.respond(&sent[0], &as_running(&started[1..]));
     let third = cluster.scheduler.next_log_write(8000, 60).or_else(|| {
         cluster.scheduler.place();
         cluster.scheduler.next_log_write(8000, 60)
@@ -81,51 +84,51 @@
     let third = third.expect("the lost task is started again");
     assert_eq!((third.slot, third.version), (0, Revision::new(151)));
     assert!(
-        !third.text.contains(&format!("{:x}", got[0].1))
-            && third.text.contains(&format!("{:x}", got[1].1))
+        !third.text.contains(&format!("{:x}", started[0].1))
+            && third.text.contains(&format!("{:x}", started[1].1))
     );
 }
 
 #[test]
-fn of_a_job_that_is_over_in_the_store_nothing_is_logged_and_so_nothing_sent() {
+fn starts_of_a_job_that_has_ended_in_the_store_are_neither_logged_nor_sent() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.submit(spec("wk-1", 1), 101);
     cluster.submit(spec("wk-2", 1), 102);
     cluster.scheduler.place();
-    let append = cluster.scheduler.next_log_write(8000, 60).unwrap();
+    let first_write = cluster.scheduler.next_log_write(8000, 60).unwrap();
     assert_eq!(
-        append.jobs,
+        first_write.jobs,
         vec![logged_job("wk-1", 101), logged_job("wk-2", 102)]
     );
-    // Another node has confirmed the cancellation of one, which this one's replica does not show yet: the write is refused,
-    // and says why.
+    // Another node has confirmed the cancellation of wk-1, which this node's replica does not show yet. The store refuses the
+    // write and names the reason.
     cluster.scheduler.stop_job("wk-1");
-    cluster.scheduler.log_write_failed(append, None);
-    let again = cluster.scheduler.next_log_write(8000, 60).unwrap();
-    assert_eq!(again.jobs, vec![logged_job("wk-2", 102)]);
-    assert!(!again.text.contains("wk-1"));
+    cluster.scheduler.log_write_failed(first_write, None);
+    let second_write = cluster.scheduler.next_log_write(8000, 60).unwrap();
+    assert_eq!(second_write.jobs, vec![logged_job("wk-2", 102)]);
+    assert!(!second_write.text.contains("wk-1"));
     cluster
         .scheduler
-        .log_write_applied(again, Revision::new(200));
+        .log_write_applied(second_write, Revision::new(200));
     let sent = cluster.scheduler.direct_commands(9);
     assert_eq!(starts(&sent[0].commands).len(), 1);
     assert_eq!(starts(&sent[0].commands)[0].0, "wk-2/0");
 }
 
 #[test]
-fn a_write_of_the_log_names_no_more_jobs_than_the_store_takes_conditions() {
+fn a_log_write_has_no_more_jobs_than_the_store_accepts_conditions() {
     let mut cluster = Cluster::new();
     (0..5).for_each(|n| cluster.add_machine(&format!("n-{n}"), "a"));
     (0..5).for_each(|n| cluster.submit(spec(&format!("wk-{n}"), 2), 100 + n));
     cluster.scheduler.place();
     let mut written = Vec::new();
-    while let Some(a) = cluster.scheduler.next_log_write(8000, 2) {
-        assert!(a.jobs.len() <= 2);
-        written.extend(a.jobs.iter().map(|job| job.id.clone()));
+    while let Some(write) = cluster.scheduler.next_log_write(8000, 2) {
+        assert!(write.jobs.len() <= 2);
+        written.extend(write.jobs.iter().map(|job| job.id.clone()));
         cluster
             .scheduler
-            .log_write_applied(a, Revision::new(200 + written.len() as u64));
+            .log_write_applied(write, Revision::new(200 + written.len() as u64));
     }
     written.sort();
     written.dedup();
