--- a/src/store/tests/transactions.rs
+++ b/src/store/tests/transactions.rs
@@ -82,7 +82,7 @@
         record,
         version: service.revision,
     };
-    let (mut scheduler, _) = crate::scheduler::tests::with_a_start_to_log(live.version);
+    let (mut scheduler, _) = crate::scheduler::tests::scheduler_with_unlogged_start(live.version);
     let append = scheduler.next_log_write(8000, 60).unwrap();
     let txn = start_log_txn(
         &guard(epoch_key(), Revision::new(1)),
