--- a/tests/compat/cloud.rs
+++ b/tests/compat/cloud.rs
@@ -1,12 +1,14 @@
-//! The cloud: machine types, rentals, releases and the list of machines.
+//! Messages exchanged with the cloud: machine types, rentals, releases and the list of machines.
 
-use super::literal::{assert_amounts, assert_required, hex, message, read, with, written};
+use super::literal::{
+    assert_finite_numbers, assert_required, decode_value, encode_to_value, hex, message, with,
+};
 use ciborium::Value;
 use hollowswitch::protocol::{
     decode, encode, Catalogue, ListedMachine, MachineList, MachineNames, MachineType, RentRequest,
 };
 
-fn type_message() -> Value {
+fn machine_type_message() -> Value {
     message!({
         "sku" => "g8", "cores" => 96.0, "cards" => 8.0, "memGb" => 768.0, "cacheGb" => 200.0,
         "fetchGbPerS" => 1.5, "price" => 12.0, "lowPrice" => 4.5, "startupS" => 45.0,
@@ -30,31 +32,40 @@
 }
 
 #[test]
-fn the_catalogue_is_read_and_written_field_by_field() {
-    assert_eq!(read::<MachineType>(&type_message()), machine_type());
-    assert_eq!(written(&machine_type()), type_message());
-    let literal = Value::Map(vec![("breeds".into(), Value::Array(vec![type_message()]))]);
+fn every_field_of_the_catalogue_is_decoded_and_encoded() {
+    assert_eq!(
+        decode_value::<MachineType>(&machine_type_message()),
+        machine_type()
+    );
+    assert_eq!(encode_to_value(&machine_type()), machine_type_message());
+    let literal = Value::Map(vec![(
+        "breeds".into(),
+        Value::Array(vec![machine_type_message()]),
+    )]);
     let catalogue = Catalogue {
         types: vec![machine_type()],
     };
-    assert_eq!(read::<Catalogue>(&literal), catalogue);
-    assert_eq!(written(&catalogue), literal);
+    assert_eq!(decode_value::<Catalogue>(&literal), catalogue);
+    assert_eq!(encode_to_value(&catalogue), literal);
     assert_required::<Catalogue>(&literal, &["breeds"]);
 }
 
 #[test]
-fn the_catalogue_is_read_as_the_protocol_shows_it() {
+fn the_catalogue_example_of_the_protocol_documentation_is_decoded() {
     let literal = message!({"breeds" => [{
         "sku" => "g8", "cores" => 96, "cards" => 8, "memGb" => 768, "cacheGb" => 200,
         "fetchGbPerS" => 1.5, "price" => 12, "lowPrice" => 4.5, "startupS" => 45,
         "yards" => ["a", "b"], "colour" => "grey"
     }]});
-    assert_eq!(read::<Catalogue>(&literal).types, vec![machine_type()]);
+    assert_eq!(
+        decode_value::<Catalogue>(&literal).types,
+        vec![machine_type()]
+    );
 }
 
 #[test]
-fn every_field_of_a_machine_type_is_required_and_amounts_are_any_finite_numbers() {
-    let amounts = [
+fn every_field_of_a_machine_type_is_required_and_numeric_fields_accept_finite_numbers() {
+    let numeric_fields = [
         "cores",
         "cards",
         "memGb",
@@ -64,13 +75,13 @@
         "lowPrice",
         "startupS",
     ];
-    assert_required::<MachineType>(&type_message(), &amounts);
-    assert_required::<MachineType>(&type_message(), &["sku", "yards"]);
-    assert_amounts::<MachineType>(&type_message(), &amounts);
+    assert_required::<MachineType>(&machine_type_message(), &numeric_fields);
+    assert_required::<MachineType>(&machine_type_message(), &["sku", "yards"]);
+    assert_finite_numbers::<MachineType>(&machine_type_message(), &numeric_fields);
 }
 
 #[test]
-fn a_rental_request_is_written_and_read_field_by_field() {
+fn every_field_of_a_rental_request_is_encoded_and_decoded() {
     let literal = message!({"hire" => "r-17", "breed" => "g8", "yard" => "a", "loaners" => true,
                             "howMany" => 12});
     let request = RentRequest {
@@ -80,18 +91,21 @@
         spot: true,
         count: 12,
     };
-    assert_eq!(written(&request), literal);
-    let back = read::<RentRequest>(&literal);
+    assert_eq!(encode_to_value(&request), literal);
+    let decoded = decode_value::<RentRequest>(&literal);
     assert_eq!(
-        (back.request.as_str(), back.machine_type.as_str()),
+        (decoded.request.as_str(), decoded.machine_type.as_str()),
         ("r-17", "g8")
     );
-    assert_eq!((back.zone.as_str(), back.spot, back.count), ("a", true, 12));
+    assert_eq!(
+        (decoded.zone.as_str(), decoded.spot, decoded.count),
+        ("a", true, 12)
+    );
     assert_required::<RentRequest>(&literal, &["hire", "breed", "yard", "loaners", "howMany"]);
 }
 
 #[test]
-fn a_rental_request_is_these_bytes() {
+fn a_rental_request_encodes_to_the_expected_bytes() {
     let request = RentRequest {
         request: "r-17".into(),
         machine_type: "g8".into(),
@@ -108,13 +122,16 @@
 }
 
 #[test]
-fn names_of_machines_are_written_and_read() {
+fn machine_names_are_encoded_and_decoded() {
     let literal = message!({"hosts" => ["n-000231", "n-000232"]});
     let names = MachineNames {
         machines: vec!["n-000231".into(), "n-000232".into()],
     };
-    assert_eq!(written(&names), literal);
-    assert_eq!(read::<MachineNames>(&literal).machines, names.machines);
+    assert_eq!(encode_to_value(&names), literal);
+    assert_eq!(
+        decode_value::<MachineNames>(&literal).machines,
+        names.machines
+    );
     assert_required::<MachineNames>(&literal, &["hosts"]);
     // {"hosts": ["n-1"]}
     let bytes = hex("a1 65 686f737473 81 63 6e2d31");
@@ -126,12 +143,12 @@
     );
 }
 
-fn listed_message() -> Value {
+fn listed_machine_message() -> Value {
     message!({"id" => "n-000231", "address" => "10.1.0.232:9000", "breed" => "g8", "yard" => "a",
               "loaners" => true, "standing" => "running", "ageS" => 61.5})
 }
 
-fn assert_listed(machine: &ListedMachine) {
+fn assert_listed_machine(machine: &ListedMachine) {
     assert_eq!(machine.id, "n-000231");
     assert_eq!(machine.address, "10.1.0.232:9000");
     assert_eq!(machine.machine_type, "g8");
@@ -142,34 +159,38 @@
 }
 
 #[test]
-fn a_listed_machine_is_read_and_written_field_by_field() {
-    let machine = read::<ListedMachine>(&listed_message());
-    assert_listed(&machine);
-    assert_eq!(written(&machine), listed_message());
+fn every_field_of_a_listed_machine_is_decoded_and_encoded() {
+    let machine = decode_value::<ListedMachine>(&listed_machine_message());
+    assert_listed_machine(&machine);
+    assert_eq!(encode_to_value(&machine), listed_machine_message());
     assert_required::<ListedMachine>(
-        &listed_message(),
+        &listed_machine_message(),
         &[
             "id", "address", "breed", "yard", "loaners", "standing", "ageS",
         ],
     );
-    assert_amounts::<ListedMachine>(&listed_message(), &["ageS"]);
+    assert_finite_numbers::<ListedMachine>(&listed_machine_message(), &["ageS"]);
     for state in ["starting", "running", "failed"] {
-        let machine = read::<ListedMachine>(&with(&listed_message(), "standing", state.into()));
+        let machine = decode_value::<ListedMachine>(&with(
+            &listed_machine_message(),
+            "standing",
+            state.into(),
+        ));
         assert_eq!(machine.state, state);
     }
 }
 
 #[test]
-fn a_page_of_the_list_is_read_and_written_field_by_field() {
+fn every_field_of_a_page_of_machines_is_decoded_and_encoded() {
     let literal = Value::Map(vec![
-        ("hosts".into(), Value::Array(vec![listed_message()])),
+        ("hosts".into(), Value::Array(vec![listed_machine_message()])),
         ("hasNext".into(), Value::Bool(true)),
     ]);
-    let page = read::<MachineList>(&literal);
+    let page = decode_value::<MachineList>(&literal);
     assert!(page.more);
     assert_eq!(page.machines.len(), 1);
-    assert_listed(&page.machines[0]);
-    assert_eq!(written(&page), literal);
+    assert_listed_machine(&page.machines[0]);
+    assert_eq!(encode_to_value(&page), literal);
     assert_required::<MachineList>(&literal, &["hosts", "hasNext"]);
-    assert!(!read::<MachineList>(&message!({"hosts" => [], "hasNext" => false})).more);
+    assert!(!decode_value::<MachineList>(&message!({"hosts" => [], "hasNext" => false})).more);
 }
--- a/tests/compat/literal.rs
+++ b/tests/compat/literal.rs
@@ -1,60 +1,61 @@
-//! Comparison of messages with literals.
+//! Helpers that compare the program's messages with hand-written CBOR values.
 
 use ciborium::Value;
 use hollowswitch::protocol::{decode, encode};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Builds a literal message; panics where the macro's input cannot be represented.
+/// Builds a CBOR value from a literal.
 macro_rules! message {
     ($($literal:tt)+) => {{
         use ciborium::cbor;
-        cbor!($($literal)+).expect("a literal message")
+        cbor!($($literal)+).expect("the literal is a CBOR value")
     }};
 }
 pub(crate) use message;
 
-/// The bytes of a literal, by the library alone.
-pub(crate) fn bytes(literal: &Value) -> Vec<u8> {
+/// Encodes a literal with `ciborium`, independently of the program's own encoder.
+pub(crate) fn to_cbor(literal: &Value) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(literal, &mut bytes).expect("a literal can be written");
+    ciborium::into_writer(literal, &mut bytes).expect("the literal is encoded");
     bytes
 }
 
-/// What the program reads from a literal.
-pub(crate) fn read<T: DeserializeOwned>(literal: &Value) -> T {
-    try_read(literal).expect("a message of the protocol is read")
+/// Decodes a literal with the program's decoder. Panics if the decoder rejects it.
+pub(crate) fn decode_value<T: DeserializeOwned>(literal: &Value) -> T {
+    try_decode_value(literal).expect("the literal is a valid message")
 }
 
-/// What the program reads from a literal, or nothing if it refuses it.
-pub(crate) fn try_read<T: DeserializeOwned>(literal: &Value) -> Option<T> {
-    decode(&bytes(literal)).ok()
+/// Decodes a literal with the program's decoder. Returns `None` if the decoder rejects it.
+pub(crate) fn try_decode_value<T: DeserializeOwned>(literal: &Value) -> Option<T> {
+    decode(&to_cbor(literal)).ok()
 }
 
-/// What the program writes, read by the library alone. The order of the fields counts.
-pub(crate) fn written<T: Serialize>(message: &T) -> Value {
-    ciborium::from_reader(encode(message).as_slice()).expect("the program writes CBOR")
+/// Encodes a message with the program's encoder and decodes the result with `ciborium`. The value keeps the order of the fields,
+/// so that a comparison with it checks the order as well.
+pub(crate) fn encode_to_value<T: Serialize>(message: &T) -> Value {
+    ciborium::from_reader(encode(message).as_slice()).expect("the encoder writes valid CBOR")
 }
 
-/// Bytes from hexadecimal digits; blanks are for the reader.
+/// Decodes hexadecimal digits. Other characters are skipped, so that spaces can separate groups of digits.
 pub(crate) fn hex(digits: &str) -> Vec<u8> {
     let digits: Vec<char> = digits.chars().filter(char::is_ascii_hexdigit).collect();
     digits
         .chunks(2)
-        .map(|pair| u8::from_str_radix(&String::from_iter(pair), 16).expect("two digits"))
+        .map(|pair| u8::from_str_radix(&String::from_iter(pair), 16).expect("hex digits"))
         .collect()
 }
 
-/// A map without one of its fields.
+/// Returns the map without one of its fields. Panics if the map has no such field.
 pub(crate) fn without(literal: &Value, field: &str) -> Value {
     let mut fields = literal.as_map().expect("a map").clone();
     let before = fields.len();
     fields.retain(|(name, _)| name.as_text() != Some(field));
-    assert_eq!(fields.len() + 1, before, "{field} is in the literal");
+    assert_eq!(fields.len() + 1, before, "{field} is not in the literal");
     Value::Map(fields)
 }
 
-/// A map with another value for one of its fields.
+/// Returns the map with another value for one of its fields. Panics if the map has no such field.
 pub(crate) fn with(literal: &Value, field: &str, value: Value) -> Value {
     let mut fields = literal.as_map().expect("a map").clone();
     let entry = fields
@@ -65,29 +66,29 @@
     Value::Map(fields)
 }
 
-/// Asserts that a message is refused when one of these fields is missing or null.
+/// Asserts that the decoder rejects a message in which any one of these fields is missing or null.
 pub(crate) fn assert_required<T: DeserializeOwned>(literal: &Value, fields: &[&str]) {
-    assert!(try_read::<T>(literal).is_some());
+    assert!(try_decode_value::<T>(literal).is_some());
     for field in fields {
         assert!(
-            try_read::<T>(&without(literal, field)).is_none(),
-            "{field} is missing"
+            try_decode_value::<T>(&without(literal, field)).is_none(),
+            "accepted although {field} is missing"
         );
         assert!(
-            try_read::<T>(&with(literal, field, Value::Null)).is_none(),
-            "{field} is null"
+            try_decode_value::<T>(&with(literal, field, Value::Null)).is_none(),
+            "accepted although {field} is null"
         );
     }
 }
 
-/// Asserts that each of these fields may come as an integer, as a decimal number, but not as an endless one or as text.
-pub(crate) fn assert_amounts<T: DeserializeOwned>(literal: &Value, fields: &[&str]) {
+/// Asserts that each of these fields accepts integers and finite floats, and rejects non-finite floats, text and booleans.
+pub(crate) fn assert_finite_numbers<T: DeserializeOwned>(literal: &Value, fields: &[&str]) {
     let accepted = [
         Value::Integer(3.into()),
         Value::Float(3.0),
         Value::Float(0.25),
     ];
-    let refused = [
+    let rejected = [
         Value::Float(f64::NAN),
         Value::Float(f64::INFINITY),
         Value::Text("3".into()),
@@ -95,12 +96,12 @@
     ];
     for field in fields {
         for value in &accepted {
-            let read = try_read::<T>(&with(literal, field, value.clone()));
-            assert!(read.is_some(), "{field} as {value:?}");
+            let decoded = try_decode_value::<T>(&with(literal, field, value.clone()));
+            assert!(decoded.is_some(), "{field} rejects {value:?}");
         }
-        for value in &refused {
-            let read = try_read::<T>(&with(literal, field, value.clone()));
-            assert!(read.is_none(), "{field} as {value:?}");
+        for value in &rejected {
+            let decoded = try_decode_value::<T>(&with(literal, field, value.clone()));
+            assert!(decoded.is_none(), "{field} accepts {value:?}");
         }
     }
 }
--- a/tests/compat/requests.rs
+++ b/tests/compat/requests.rs
@@ -1,7 +1,7 @@
-//! The program as it is started: what it answers at both of its addresses while the state service refuses everything,
-//! and what it asks of the state service and of the cloud.
+//! Tests of the program as a running process, while the state service and the cloud answer every request with 503: its responses
+//! at both of its addresses, and the requests that it sends to these services.
 
-use super::literal::{bytes, hex, message};
+use super::literal::{hex, message, to_cbor};
 use ciborium::Value;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -11,49 +11,61 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longer than any of these exchanges takes on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of one step of a test. Longer than any exchange in these tests takes on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An outside service that notes the requests and refuses them with 503.
-struct Refusing {
+/// Fake external service that records all requests and answers each with 503.
+struct UnavailableService {
     address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl Refusing {
-    fn start() -> Refusing {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
+impl UnavailableService {
+    /// Starts the service on a free port.
+    fn start() -> UnavailableService {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         let requests = Arc::new(Mutex::new(Vec::new()));
-        let noted = Arc::clone(&requests);
+        let recorded = Arc::clone(&requests);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let noted = Arc::clone(&noted);
-                std::thread::spawn(move || refuse_all(stream, &noted));
+                let recorded = Arc::clone(&recorded);
+                std::thread::spawn(move || serve_503(stream, &recorded));
             }
         });
-        Refusing { address, requests }
+        UnavailableService { address, requests }
     }
 
-    /// Waits for a request that begins so.
-    fn wait_for(&self, start: &str) {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until a request whose start line begins with `prefix` has been received.
+    fn wait_for_request(&self, prefix: &str) {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            let requests = self.requests.lock().expect("no panic").clone();
-            if requests.iter().any(|request| request.starts_with(start)) {
+            let requests = self
+                .requests
+                .lock()
+                .expect("the lock is not poisoned")
+                .clone();
+            if requests.iter().any(|request| request.starts_with(prefix)) {
                 return;
             }
-            assert!(Instant::now() < until, "{start} not among {requests:?}");
+            assert!(
+                Instant::now() < deadline,
+                "no request {prefix} among {requests:?}"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 }
 
-fn refuse_all(stream: TcpStream, requests: &Mutex<Vec<String>>) {
-    let mut writer = stream.try_clone().expect("a second handle");
+/// Records the start line of every request on a connection and answers it with 503.
+fn serve_503(stream: TcpStream, requests: &Mutex<Vec<String>>) {
+    let mut writer = stream.try_clone().expect("the socket is duplicated");
     let mut reader = BufReader::new(stream);
-    while let Some(received) = receive(&mut reader) {
-        requests.lock().expect("no panic").push(received.start_line);
+    while let Some(request) = read_message(&mut reader) {
+        requests
+            .lock()
+            .expect("the lock is not poisoned")
+            .push(request.start_line);
         if writer
             .write_all(b"HTTP/1.1 503 \r\ncontent-length: 0\r\n\r\n")
             .is_err()
@@ -63,31 +75,39 @@
     }
 }
 
-/// A request or an answer.
-struct Received {
+/// HTTP request or response.
+struct HttpMessage {
     start_line: String,
     headers: Vec<(String, String)>,
     body: Vec<u8>,
 }
 
-impl Received {
+impl HttpMessage {
+    /// Returns the value of a header by its lower-case name.
     fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n == name);
         found.map(|(_, value)| value.as_str())
     }
 
+    /// Returns the status code of a response.
     fn status(&self) -> u16 {
-        let status = self.start_line.split(' ').nth(1).expect("a status");
-        status.parse().expect("a number")
+        let status = self
+            .start_line
+            .split(' ')
+            .nth(1)
+            .expect("the start line has a status code");
+        status.parse().expect("the status code is a number")
     }
 
-    fn value(&self) -> Value {
+    /// Decodes the CBOR body.
+    fn cbor_body(&self) -> Value {
         assert_eq!(self.header("content-type"), Some("application/cbor"));
-        ciborium::from_reader(self.body.as_slice()).expect("CBOR")
+        ciborium::from_reader(self.body.as_slice()).expect("the body is CBOR")
     }
 }
 
-fn receive(reader: &mut impl BufRead) -> Option<Received> {
+/// Reads an HTTP message. Returns `None` if the connection ends before its end.
+fn read_message(reader: &mut impl BufRead) -> Option<HttpMessage> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -106,36 +126,37 @@
         .map(|(name, value)| (name.to_lowercase(), value.trim().to_string()))
         .collect();
     let length = headers.iter().find(|(name, _)| name == "content-length");
-    let length = length.map_or(0, |(_, value)| value.parse().expect("a length"));
+    let length = length.map_or(0, |(_, value)| value.parse().expect("a number"));
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
-    Some(Received {
+    Some(HttpMessage {
         start_line: lines[0].clone(),
         headers,
         body,
     })
 }
 
-/// The program, ended when dropped.
+/// A running process of the program, with the fake services that it is configured with. The process is killed on drop.
 struct Program {
     process: Child,
     api: SocketAddr,
     internal: SocketAddr,
-    cloud: Refusing,
-    state: Refusing,
+    cloud: UnavailableService,
+    state: UnavailableService,
 }
 
 impl Program {
+    /// Starts the program with a settings file of this name and waits until it listens on both addresses.
     fn start(name: &str) -> Program {
-        let (cloud, state) = (Refusing::start(), Refusing::start());
+        let (cloud, state) = (UnavailableService::start(), UnavailableService::start());
         let (api, internal) = (free_address(), free_address());
         let settings = format!(
             "node = \"drover-0\"\nzone = \"a\"\napi_addr = \"{api}\"\ninternal_addr = \"{internal}\"\n\
-             [external]\ncloud = \"{}\"\nstate = \"{}\"\n{LIMITS}",
+             [external]\ncloud = \"{}\"\nstate = \"{}\"\n{DEPLOYMENT_SETTINGS}",
             cloud.address, state.address
         );
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
-        std::fs::write(&path, settings).expect("a settings file");
+        std::fs::write(&path, settings).expect("the settings file is written");
         let process = Command::new(env!("CARGO_BIN_EXE_hollowswitch"))
             .arg("--config")
             .arg(&path)
@@ -149,61 +170,71 @@
             cloud,
             state,
         };
-        wait_until_served(api);
-        wait_until_served(internal);
+        wait_until_listening(api);
+        wait_until_listening(internal);
         program
     }
 
-    fn get(&self, path: &str) -> Received {
-        request(self.api, "GET", path, &[])
+    /// Sends a GET request to the API address.
+    fn get(&self, path: &str) -> HttpMessage {
+        send_request(self.api, "GET", path, &[])
     }
 
-    fn post(&self, path: &str, body: &[u8]) -> Received {
-        request(self.api, "POST", path, body)
+    /// Sends a POST request to the API address.
+    fn post(&self, path: &str, body: &[u8]) -> HttpMessage {
+        send_request(self.api, "POST", path, body)
     }
 }
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have ended by itself; the test says so elsewhere.
+        // Fails if the process has already exited, which the requests of the test report.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 }
 
-/// An address of this machine that no other test and no client uses.
+/// Returns a free loopback address. Its host is derived from the process id and a counter, so that neither another test nor the
+/// local end of an outgoing connection takes the address.
 fn free_address() -> SocketAddr {
-    static NEXT: AtomicU8 = AtomicU8::new(1);
+    static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id().to_le_bytes()[0];
-    let host = NEXT.fetch_add(1, Ordering::Relaxed);
+    let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     let listener = TcpListener::bind((Ipv4Addr::new(127, 77, process, host), 0));
-    let listener = listener.expect("a free port");
-    listener.local_addr().expect("an address")
+    let listener = listener.expect("a port is free");
+    listener.local_addr().expect("the listener has an address")
 }
 
-fn wait_until_served(address: SocketAddr) {
-    let until = Instant::now() + PATIENCE;
+/// Waits until the program accepts connections at an address.
+fn wait_until_listening(address: SocketAddr) {
+    let deadline = Instant::now() + TIMEOUT;
     while TcpStream::connect(address).is_err() {
-        assert!(Instant::now() < until, "the program listens");
+        assert!(
+            Instant::now() < deadline,
+            "the program does not listen at {address}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-fn request(to: SocketAddr, method: &str, path: &str, body: &[u8]) -> Received {
-    let mut stream = TcpStream::connect(to).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+/// Sends a request on a new connection and returns the response.
+fn send_request(address: SocketAddr, method: &str, path: &str, body: &[u8]) -> HttpMessage {
+    let mut stream = TcpStream::connect(address).expect("the connection is opened");
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the timeout is set");
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    stream.write_all(head.as_bytes()).expect("sent");
-    // The program may answer and close before it has read the whole of a large body.
+    stream.write_all(head.as_bytes()).expect("the head is sent");
+    // The program may respond and close the connection before it has read all of a large body.
     let _ = stream.write_all(body);
-    receive(&mut BufReader::new(stream)).expect("an answer")
+    read_message(&mut BufReader::new(stream)).expect("a response arrives")
 }
 
-/// The part of the settings that does not differ.
-const LIMITS: &str = "
+/// Part of the settings that is the same in all tests.
+const DEPLOYMENT_SETTINGS: &str = "
 [deployment]
 [deployment.workers]
 report_s = 1.5
@@ -221,8 +252,9 @@
 max_connections = 100
 ";
 
+/// Returns an encoded submission.
 fn submission(id: &str) -> Vec<u8> {
-    bytes(&message!({
+    to_cbor(&message!({
         "id" => id, "lane" => "train", "crew" => "vision", "shape" => "array",
         "rank" => "urgent", "chores" => 1, "cores" => 1.0, "cards" => 0.0, "memGb" => 1.0,
         "bundle" => "img-07", "pullGb" => 1.0, "together" => false, "scatter" => false,
@@ -230,146 +262,173 @@
     }))
 }
 
-fn error(text: &str) -> Value {
+/// Returns the body of an error response.
+fn error_body(text: &str) -> Value {
     message!({ "error" => text })
 }
 
 #[test]
-fn a_malformed_submission_gets_400_with_the_field() {
+fn an_invalid_submission_gets_400_with_the_reason() {
     let program = Program::start("malformed");
     for body in [&b""[..], b"{}", &hex("a0"), &hex("80"), &hex("f6")] {
-        let answer = program.post("/v1/jobs", body);
-        assert_eq!((answer.status(), answer.value()), (400, error("malformed")));
+        let response = program.post("/v1/jobs", body);
+        assert_eq!(
+            (response.status(), response.cbor_body()),
+            (400, error_body("malformed"))
+        );
     }
     let mut trailing = submission("wk-1");
     trailing.push(0);
-    let answer = program.post("/v1/jobs", &trailing);
-    assert_eq!((answer.status(), answer.value()), (400, error("malformed")));
-    let answer = program.post("/v1/jobs", &submission("job-1"));
-    assert_eq!((answer.status(), answer.value()), (400, error("id")));
+    let response = program.post("/v1/jobs", &trailing);
+    assert_eq!(
+        (response.status(), response.cbor_body()),
+        (400, error_body("malformed"))
+    );
+    let response = program.post("/v1/jobs", &submission("job-1"));
+    assert_eq!(
+        (response.status(), response.cbor_body()),
+        (400, error_body("id"))
+    );
 }
 
 #[test]
-fn a_body_over_the_limit_gets_413() {
+fn a_body_above_the_size_limit_gets_413() {
     let program = Program::start("too-large");
-    let answer = program.post("/v1/jobs", &vec![0; 65_537]);
-    assert_eq!(answer.status(), 413);
-    let answer = program.post("/hello", &vec![0; 65_537]);
-    assert_eq!((answer.status(), answer.value()), (400, error("malformed")));
-    let answer = program.post("/hello", &vec![0; 1_048_577]);
-    assert_eq!(answer.status(), 413);
+    let response = program.post("/v1/jobs", &vec![0; 65_537]);
+    assert_eq!(response.status(), 413);
+    let response = program.post("/hello", &vec![0; 65_537]);
+    assert_eq!(
+        (response.status(), response.cbor_body()),
+        (400, error_body("malformed"))
+    );
+    let response = program.post("/hello", &vec![0; 1_048_577]);
+    assert_eq!(response.status(), 413);
 }
 
 #[test]
-fn a_user_whom_the_node_cannot_serve_gets_503_with_retry_after_and_a_closed_connection() {
+fn a_user_request_during_a_store_outage_gets_503_with_retry_after_and_a_closed_connection() {
     let program = Program::start("later");
-    let answers = [
+    let responses = [
         program.post("/v1/jobs", &submission("wk-1")),
         program.get("/v1/jobs/wk-1"),
         program.post("/v1/jobs/wk-1/abort", &[]),
     ];
-    for answer in answers {
-        assert_eq!((answer.status(), answer.value()), (503, error("try again")));
-        assert_eq!(answer.header("retry-after"), Some("1"));
-        assert_eq!(answer.header("connection"), Some("close"));
+    for response in responses {
+        assert_eq!(
+            (response.status(), response.cbor_body()),
+            (503, error_body("try again"))
+        );
+        assert_eq!(response.header("retry-after"), Some("1"));
+        assert_eq!(response.header("connection"), Some("close"));
     }
 }
 
 #[test]
-fn what_no_user_can_have_submitted_and_unknown_paths_get_404() {
+fn invalid_job_ids_and_unknown_paths_get_404() {
     let program = Program::start("unknown");
-    for answer in [
+    for response in [
         program.get("/v1/jobs/job-1"),
         program.post("/v1/jobs/wk-x/abort", &[]),
     ] {
         assert_eq!(
-            (answer.status(), answer.value()),
-            (404, error("no such job"))
+            (response.status(), response.cbor_body()),
+            (404, error_body("no such job"))
         );
-        assert_eq!(answer.header("retry-after"), None);
+        assert_eq!(response.header("retry-after"), None);
     }
     for path in ["/", "/v1", "/v1/job", "/peer/view", "/peer/cancelled"] {
-        let answer = program.get(path);
+        let response = program.get(path);
         assert_eq!(
-            (answer.status(), answer.value()),
-            (404, error("no such path"))
+            (response.status(), response.cbor_body()),
+            (404, error_body("no such path"))
         );
     }
-    let answer = request(program.internal, "GET", "/up", &[]);
+    let response = send_request(program.internal, "GET", "/up", &[]);
     assert_eq!(
-        (answer.status(), answer.value()),
-        (404, error("no such path"))
+        (response.status(), response.cbor_body()),
+        (404, error_body("no such path"))
     );
 }
 
 #[test]
-fn a_worker_that_is_not_served_here_is_told_so_and_its_connection_closed() {
+fn a_heartbeat_to_a_controller_without_authority_gets_503_and_a_closed_connection() {
     let program = Program::start("worker");
-    let report = bytes(&message!({
+    let heartbeat = to_cbor(&message!({
         "host" => "n-000231", "address" => "10.1.0.232:9000", "breed" => "g8", "yard" => "a",
         "loaners" => true, "shift" => 1, "tally" => 1, "baton" => 0, "chores" => []
     }));
-    let answer = program.post("/hello", &report);
+    let response = program.post("/hello", &heartbeat);
+    assert_eq!(
+        (response.status(), response.cbor_body()),
+        (503, error_body("no authority to act"))
+    );
+    assert_eq!(response.header("connection"), Some("close"));
+    let response = program.post("/hello", b"nonsense");
     assert_eq!(
-        (answer.status(), answer.value()),
-        (503, error("no authority to act"))
+        (response.status(), response.cbor_body()),
+        (400, error_body("malformed"))
     );
-    assert_eq!(answer.header("connection"), Some("close"));
-    let answer = program.post("/hello", b"nonsense");
-    assert_eq!((answer.status(), answer.value()), (400, error("malformed")));
-    assert_eq!(answer.header("connection"), None);
+    assert_eq!(response.header("connection"), None);
 }
 
 #[test]
-fn peers_are_answered_at_their_address_only() {
+fn peer_requests_are_served_only_at_the_internal_address() {
     let program = Program::start("peers");
-    let nobody = hex("0000000000000000 0000000000000000 0000000000000000 00 00 00");
-    let answer = request(program.internal, "POST", "/peer/view", &nobody);
-    assert_eq!(answer.status(), 200);
-    // Its own view: its name, no epoch, no revision, whether the state service answers, neither rate nor counts. It has
-    // just begun, so that it may or may not have found out that the state service refuses everything.
-    let before = hex("0800000000000000 64726f7665722d30 0000000000000000 0000000000000000");
-    let (start, rest) = answer.body.split_at(before.len());
-    assert_eq!(start, before);
+    let empty_view = hex("0000000000000000 0000000000000000 0000000000000000 00 00 00");
+    let response = send_request(program.internal, "POST", "/peer/view", &empty_view);
+    assert_eq!(response.status(), 200);
+    // The view of the program itself: its name, no epoch, no revision, whether the state service is reachable, no rate of changes
+    // and no task counts. Right after its start, the program may not have noticed yet that the state service is unavailable.
+    let expected_start = hex("0800000000000000 64726f7665722d30 0000000000000000 0000000000000000");
+    let (start, rest) = response.body.split_at(expected_start.len());
+    assert_eq!(start, expected_start);
     assert!(matches!(rest, [0 | 1, 0, 0]), "{rest:?}");
     let no_jobs = hex("0000000000000000");
-    let answer = request(program.internal, "POST", "/peer/cancelled", &no_jobs);
+    let response = send_request(program.internal, "POST", "/peer/cancelled", &no_jobs);
     assert_eq!(
-        (answer.status(), answer.body),
+        (response.status(), response.body),
         (200, hex("0000000000000000"))
     );
     for path in ["/peer/view", "/peer/cancelled"] {
-        let answer = request(program.internal, "POST", path, b"x");
-        assert_eq!((answer.status(), answer.value()), (400, error("malformed")));
-        assert_eq!(program.post(path, &nobody).status(), 404);
+        let response = send_request(program.internal, "POST", path, b"x");
+        assert_eq!(
+            (response.status(), response.cbor_body()),
+            (400, error_body("malformed"))
+        );
+        assert_eq!(program.post(path, &empty_view).status(), 404);
     }
 }
 
 #[test]
-fn a_node_without_the_state_service_reads_it_again_and_says_that_it_cannot_serve() {
+fn a_controller_without_the_state_service_is_not_ready_and_sends_no_cloud_requests() {
     let program = Program::start("outage");
     assert_eq!(program.get("/up").status(), 503);
     program
         .state
-        .wait_for("GET /keys?starts=hollowswitch/catalogue&after=&limit=200 HTTP/1.1");
-    assert!(program.cloud.requests.lock().expect("no panic").is_empty());
+        .wait_for_request("GET /keys?starts=hollowswitch/catalogue&after=&limit=200 HTTP/1.1");
+    assert!(program
+        .cloud
+        .requests
+        .lock()
+        .expect("the lock is not poisoned")
+        .is_empty());
 }
 
 #[test]
-fn wrong_settings_end_the_program_with_status_2_and_the_reason() {
-    let run = |arguments: &[&str]| {
+fn a_missing_settings_file_ends_the_program_with_status_2_and_a_valid_one_passes_the_check() {
+    let run_with = |arguments: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_hollowswitch"))
             .args(arguments)
             .output()
-            .expect("the program runs");
-        let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
+            .expect("the program starts");
+        let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("the output is UTF-8");
         (
             output.status.code(),
             text(output.stdout),
             text(output.stderr),
         )
     };
-    let (status, _, errors) = run(&["--config", "/nonexistent/p.toml"]);
+    let (status, _, errors) = run_with(&["--config", "/nonexistent/p.toml"]);
     assert_eq!(status, Some(2));
     assert!(
         errors.starts_with("hollowswitch: /nonexistent/p.toml: "),
@@ -379,7 +438,12 @@
     let addresses = "node = \"drover-0\"\nzone = \"a\"\napi_addr = \"127.0.0.1:1\"\n\
                      internal_addr = \"127.0.0.1:2\"\n[external]\ncloud = \"127.0.0.1:3\"\n\
                      state = \"127.0.0.1:4\"\n";
-    std::fs::write(&path, format!("{addresses}{LIMITS}")).expect("a settings file");
-    let (status, output, _) = run(&["--check", "--config", path.to_str().expect("text")]);
+    std::fs::write(&path, format!("{addresses}{DEPLOYMENT_SETTINGS}"))
+        .expect("the settings file is written");
+    let (status, output, _) = run_with(&[
+        "--check",
+        "--config",
+        path.to_str().expect("the path is UTF-8"),
+    ]);
     assert_eq!((status, output.as_str()), (Some(0), "settings are valid\n"));
 }
--- a/tests/compat/state_service.rs
+++ b/tests/compat/state_service.rs
@@ -1,13 +1,15 @@
-//! The state service: transactions, pages, watches and leases.
+//! Messages exchanged with the state service: transactions, pages of keys, watches and leases.
 
-use super::literal::{assert_required, hex, message, read, try_read, with, without, written};
+use super::literal::{
+    assert_required, decode_value, encode_to_value, hex, message, try_decode_value, with, without,
+};
 use ciborium::Value;
 use hollowswitch::protocol::{
     encode, Change, Event, Guard, Item, LeaseReply, LeaseRequest, Page, Revision, Txn, TxnReply,
     Watched,
 };
 
-/// A transaction with every kind of change.
+/// Returns a transaction with a put with a lease, a put without one, and a delete.
 fn transaction() -> Txn {
     Txn {
         guards: vec![Guard {
@@ -31,16 +33,16 @@
 }
 
 #[test]
-fn a_transaction_is_written_and_read_field_by_field() {
+fn every_field_of_a_transaction_is_encoded_and_decoded() {
     let literal = message!({
         "guards" => [{"path" => "a/b", "stamp" => 412}],
         "apply" => [{"put" => "a/b", "v" => {"x" => 1}, "tenure" => 7},
                     {"put" => "a/c", "v" => null},
                     {"drop" => "c/d"}]
     });
-    assert_eq!(written(&transaction()), literal);
-    assert_eq!(read::<Txn>(&literal), transaction());
-    assert!(try_read::<Txn>(&without(&literal, "guards")).is_none());
+    assert_eq!(encode_to_value(&transaction()), literal);
+    assert_eq!(decode_value::<Txn>(&literal), transaction());
+    assert!(try_decode_value::<Txn>(&without(&literal, "guards")).is_none());
     let with_null = message!({"guards" => [], "apply" => [
         {"put" => "a/c", "v" => 1, "tenure" => null}]});
     let expected = Change::Put {
@@ -48,11 +50,11 @@
         value: message!(1),
         lease: None,
     };
-    assert_eq!(read::<Txn>(&with_null).apply, vec![expected]);
+    assert_eq!(decode_value::<Txn>(&with_null).apply, vec![expected]);
 }
 
 #[test]
-fn a_transaction_is_these_bytes() {
+fn a_transaction_encodes_to_the_expected_bytes() {
     // {"guards": [{"path": "a/b", "stamp": 412}],
     //  "apply": [{"put": "a/b", "v": {"x": 1}, "tenure": 7}, {"put": "a/c", "v": null}, {"drop": "c/d"}]}
     let expected = hex(
@@ -66,8 +68,8 @@
 }
 
 #[test]
-fn a_comparison_has_no_changes() {
-    let compare = Txn {
+fn a_transaction_without_changes_has_no_apply_field() {
+    let guards_only = Txn {
         guards: vec![Guard {
             key: "a/b".into(),
             version: Revision::ZERO,
@@ -75,34 +77,34 @@
         apply: Vec::new(),
     };
     let literal = message!({"guards" => [{"path" => "a/b", "stamp" => 0}]});
-    assert_eq!(written(&compare), literal);
-    assert_eq!(read::<Txn>(&literal), compare);
+    assert_eq!(encode_to_value(&guards_only), literal);
+    assert_eq!(decode_value::<Txn>(&literal), guards_only);
     // {"guards": []}
     assert_eq!(encode(&Txn::default()), hex("a1 66 677561726473 80"));
 }
 
 #[test]
-fn conditions_and_changes_need_their_fields() {
+fn fields_of_guards_and_changes_are_required() {
     assert_required::<Guard>(
         &message!({"path" => "a/b", "stamp" => 412}),
         &["path", "stamp"],
     );
-    assert!(try_read::<Change>(&message!({"put" => "a"})).is_none());
-    assert!(try_read::<Change>(&message!({"v" => 1})).is_none());
-    assert!(try_read::<Change>(&message!({})).is_none());
+    assert!(try_decode_value::<Change>(&message!({"put" => "a"})).is_none());
+    assert!(try_decode_value::<Change>(&message!({"v" => 1})).is_none());
+    assert!(try_decode_value::<Change>(&message!({})).is_none());
 }
 
 #[test]
-fn the_outcome_of_a_transaction_is_read_and_written() {
-    let applied = read::<TxnReply>(&message!({"ledger" => 432}));
+fn a_transaction_reply_is_decoded_and_encoded() {
+    let applied = decode_value::<TxnReply>(&message!({"ledger" => 432}));
     assert_eq!((applied.failed.len(), applied.revision.as_u64()), (0, 432));
     let literal = message!({"failed" => ["a/b", "c"], "ledger" => 431});
-    let failed = read::<TxnReply>(&literal);
+    let failed = decode_value::<TxnReply>(&literal);
     assert_eq!(
         (failed.failed.clone(), failed.revision.as_u64()),
         (vec!["a/b".to_string(), "c".to_string()], 431)
     );
-    assert_eq!(written(&failed), literal);
+    assert_eq!(encode_to_value(&failed), literal);
     assert_required::<TxnReply>(&message!({"ledger" => 1}), &["ledger"]);
 }
 
@@ -111,23 +113,23 @@
 }
 
 #[test]
-fn a_key_is_read_and_written_field_by_field() {
-    let item = read::<Item>(&item_message());
+fn every_field_of_an_item_is_decoded_and_encoded() {
+    let item = decode_value::<Item>(&item_message());
     assert_eq!((item.key.as_str(), item.version.as_u64()), ("a/b", 412));
     assert_eq!(item.value, message!({"x" => [1, "y"]}));
-    assert_eq!(written(&item), without(&item_message(), "tenure"));
-    assert!(try_read::<Item>(&without(&item_message(), "path")).is_none());
-    assert!(try_read::<Item>(&without(&item_message(), "v")).is_none());
-    assert!(try_read::<Item>(&without(&item_message(), "stamp")).is_none());
-    let null = read::<Item>(&with(&item_message(), "v", Value::Null));
+    assert_eq!(encode_to_value(&item), without(&item_message(), "tenure"));
+    assert!(try_decode_value::<Item>(&without(&item_message(), "path")).is_none());
+    assert!(try_decode_value::<Item>(&without(&item_message(), "v")).is_none());
+    assert!(try_decode_value::<Item>(&without(&item_message(), "stamp")).is_none());
+    let null = decode_value::<Item>(&with(&item_message(), "v", Value::Null));
     assert_eq!(null.value, Value::Null);
 }
 
 #[test]
-fn a_page_of_keys_is_read_and_written_field_by_field() {
+fn every_field_of_a_page_of_keys_is_decoded_and_encoded() {
     let literal = message!({"rows" => [{"path" => "c/8", "v" => 5, "stamp" => 430}],
                             "hasNext" => true, "ledger" => 431});
-    let page = read::<Page>(&literal);
+    let page = decode_value::<Page>(&literal);
     assert_eq!(
         (page.items.len(), page.more, page.revision.as_u64()),
         (1, true, 431)
@@ -137,16 +139,18 @@
         ("c/8", 430)
     );
     assert_eq!(page.items[0].value, message!(5));
-    assert_eq!(written(&page), literal);
+    assert_eq!(encode_to_value(&page), literal);
     assert_required::<Page>(&literal, &["rows", "hasNext", "ledger"]);
-    assert!(!read::<Page>(&message!({"rows" => [], "hasNext" => false, "ledger" => 1})).more);
+    assert!(
+        !decode_value::<Page>(&message!({"rows" => [], "hasNext" => false, "ledger" => 1})).more
+    );
 }
 
 #[test]
-fn a_watch_is_read_and_written_field_by_field() {
+fn every_field_of_a_watch_response_is_decoded_and_encoded() {
     let literal = message!({"ledger" => 433, "events" => [
         {"put" => "c/9", "v" => {"x" => 1}, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}]});
-    let watched = read::<Watched>(&literal);
+    let watched = decode_value::<Watched>(&literal);
     assert_eq!(watched.revision.as_u64(), 433);
     let [Event::Put {
         put,
@@ -154,51 +158,55 @@
         version,
     }, Event::Delete {
         key,
-        version: removed,
+        version: deleted_at,
     }] = watched.events.as_slice()
     else {
-        panic!("a put and a removal: {:?}", watched.events);
+        panic!("expected a put and a delete: {:?}", watched.events);
     };
     assert_eq!(
         (put.as_str(), value, version.as_u64()),
         ("c/9", &message!({"x" => 1}), 433)
     );
-    assert_eq!((key.as_str(), removed.as_u64()), ("c/d", 432));
-    assert_eq!(written(&watched), literal);
+    assert_eq!((key.as_str(), deleted_at.as_u64()), ("c/d", 432));
+    assert_eq!(encode_to_value(&watched), literal);
     assert_required::<Watched>(&literal, &["ledger", "events"]);
-    assert!(read::<Watched>(&message!({"ledger" => 1, "events" => []}))
-        .events
-        .is_empty());
+    assert!(
+        decode_value::<Watched>(&message!({"ledger" => 1, "events" => []}))
+            .events
+            .is_empty()
+    );
 }
 
 #[test]
-fn an_event_is_a_write_or_a_removal() {
+fn an_event_is_either_a_put_or_a_delete() {
     let absent = message!({"put" => "c/9", "stamp" => 1});
     let null = message!({"put" => "c/9", "v" => null, "drop" => null, "stamp" => 1});
     for literal in [absent, null] {
-        let Event::Put { value, .. } = read::<Event>(&literal) else {
-            panic!("a write");
+        let Event::Put { value, .. } = decode_value::<Event>(&literal) else {
+            panic!("expected a put");
         };
         assert_eq!(value, Value::Null);
     }
-    assert!(try_read::<Event>(&message!({"put" => "a", "drop" => "a", "stamp" => 1})).is_none());
-    assert!(try_read::<Event>(&message!({"v" => 1, "stamp" => 1})).is_none());
-    assert!(try_read::<Event>(&message!({"put" => "a", "v" => 1})).is_none());
-    assert!(try_read::<Event>(&message!({"drop" => "a"})).is_none());
+    assert!(
+        try_decode_value::<Event>(&message!({"put" => "a", "drop" => "a", "stamp" => 1})).is_none()
+    );
+    assert!(try_decode_value::<Event>(&message!({"v" => 1, "stamp" => 1})).is_none());
+    assert!(try_decode_value::<Event>(&message!({"put" => "a", "v" => 1})).is_none());
+    assert!(try_decode_value::<Event>(&message!({"drop" => "a"})).is_none());
 }
 
 #[test]
-fn a_lease_is_asked_for_and_given() {
+fn a_lease_request_and_its_reply_are_encoded_and_decoded() {
     let request = LeaseRequest { ttl_ms: 5000 };
     let literal = message!({"lifeMs" => 5000});
-    assert_eq!(written(&request), literal);
+    assert_eq!(encode_to_value(&request), literal);
     // {"lifeMs": 5000}
     assert_eq!(encode(&request), hex("a1 66 6c6966654d73 19 1388"));
-    assert_eq!(read::<LeaseRequest>(&literal).ttl_ms, 5000);
+    assert_eq!(decode_value::<LeaseRequest>(&literal).ttl_ms, 5000);
     assert_required::<LeaseRequest>(&literal, &["lifeMs"]);
-    let given = message!({"tenure" => 7});
-    let reply = read::<LeaseReply>(&given);
+    let reply_message = message!({"tenure" => 7});
+    let reply = decode_value::<LeaseReply>(&reply_message);
     assert_eq!(reply.lease, 7);
-    assert_eq!(written(&reply), given);
-    assert_required::<LeaseReply>(&given, &["tenure"]);
+    assert_eq!(encode_to_value(&reply), reply_message);
+    assert_required::<LeaseReply>(&reply_message, &["tenure"]);
 }
--- a/tests/compat/users.rs
+++ b/tests/compat/users.rs
@@ -1,7 +1,8 @@
-//! Users: submissions, and what they are told of a job.
+//! Messages exchanged with users: submissions of jobs and views of their state.
 
 use super::literal::{
-    assert_amounts, assert_required, hex, message, read, try_read, with, without, written,
+    assert_finite_numbers, assert_required, decode_value, encode_to_value, hex, message,
+    try_decode_value, with, without,
 };
 use ciborium::Value;
 use hollowswitch::protocol::{
@@ -9,7 +10,7 @@
     TASK_LIMIT,
 };
 
-/// The submission that the protocol's page shows.
+/// Returns the submission that the protocol documentation gives as an example.
 fn submission() -> Value {
     message!({
         "id" => "wk-000412", "lane" => "train", "crew" => "vision", "shape" => "array",
@@ -20,8 +21,8 @@
     })
 }
 
-/// The same, as the program has it.
-fn job() -> JobSpec {
+/// Returns the decoded form of [`submission`].
+fn job_spec() -> JobSpec {
     JobSpec {
         id: "wk-000412".into(),
         class: "train".into(),
@@ -47,9 +48,9 @@
 }
 
 #[test]
-fn a_submission_is_read_and_written_field_by_field() {
-    assert_eq!(read::<JobSpec>(&submission()), job());
-    assert_eq!(written(&job()), submission());
+fn every_field_of_a_submission_is_decoded_and_encoded() {
+    assert_eq!(decode_value::<JobSpec>(&submission()), job_spec());
+    assert_eq!(encode_to_value(&job_spec()), submission());
     let opposite = with(&submission(), "together", Value::Bool(false));
     let opposite = with(&opposite, "scatter", Value::Bool(true));
     let opposite = with(&opposite, "loaners", Value::Bool(false));
@@ -57,17 +58,17 @@
         single_zone: false,
         spread_zones: true,
         spot: false,
-        ..job()
+        ..job_spec()
     };
-    assert_eq!(read::<JobSpec>(&opposite), expected);
-    assert_eq!(written(&expected), opposite);
+    assert_eq!(decode_value::<JobSpec>(&opposite), expected);
+    assert_eq!(encode_to_value(&expected), opposite);
 }
 
 #[test]
-fn a_submission_is_these_bytes() {
-    let bytes = hex(SUBMISSION);
-    assert_eq!(decode::<JobSpec>(&bytes).ok(), Some(job()));
-    assert_eq!(encode(&job()), bytes);
+fn a_submission_encodes_to_the_expected_bytes() {
+    let bytes = hex(SUBMISSION_HEX);
+    assert_eq!(decode::<JobSpec>(&bytes).ok(), Some(job_spec()));
+    assert_eq!(encode(&job_spec()), bytes);
 }
 
 #[test]
@@ -82,16 +83,16 @@
         types: None,
         zone: None,
         deadline_s: None,
-        ..job()
+        ..job_spec()
     };
-    assert_eq!(read::<JobSpec>(&with_null), expected);
-    assert_eq!(read::<JobSpec>(&absent), expected);
-    assert_eq!(written(&expected), with_null);
+    assert_eq!(decode_value::<JobSpec>(&with_null), expected);
+    assert_eq!(decode_value::<JobSpec>(&absent), expected);
+    assert_eq!(encode_to_value(&expected), with_null);
     for field in ["breeds", "yard", "dueS"] {
-        let one_null = read::<JobSpec>(&with(&submission(), field, Value::Null));
-        let one_absent = read::<JobSpec>(&without(&submission(), field));
+        let one_null = decode_value::<JobSpec>(&with(&submission(), field, Value::Null));
+        let one_absent = decode_value::<JobSpec>(&without(&submission(), field));
         assert_eq!(one_null, one_absent);
-        assert_ne!(one_null, job(), "{field}");
+        assert_ne!(one_null, job_spec(), "{field}");
     }
 }
 
@@ -122,8 +123,8 @@
 }
 
 #[test]
-fn amounts_of_a_submission_are_any_finite_numbers_and_counts_are_integers() {
-    assert_amounts::<JobSpec>(
+fn numeric_fields_of_a_submission_accept_finite_numbers_and_counts_only_integers() {
+    assert_finite_numbers::<JobSpec>(
         &submission(),
         &[
             "cores",
@@ -136,23 +137,25 @@
             "dueS",
         ],
     );
-    assert!(try_read::<JobSpec>(&with(&submission(), "chores", Value::Float(1.5))).is_none());
-    assert!(try_read::<JobSpec>(&with(&submission(), "chores", message!(-1))).is_none());
+    assert!(
+        try_decode_value::<JobSpec>(&with(&submission(), "chores", Value::Float(1.5))).is_none()
+    );
+    assert!(try_decode_value::<JobSpec>(&with(&submission(), "chores", message!(-1))).is_none());
 }
 
 #[test]
 fn unknown_fields_of_a_submission_are_ignored() {
     let mut fields = submission().into_map().unwrap();
     fields.push(("mood".into(), message!({"deep" => [1, 2, null]})));
-    assert_eq!(read::<JobSpec>(&Value::Map(fields)), job());
+    assert_eq!(decode_value::<JobSpec>(&Value::Map(fields)), job_spec());
 }
 
 #[test]
-fn what_is_no_map_and_what_has_trailing_bytes_is_refused() {
-    assert!(try_read::<JobSpec>(&message!("wk-1")).is_none());
-    assert!(try_read::<JobSpec>(&message!(null)).is_none());
+fn other_items_than_maps_and_trailing_or_missing_bytes_are_rejected() {
+    assert!(try_decode_value::<JobSpec>(&message!("wk-1")).is_none());
+    assert!(try_decode_value::<JobSpec>(&message!(null)).is_none());
     assert!(decode::<JobSpec>(&[]).is_err());
-    let mut bytes = hex(SUBMISSION);
+    let mut bytes = hex(SUBMISSION_HEX);
     bytes.push(0xf6);
     assert!(decode::<JobSpec>(&bytes).is_err());
     bytes.truncate(bytes.len() - 2);
@@ -160,42 +163,45 @@
 }
 
 #[test]
-fn shapes_have_these_names() {
+fn job_kinds_have_their_wire_names() {
     for (kind, name) in [
         (JobKind::Array, "array"),
         (JobKind::Service, "daemon"),
         (JobKind::Gang, "gang"),
     ] {
         let literal = with(&submission(), "shape", name.into());
-        let expected = JobSpec { kind, ..job() };
-        assert_eq!(read::<JobSpec>(&literal), expected);
-        assert_eq!(written(&expected), literal);
-        assert_eq!(written(&kind), Value::from(name));
+        let expected = JobSpec { kind, ..job_spec() };
+        assert_eq!(decode_value::<JobSpec>(&literal), expected);
+        assert_eq!(encode_to_value(&expected), literal);
+        assert_eq!(encode_to_value(&kind), Value::from(name));
     }
-    assert!(try_read::<JobKind>(&message!("service")).is_none());
+    assert!(try_decode_value::<JobKind>(&message!("service")).is_none());
 }
 
 #[test]
-fn ranks_have_these_names_and_this_order() {
-    let ranks = [
+fn priorities_have_their_wire_names_and_are_ordered() {
+    let priorities = [
         (Priority::Production, "prod"),
         (Priority::High, "urgent"),
         (Priority::Normal, "standard"),
         (Priority::Low, "idle"),
     ];
-    for (priority, name) in ranks {
+    for (priority, name) in priorities {
         let literal = with(&submission(), "rank", name.into());
-        let expected = JobSpec { priority, ..job() };
-        assert_eq!(read::<JobSpec>(&literal), expected);
-        assert_eq!(written(&expected), literal);
-        assert_eq!(written(&priority), Value::from(name));
+        let expected = JobSpec {
+            priority,
+            ..job_spec()
+        };
+        assert_eq!(decode_value::<JobSpec>(&literal), expected);
+        assert_eq!(encode_to_value(&expected), literal);
+        assert_eq!(encode_to_value(&priority), Value::from(name));
     }
-    assert!(ranks.is_sorted_by_key(|(priority, _)| *priority));
-    assert!(try_read::<Priority>(&message!("high")).is_none());
+    assert!(priorities.is_sorted_by_key(|(priority, _)| *priority));
+    assert!(try_decode_value::<Priority>(&message!("high")).is_none());
 }
 
 #[test]
-fn a_job_is_described_to_its_user_in_these_words() {
+fn views_of_a_job_in_every_state_are_encoded_and_decoded() {
     let view = |state, done, running| JobView {
         id: "wk-000412".into(),
         state,
@@ -221,12 +227,15 @@
         ),
     ];
     for (view, literal) in cases {
-        assert_eq!(written(&view), literal);
-        assert_eq!(read::<JobView>(&literal), view);
+        assert_eq!(encode_to_value(&view), literal);
+        assert_eq!(decode_value::<JobView>(&literal), view);
     }
     let null =
         message!({"id" => "wk-000412", "standing" => "queued", "done" => null, "running" => null});
-    assert_eq!(read::<JobView>(&null), view(JobState::Queued, None, None));
+    assert_eq!(
+        decode_value::<JobView>(&null),
+        view(JobState::Queued, None, None)
+    );
     assert_required::<JobView>(
         &message!({"id" => "wk-1", "standing" => "queued"}),
         &["id", "standing"],
@@ -234,7 +243,7 @@
 }
 
 #[test]
-fn a_description_of_a_job_is_these_bytes() {
+fn a_view_of_a_job_encodes_to_the_expected_bytes() {
     let view = JobView {
         id: "wk-000412".into(),
         state: JobState::Running,
@@ -250,7 +259,7 @@
 }
 
 #[test]
-fn job_ids_have_one_form() {
+fn job_ids_are_wk_and_1_to_20_digits() {
     for id in ["wk-0", "wk-000412", "wk-12345678901234567890"] {
         assert!(is_job_id(id), "{id}");
     }
@@ -268,51 +277,54 @@
     }
 }
 
-/// What the user of a refused submission is told: the name of the field, as it was written.
-fn refusal(change: impl FnOnce(&mut JobSpec)) -> String {
-    let mut job = job();
+/// Returns the error text that the user receives for a submission with an invalid field.
+fn validation_error(change: impl FnOnce(&mut JobSpec)) -> String {
+    let mut job = job_spec();
     change(&mut job);
-    job.validate().expect_err("refused").to_string()
+    job.validate().expect_err("the job is invalid").to_string()
 }
 
 #[test]
-fn a_refused_name_is_named_as_the_user_wrote_it() {
-    assert!(job().validate().is_ok());
-    assert_eq!(refusal(|job| job.id = "wk-x".into()), "id");
+fn an_invalid_name_is_reported_by_its_wire_name() {
+    assert!(job_spec().validate().is_ok());
+    assert_eq!(validation_error(|job| job.id = "wk-x".into()), "id");
     for bad in [String::new(), "x".repeat(201)] {
         let names = "lane, crew or bundle";
-        assert_eq!(refusal(|job| job.class.clone_from(&bad)), names);
-        assert_eq!(refusal(|job| job.team.clone_from(&bad)), names);
-        assert_eq!(refusal(|job| job.image.clone_from(&bad)), names);
-        assert_eq!(refusal(|job| job.zone = Some(bad.clone())), "yard");
+        assert_eq!(validation_error(|job| job.class.clone_from(&bad)), names);
+        assert_eq!(validation_error(|job| job.team.clone_from(&bad)), names);
+        assert_eq!(validation_error(|job| job.image.clone_from(&bad)), names);
+        assert_eq!(validation_error(|job| job.zone = Some(bad.clone())), "yard");
         let types = vec!["g8".into(), bad];
-        assert_eq!(refusal(|job| job.types = Some(types)), "breeds");
+        assert_eq!(validation_error(|job| job.types = Some(types)), "breeds");
     }
-    let many = vec!["g8".to_string(); 65];
-    assert_eq!(refusal(|job| job.types = Some(many)), "breeds");
+    let too_many = vec!["g8".to_string(); 65];
+    assert_eq!(validation_error(|job| job.types = Some(too_many)), "breeds");
 }
 
 #[test]
-fn a_refused_amount_is_named_as_the_user_wrote_it() {
+fn an_invalid_number_is_reported_to_the_user() {
     for tasks in [0, 100_001] {
-        assert_eq!(refusal(|job| job.tasks = tasks), "chores");
+        assert_eq!(validation_error(|job| job.tasks = tasks), "chores");
     }
     for bad in [0.0, -1.0, f64::NAN, f64::INFINITY, 1.1e9] {
-        assert_eq!(refusal(|job| job.cpus = bad), "cores");
+        assert_eq!(validation_error(|job| job.cpus = bad), "cores");
     }
     for bad in [-1.0, f64::NAN, f64::INFINITY, 1.1e9] {
-        assert_eq!(refusal(|job| job.gpus = bad), "an amount");
-        assert_eq!(refusal(|job| job.memory_gb = bad), "an amount");
-        assert_eq!(refusal(|job| job.image_gb = bad), "an amount");
-        assert_eq!(refusal(|job| job.estimate_s = bad), "an amount");
-        assert_eq!(refusal(|job| job.checkpoint_interval_s = bad), "an amount");
-        assert_eq!(refusal(|job| job.save_s = bad), "an amount");
-        assert_eq!(refusal(|job| job.deadline_s = Some(bad)), "dueS");
+        assert_eq!(validation_error(|job| job.gpus = bad), "an amount");
+        assert_eq!(validation_error(|job| job.memory_gb = bad), "an amount");
+        assert_eq!(validation_error(|job| job.image_gb = bad), "an amount");
+        assert_eq!(validation_error(|job| job.estimate_s = bad), "an amount");
+        assert_eq!(
+            validation_error(|job| job.checkpoint_interval_s = bad),
+            "an amount"
+        );
+        assert_eq!(validation_error(|job| job.save_s = bad), "an amount");
+        assert_eq!(validation_error(|job| job.deadline_s = Some(bad)), "dueS");
     }
 }
 
 #[test]
-fn the_largest_values_pass() {
+fn the_largest_allowed_values_are_valid() {
     let name = "x".repeat(200);
     let job = JobSpec {
         class: name.clone(),
@@ -323,14 +335,14 @@
         tasks: 100_000,
         cpus: 1e9,
         deadline_s: Some(1e9),
-        ..job()
+        ..job_spec()
     };
     assert!(job.validate().is_ok());
     assert_eq!((TASK_LIMIT, BODY_LIMIT), (100_000, 65_536));
 }
 
-/// The submission of the protocol's page, byte by byte.
-const SUBMISSION: &str = "\
+/// CBOR encoding of [`submission`], in hexadecimal digits.
+const SUBMISSION_HEX: &str = "\
     b462696469776b2d303030343132646c616e6565747261696e646372657766766973696f6e657368 \
     6170656561727261796472616e6b66757267656e746663686f7265731065636f726573f948406563 \
     61726473f93c00656d656d4762f954006662756e646c6566696d672d30376670756c6c4762f94640 \
