--- a/tests/compat/stored_records/load.rs
+++ b/tests/compat/stored_records/load.rs
@@ -1,10 +1,13 @@
-//! Reading the whole store.
+//! Loading the replica from the store, page by page.
 
-use super::{bytes, entries, CATALOGUE, EPOCH, LEADER, LIVE_BEGIN, LIVE_END, RENTAL_OPEN, SPEC};
+use super::{
+    concat, record_count, CATALOGUE, EPOCH, JOB_RECORD_PREFIX, JOB_RECORD_SUFFIX, LEADER,
+    RENTAL_UNANSWERED, SPEC,
+};
 use hollowswitch::store::StoreClient;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Answers each request with the next body, and records the lines of the requests.
+/// Responds to each request on one connection with the next page, and returns the request lines.
 async fn serve_pages(listener: tokio::net::TcpListener, pages: Vec<Vec<u8>>) -> Vec<String> {
     let mut requests = Vec::new();
     let (mut stream, _) = listener.accept().await.unwrap();
@@ -22,19 +25,20 @@
     requests
 }
 
-/// The answers to all requests in their order: one page of each family, two of the results.
+/// Returns the responses to all requests, in order: one page for each key family, and two for the bitmaps of finished tasks.
 fn pages() -> Vec<Vec<u8>> {
-    let page = |begin: &[u8], rows: &[u8], more: &[u8]| {
-        bytes(&[begin, b"\x64rows", rows, b"\x67hasNext", more])
+    let page = |header: &[u8], rows: &[u8], more: &[u8]| {
+        concat(&[header, b"\x64rows", rows, b"\x67hasNext", more])
     };
+    // The revision of the first page is 100, that of all later pages is 101.
     let (first, later) = (
         b"\xa3\x66ledger\x18\x64".as_slice(),
         b"\xa3\x66ledger\x18\x65".as_slice(),
     );
     let row = |key: &[u8], record: &[u8]| {
-        bytes(&[b"\x81\xa3\x64path", key, b"\x61v", record, b"\x65stamp\x09"])
+        concat(&[b"\x81\xa3\x64path", key, b"\x61v", record, b"\x65stamp\x09"])
     };
-    let live = bytes(&[LIVE_BEGIN, SPEC, LIVE_END]);
+    let live = concat(&[JOB_RECORD_PREFIX, SPEC, JOB_RECORD_SUFFIX]);
     let (more, last) = (b"\xf5".as_slice(), b"\xf4".as_slice());
     vec![
         page(first, &row(b"\x76hollowswitch/catalogue", CATALOGUE), last),
@@ -49,7 +53,11 @@
             last,
         ),
         page(later, &row(b"\x72hollowswitch/epoch", EPOCH), last),
-        page(later, &row(b"\x75hollowswitch/hire/r-1", RENTAL_OPEN), last),
+        page(
+            later,
+            &row(b"\x75hollowswitch/hire/r-1", RENTAL_UNANSWERED),
+            last,
+        ),
         page(later, &row(b"\x73hollowswitch/leader", LEADER), last),
         page(later, &row(b"\x76hollowswitch/live/wk-1", &live), last),
         page(later, &row(b"\x75hollowswitch/starts/3", b"\x60"), last),
@@ -58,7 +66,7 @@
 }
 
 #[test]
-fn a_store_is_read_page_by_page_family_by_family() {
+fn the_store_is_loaded_page_by_page_in_the_order_of_families() {
     let (replica, requests) = actix::System::new().block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -84,8 +92,8 @@
             query("stopping/", ""),
         ]
     );
-    // The watch begins at the first page's revision.
+    // Changes made while the pages were read must not be missed: the watch begins at the revision of the first page.
     assert_eq!(replica.revision.as_u64(), 100);
-    assert_eq!(entries(&replica), 6);
+    assert_eq!(record_count(&replica), 6);
     assert!(replica.initialized && replica.epoch.is_some() && replica.catalogue.is_some());
 }
--- a/tests/compat/stored_records/mod.rs
+++ b/tests/compat/stored_records/mod.rs
@@ -1,5 +1,5 @@
-//! Keys and records in the state service, as literal text and CBOR: a new version reads what an older one left there, and the
-//! other way round when an upgrade is taken back.
+//! Keys and records in the state service, as literal text and CBOR. A new version of the program reads the records of older
+//! versions, and an older version reads those of a newer one after a rollback.
 
 mod load;
 mod read;
@@ -10,7 +10,7 @@
 use hollowswitch::protocol::{decode, JobKind, JobSpec, MachineType, Priority, Watched};
 use hollowswitch::store::{JobRecord, LeaderRecord, RentalRecord, Replica};
 
-/// `JobSpec` of `job_spec`.
+/// CBOR encoding of [`job_spec`].
 const SPEC: &[u8] = b"\xb4\
     \x62id\x64wk-1\
     \x64lane\x64gold\
@@ -32,24 +32,25 @@
     \x6amarkEveryS\xf9\x46\x00\
     \x65stowS\xf9\x47\x00\
     \x64dueS\xf9\x48\x00";
-/// Around `SPEC`: a record of `live/` and `stopping/`, submitted at 1,700,000,000,000 ms.
-const LIVE_BEGIN: &[u8] = b"\xa2\x64spec";
-const LIVE_END: &[u8] = b"\x65at_ms\x1b\x00\x00\x01\x8b\xcf\xe5\x68\x00";
-const OVER_CANCELLED: &[u8] = b"\xa2\x69cancelled\xf5\x65tasks\x19\x23\x28";
-const OVER_DONE: &[u8] = b"\xa2\x69cancelled\xf4\x65tasks\x19\x23\x28";
+/// Bytes of [`job_record`] before [`SPEC`]. Keys below `live/` and `stopping/` contain such records.
+const JOB_RECORD_PREFIX: &[u8] = b"\xa2\x64spec";
+/// Bytes of [`job_record`] after [`SPEC`]: the time of submission, 1,700,000,000,000 ms after the Unix epoch.
+const JOB_RECORD_SUFFIX: &[u8] = b"\x65at_ms\x1b\x00\x00\x01\x8b\xcf\xe5\x68\x00";
+const FINAL_CANCELLED: &[u8] = b"\xa2\x69cancelled\xf5\x65tasks\x19\x23\x28";
+const FINAL_DONE: &[u8] = b"\xa2\x69cancelled\xf4\x65tasks\x19\x23\x28";
 const LEADER: &[u8] = b"\xa2\x64node\x68drover-0\x6bincarnation\x18\x4d";
 const EPOCH: &[u8] = b"\xa4\
     \x66number\x06\
     \x66leader\xa2\x64node\x68drover-0\x6bincarnation\x18\x4d\
     \x67members\x81\xa2\x64node\x68drover-0\x6bincarnation\x18\x4d\
     \x6blogs_starts\xf5";
-/// What versions before the start log wrote.
-const EPOCH_BEFORE_THE_START_LOG: &[u8] = b"\xa3\
+/// Epoch record of a version without a start log.
+const EPOCH_WITHOUT_START_LOG: &[u8] = b"\xa3\
     \x66number\x05\
     \x66leader\xa2\x64node\x68drover-1\x6bincarnation\x18\x4e\
     \x67members\x82\xa2\x64node\x68drover-1\x6bincarnation\x18\x4e\
     \xa2\x64node\x68drover-2\x6bincarnation\x18\x4f";
-const RENTAL_OPEN: &[u8] =
+const RENTAL_UNANSWERED: &[u8] =
     b"\xa5\x6cmachine_type\x62m8\x64zone\x61a\x64spot\xf5\x65count\x02\x68machines\xf6";
 const RENTAL_ANSWERED: &[u8] =
     b"\xa5\x6cmachine_type\x62m8\x64zone\x61a\x64spot\xf5\x65count\x02\x68machines\x82\x63n-1\x63n-2";
@@ -90,7 +91,7 @@
     }
 }
 
-fn live_record() -> JobRecord {
+fn job_record() -> JobRecord {
     JobRecord {
         spec: job_spec(),
         at_ms: 1_700_000_000_000,
@@ -129,26 +130,27 @@
     }
 }
 
-/// The bytes of all parts in their order.
-fn bytes(parts: &[&[u8]]) -> Vec<u8> {
+/// Concatenates byte strings.
+fn concat(parts: &[&[u8]]) -> Vec<u8> {
     parts.concat()
 }
 
-/// A replica that has read the answer of a watch, as it came over the wire.
+/// Returns a replica that has applied the response of a watch at revision 100. `events` is the CBOR array of its events.
 fn replica_after(events: &[u8]) -> Replica {
-    let answer = bytes(&[b"\xa2\x66ledger\x18\x64\x66events", events]);
-    let watched: Watched = decode(&answer).unwrap();
+    let response = concat(&[b"\xa2\x66ledger\x18\x64\x66events", events]);
+    let watched: Watched = decode(&response).unwrap();
     let mut replica = Replica::default();
     replica.apply(watched.revision, &watched.events);
     replica
 }
 
-/// One event: `key` is a CBOR text, `record` any CBOR item. Its version is 9.
+/// Returns a CBOR array with one event, a put with version 9. `key` is a CBOR text and `record` any CBOR item.
 fn put_event(key: &[u8], record: &[u8]) -> Vec<u8> {
-    bytes(&[b"\x81\xa3\x63put", key, b"\x61v", record, b"\x65stamp\x09"])
+    concat(&[b"\x81\xa3\x63put", key, b"\x61v", record, b"\x65stamp\x09"])
 }
 
-fn entries(replica: &Replica) -> usize {
+/// Returns the number of records in a replica, except for its epoch, its catalogue and final states.
+fn record_count(replica: &Replica) -> usize {
     replica.live.len()
         + replica.stopping.len()
         + replica.done.len()
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -1,6 +1,6 @@
-//! The text of the start log.
+//! Format of the start log's text.
 
-use super::{bytes, job_spec, machine_type};
+use super::{concat, job_spec, machine_type};
 use hollowswitch::protocol::{
     encode, Command, FencingToken, JobSpec, TaskState, TaskStatus, WorkerStatus,
 };
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A scheduler of epoch 5 with a machine in each of two zones, and jobs that fit there.
+/// Returns a scheduler in epoch 5 with one machine in each of two zones, and with jobs that fit on these machines.
 fn scheduler() -> Scheduler {
     let params = Params {
         lease: Duration::from_secs(12),
@@ -66,7 +66,8 @@
     scheduler
 }
 
-fn report(
+/// Returns a heartbeat with running tasks.
+fn worker_status(
     machine: &str,
     zone: &str,
     address: &str,
@@ -96,27 +97,35 @@
     }
 }
 
-fn commands(scheduler: &mut Scheduler, report: &WorkerStatus) -> Vec<Command> {
-    match scheduler.handle_heartbeat(report, HeartbeatSource::Request { may_start: true }) {
+/// Returns the commands in the scheduler's reply to a heartbeat.
+fn reply_commands(scheduler: &mut Scheduler, status: &WorkerStatus) -> Vec<Command> {
+    match scheduler.handle_heartbeat(status, HeartbeatSource::Request { may_start: true }) {
         HeartbeatDecision::Reply(reply) => reply.commands,
         other => panic!("{other:?}"),
     }
 }
 
+/// Fencing token of epoch 5.
 const TOKEN: u64 = 0x500_0000;
 
 #[test]
-fn the_start_log_is_written_as_text() {
+fn the_start_log_is_encoded_as_text() {
     let mut scheduler = scheduler();
     for token in [0, TOKEN] {
-        commands(&mut scheduler, &report("n-1", "a", "1.2.3.4:9", token, &[]));
-        // An address that cannot stand in the text.
-        commands(&mut scheduler, &report("n-2", "b", "a b", token, &[]));
+        reply_commands(
+            &mut scheduler,
+            &worker_status("n-1", "a", "1.2.3.4:9", token, &[]),
+        );
+        // An address with a space cannot be logged.
+        reply_commands(
+            &mut scheduler,
+            &worker_status("n-2", "b", "a b", token, &[]),
+        );
     }
     scheduler.place();
-    let append = scheduler.next_log_write(8000, 60).unwrap();
-    // The job of one task comes first, the largest one last.
-    let expected = bytes(&[
+    let log_write = scheduler.next_log_write(8000, 60).unwrap();
+    // The job with one task is placed first and the largest job last, which determines the order of guards and attempts.
+    let expected = concat(&[
         b"\xa2\x66guards\x85",
         b"\xa2\x64path\x72hollowswitch/epoch\x65stamp\x0b",
         b"\xa2\x64path\x75hollowswitch/starts/0\x65stamp\x00",
@@ -130,16 +139,16 @@
     ]);
     let epoch = guard("hollowswitch/epoch".into(), Revision::new(11));
     assert_eq!(
-        String::from_utf8_lossy(&encode(&start_log_txn(&epoch, append.start_log_write()))),
+        String::from_utf8_lossy(&encode(&start_log_txn(&epoch, log_write.start_log_write()))),
         String::from_utf8_lossy(&expected)
     );
     assert_eq!(
-        encode(&start_log_txn(&epoch, append.start_log_write())),
+        encode(&start_log_txn(&epoch, log_write.start_log_write())),
         expected
     );
 }
 
-fn slot(number: u32, version: u64, text: &str) -> StoredSlot<'_> {
+fn stored_slot(number: u32, version: u64, text: &str) -> StoredSlot<'_> {
     StoredSlot {
         number,
         version: Revision::new(version),
@@ -148,21 +157,21 @@
 }
 
 #[test]
-fn the_start_log_is_read_from_its_text() {
+fn the_start_log_is_replayed_from_its_text() {
     let mut scheduler = scheduler();
     let slots = [
-        slot(
+        stored_slot(
             3,
             9,
             "n-1 1.2.3.4:9 /wk-1 0.4000001 2.400000a /wk-2 0.4000003;n-2 - /wk-3 1.4000004",
         ),
-        // What is not understood is left out; a larger attempt of a task is its later one.
-        slot(
+        // Malformed parts are ignored. Of several attempts of a task, the largest is the latest.
+        stored_slot(
             8,
             10,
             "n-1 1.2.3.4:9 /wk-1 0.3ffffff x.1 1.xyz 99.1 /wk-77 0.1;n-2;;n-2 - 0.4000005",
         ),
-        slot(9, 11, ""),
+        stored_slot(9, 11, ""),
     ];
     scheduler.replay_start_log(slots.into_iter());
     let pending: Vec<(&str, u32)> = scheduler
@@ -171,30 +180,30 @@
         .collect();
     assert_eq!(pending, [("wk-1", 1), ("wk-2", 0), ("wk-3", 1)]);
     assert_eq!(scheduler.unreconciled_machines(), 2);
-    // The address comes from the log: a machine can be asked before it is heard.
-    let asked: Vec<(String, String)> = scheduler
+    // The log contains the address, so that a machine can be probed before its first heartbeat.
+    let probed: Vec<(String, String)> = scheduler
         .due_probes(9)
         .into_iter()
         .map(|probe| (probe.machine, probe.address))
         .collect();
-    assert_eq!(asked, [("n-1".to_string(), "1.2.3.4:9".to_string())]);
-    // These attempts are known: nothing of them is stopped. A task that the log shows on another machine is.
-    let known = [
+    assert_eq!(probed, [("n-1".to_string(), "1.2.3.4:9".to_string())]);
+    // Logged attempts are not stopped. A task that the log contains on another machine is.
+    let logged = [
         ("wk-1/0", 0x400_0001),
         ("wk-1/2", 0x400_000a),
         ("wk-2/0", 0x400_0003),
     ];
     assert_eq!(
-        commands(
+        reply_commands(
             &mut scheduler,
-            &report("n-1", "a", "1.2.3.4:9", TOKEN, &known)
+            &worker_status("n-1", "a", "1.2.3.4:9", TOKEN, &logged)
         ),
         []
     );
-    let other = [("wk-3/1", 0x400_0004), ("wk-1/0", 0x3ff_ffff)];
-    let commands = commands(
+    let reported = [("wk-3/1", 0x400_0004), ("wk-1/0", 0x3ff_ffff)];
+    let commands = reply_commands(
         &mut scheduler,
-        &report("n-2", "b", "1.2.3.5:9", TOKEN, &other),
+        &worker_status("n-2", "b", "1.2.3.5:9", TOKEN, &reported),
     );
     assert!(
         matches!(&commands[..], [Command::Stop { task, .. }] if task == "wk-1/0"),
--- a/tests/compat/stored_records/unreadable.rs
+++ b/tests/compat/stored_records/unreadable.rs
@@ -1,16 +1,21 @@
-//! Records and keys that are not understood.
+//! Records that cannot be decoded, and unknown keys.
 
-use super::{bytes, entries, put_event, replica_after, LIVE_BEGIN, LIVE_END, SPEC};
+use super::{
+    concat, put_event, record_count, replica_after, JOB_RECORD_PREFIX, JOB_RECORD_SUFFIX, SPEC,
+};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
-/// Collects what is logged.
+/// Buffer that collects log output.
 #[derive(Clone, Default)]
-struct Log(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Log {
+impl Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        self.0.lock().expect("one thread writes").extend(bytes);
+        self.0
+            .lock()
+            .expect("the lock is not poisoned")
+            .extend(bytes);
         Ok(bytes.len())
     }
 
@@ -20,7 +25,7 @@
 }
 
 #[test]
-fn unreadable_records_are_left_alone_and_logged() {
+fn undecodable_records_and_unknown_keys_are_ignored_and_logged() {
     let keys: [(&[u8], &str); 11] = [
         (b"\x73hollowswitch/leader", "hollowswitch/leader"),
         (b"\x72hollowswitch/epoch", "hollowswitch/epoch"),
@@ -41,17 +46,17 @@
         (b"\x75hollowswitch/starts/x", "hollowswitch/starts/x"),
     ];
     for (key, text) in keys {
-        let log = Log::default();
+        let log = LogBuffer::default();
         let writer = log.clone();
         let subscriber = tracing_subscriber::fmt()
             .with_writer(move || writer.clone())
             .with_ansi(false)
             .finish();
-        // The record is the list [7], which no family holds.
+        // The record is the list [7], which no family can decode.
         let replica = tracing::subscriber::with_default(subscriber, || {
             replica_after(&put_event(key, b"\x81\x07"))
         });
-        assert_eq!(entries(&replica), 0, "{text}");
+        assert_eq!(record_count(&replica), 0, "{text}");
         assert!(replica.epoch.is_none() && replica.catalogue.is_none());
         assert!(replica.final_state("wk-1").is_none());
         assert_eq!(replica.revision.as_u64(), 100);
@@ -66,7 +71,7 @@
 
 #[test]
 fn keys_of_other_programs_are_ignored() {
-    let record = bytes(&[LIVE_BEGIN, SPEC, LIVE_END]);
+    let record = concat(&[JOB_RECORD_PREFIX, SPEC, JOB_RECORD_SUFFIX]);
     let replica = replica_after(&put_event(b"\x6fother/live/wk-1", &record));
-    assert_eq!(entries(&replica), 0);
+    assert_eq!(record_count(&replica), 0);
 }
--- a/tests/compat/stored_records/written.rs
+++ b/tests/compat/stored_records/written.rs
@@ -1,9 +1,9 @@
-//! Keys, and records as they are written.
+//! Text of keys, and transactions that write records.
 
 use super::{
-    bytes, leader_record, live_record, machine_type, put_event, rental_record, replica_after,
-    CATALOGUE, EPOCH, EPOCH_BEFORE_THE_START_LOG, LEADER, LIVE_BEGIN, LIVE_END, OVER_CANCELLED,
-    OVER_DONE, RENTAL_ANSWERED, RENTAL_OPEN, SPEC,
+    concat, job_record, leader_record, machine_type, put_event, rental_record, replica_after,
+    CATALOGUE, EPOCH, EPOCH_WITHOUT_START_LOG, FINAL_CANCELLED, FINAL_DONE, JOB_RECORD_PREFIX,
+    JOB_RECORD_SUFFIX, LEADER, RENTAL_ANSWERED, RENTAL_UNANSWERED, SPEC,
 };
 use hollowswitch::protocol::{encode, Txn};
 use hollowswitch::store::{
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn every_key_has_its_text() {
+fn every_key_has_the_expected_text() {
     assert_eq!(leader_key(), "hollowswitch/leader");
     assert_eq!(epoch_key(), "hollowswitch/epoch");
     assert_eq!(catalogue_key(), "hollowswitch/catalogue");
@@ -33,44 +33,44 @@
 
 #[test]
 fn a_submission_writes_an_unfinished_job() {
-    let expected = bytes(&[
+    let expected = concat(&[
         b"\xa2\x66guards\x82",
         b"\xa2\x64path\x76hollowswitch/live/wk-1\x65stamp\x00",
         b"\xa2\x64path\x76hollowswitch/over/wk-1\x65stamp\x00",
         b"\x65apply\x81",
         b"\xa2\x63put\x76hollowswitch/live/wk-1\x61v",
-        LIVE_BEGIN,
+        JOB_RECORD_PREFIX,
         SPEC,
-        LIVE_END,
+        JOB_RECORD_SUFFIX,
     ]);
-    assert_eq!(encode(&submit_txn("wk-1", &live_record())), expected);
+    assert_eq!(encode(&submit_txn("wk-1", &job_record())), expected);
 }
 
 #[test]
-fn a_cancellation_moves_the_job_to_those_being_stopped_and_writes_its_final_state() {
-    let expected = bytes(&[
+fn a_cancellation_moves_the_job_to_the_stopping_jobs_and_writes_its_final_state() {
+    let expected = concat(&[
         b"\xa2\x66guards\x82",
         b"\xa2\x64path\x76hollowswitch/live/wk-1\x65stamp\x0c",
         b"\xa2\x64path\x76hollowswitch/over/wk-1\x65stamp\x00",
         b"\x65apply\x83",
         b"\xa1\x64drop\x76hollowswitch/live/wk-1",
         b"\xa2\x63put\x78\x1ahollowswitch/stopping/wk-1\x61v",
-        LIVE_BEGIN,
+        JOB_RECORD_PREFIX,
         SPEC,
-        LIVE_END,
+        JOB_RECORD_SUFFIX,
         b"\xa2\x63put\x76hollowswitch/over/wk-1\x61v",
-        OVER_CANCELLED,
+        FINAL_CANCELLED,
     ]);
     let live = Versioned {
-        record: live_record(),
+        record: job_record(),
         version: Revision::new(12),
     };
     assert_eq!(encode(&cancel_txn("wk-1", &live)), expected);
 }
 
 #[test]
-fn a_completion_writes_the_final_state() {
-    let expected = bytes(&[
+fn a_completion_deletes_the_unfinished_job_and_writes_its_final_state() {
+    let expected = concat(&[
         b"\xa2\x66guards\x83",
         b"\xa2\x64path\x72hollowswitch/epoch\x65stamp\x0b",
         b"\xa2\x64path\x76hollowswitch/live/wk-1\x65stamp\x0c",
@@ -78,7 +78,7 @@
         b"\x65apply\x82",
         b"\xa1\x64drop\x76hollowswitch/live/wk-1",
         b"\xa2\x63put\x76hollowswitch/over/wk-1\x61v",
-        OVER_DONE,
+        FINAL_DONE,
     ]);
     let epoch = guard("hollowswitch/epoch".into(), Revision::new(11));
     assert_eq!(
@@ -88,13 +88,13 @@
 }
 
 #[test]
-fn a_claim_writes_leader_and_epoch() {
+fn a_leadership_claim_writes_leader_and_epoch() {
     let mut replica = replica_after(&put_event(
         b"\x72hollowswitch/epoch",
-        EPOCH_BEFORE_THE_START_LOG,
+        EPOCH_WITHOUT_START_LOG,
     ));
     let expected = |leader_version: u8| {
-        bytes(&[
+        concat(&[
             b"\xa2\x66guards\x82",
             b"\xa2\x64path\x73hollowswitch/leader\x65stamp",
             &[leader_version],
@@ -110,7 +110,7 @@
     let claimant = leader_record("drover-0", 77);
     let (txn, _) = claim_txn(&replica, &claimant, 88).unwrap();
     assert_eq!(encode(&txn), expected(0));
-    // An earlier process of the same node still holds the key.
+    // The leader key still belongs to an earlier process of the same node.
     replica.leader = Some(Versioned {
         record: leader_record("drover-0", 76),
         version: Revision::new(8),
@@ -121,10 +121,10 @@
 }
 
 #[test]
-fn a_rental_request_is_written_answered_and_dropped() {
+fn a_rental_record_is_written_answered_and_deleted() {
     let epoch = guard("hollowswitch/epoch".into(), Revision::new(11));
-    let begin = |version: u8| {
-        bytes(&[
+    let header = |version: u8| {
+        concat(&[
             b"\xa2\x66guards\x82",
             b"\xa2\x64path\x72hollowswitch/epoch\x65stamp\x0b",
             b"\xa2\x64path\x75hollowswitch/hire/r-1\x65stamp",
@@ -132,7 +132,7 @@
             b"\x65apply\x81",
         ])
     };
-    let put = b"\xa2\x63put\x75hollowswitch/hire/r-1\x61v";
+    let put_rental = b"\xa2\x63put\x75hollowswitch/hire/r-1\x61v";
     assert_eq!(
         encode(&rental_txn(
             &epoch,
@@ -140,7 +140,7 @@
             Revision::ZERO,
             &rental_record(None)
         )),
-        bytes(&[&begin(0), put, RENTAL_OPEN])
+        concat(&[&header(0), put_rental, RENTAL_UNANSWERED])
     );
     let machines = Some(vec!["n-1".into(), "n-2".into()]);
     assert_eq!(
@@ -150,7 +150,7 @@
             Revision::new(13),
             &rental_record(machines)
         )),
-        bytes(&[&begin(13), put, RENTAL_ANSWERED])
+        concat(&[&header(13), put_rental, RENTAL_ANSWERED])
     );
     assert_eq!(
         encode(&rental_txn(
@@ -159,12 +159,12 @@
             Revision::new(13),
             &rental_record(Some(Vec::new()))
         )),
-        bytes(&[&begin(13), b"\xa1\x64drop\x75hollowswitch/hire/r-1"])
+        concat(&[&header(13), b"\xa1\x64drop\x75hollowswitch/hire/r-1"])
     );
 }
 
 #[test]
-fn results_and_machine_types_are_written() {
+fn bitmaps_of_finished_tasks_and_machine_types_are_written() {
     let txn = Txn {
         guards: Vec::new(),
         apply: vec![
@@ -176,7 +176,7 @@
             put(catalogue_key(), &vec![machine_type()], None),
         ],
     };
-    let expected = bytes(&[
+    let expected = concat(&[
         b"\xa2\x66guards\x80\x65apply\x82",
         b"\xa2\x63put\x78\x18hollowswitch/done/wk-1/2\x61v\x660500ff",
         b"\xa2\x63put\x76hollowswitch/catalogue\x61v",
