--- a/tests/compat/settings.rs
+++ b/tests/compat/settings.rs
@@ -1,11 +1,12 @@
-//! Both settings files and the deploy file.
+//! The keys and values of the platform's and the operators' settings file, and the deploy file.
 
 use hollowswitch::config::{Operator, Settings};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A settings file of the platform with every key; each value occurs once.
+/// A platform settings file with every key, also those that the program ignores. The values that it reads are distinct, so that
+/// a field read from the wrong key fails a test.
 const PLATFORM: &str = r#"
 node = "drover-0"
 zone = "liguanea"
@@ -73,7 +74,7 @@
 max_connections = 1000
 "#;
 
-/// A settings file of the operators with every key, none at its default.
+/// An operator settings file with every key. No value is the default.
 const OPERATOR: &str = r"
 group_factor = 1.5
 fetch_gb_per_s = 0.2
@@ -83,29 +84,30 @@
 hold_s = 3.5
 ";
 
-/// Writes a settings file where only this test finds it.
-fn file(name: &str, text: &str) -> PathBuf {
-    static NEXT: AtomicUsize = AtomicUsize::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+/// Writes a settings file into a new folder, so that tests that run in parallel do not overwrite each other's files.
+fn write_settings_file(name: &str, text: &str) -> PathBuf {
+    static NEXT_FOLDER: AtomicUsize = AtomicUsize::new(0);
+    let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("settings-{number}"));
-    std::fs::create_dir_all(&folder).expect("a folder for tests");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     let path = folder.join(name);
-    std::fs::write(&path, text).expect("a settings file");
+    std::fs::write(&path, text).expect("the file is written");
     path
 }
 
+/// Loads the settings from files with these texts. Returns the text of the error if they are invalid.
 fn load(platform: &str, operator: Option<&str>) -> Result<Settings, String> {
-    let platform = file("platform.toml", platform);
-    let operator = operator.map(|text| file("operator.toml", text));
+    let platform = write_settings_file("platform.toml", platform);
+    let operator = operator.map(|text| write_settings_file("operator.toml", text));
     Settings::load(&platform, operator.as_deref()).map_err(|error| error.to_string())
 }
 
 fn address(text: &str) -> SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("the text is a socket address")
 }
 
 #[test]
-fn the_platforms_file_is_read_key_by_key() {
+fn every_key_of_the_platform_file_is_read() {
     let platform = load(PLATFORM, None).unwrap().platform;
     assert_eq!(platform.node, "drover-0");
     assert_eq!(platform.zone, "liguanea");
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn the_deployments_teams_and_objectives_are_read_key_by_key() {
+fn every_key_of_teams_and_objectives_is_read() {
     let deployment = load(PLATFORM, None).unwrap().platform.deployment;
     let teams: Vec<_> = deployment
         .teams
@@ -157,7 +159,7 @@
 }
 
 #[test]
-fn the_deployments_limits_are_read_key_by_key() {
+fn every_key_of_the_deployment_limits_is_read() {
     let deployment = load(PLATFORM, None).unwrap().platform.deployment;
     assert_eq!(deployment.workers.report_s, 1.5);
     assert_eq!(deployment.workers.lease_s, 12.0);
@@ -172,19 +174,22 @@
     assert_eq!(deployment.machine_limits.max_connections, 1000);
 }
 
-/// The file without the lines that begin so.
-fn without(text: &str, start: &str) -> String {
+/// Returns a text without the lines that begin with `prefix`. Panics if there are none.
+fn without_lines(text: &str, prefix: &str) -> String {
     let kept: Vec<_> = text
         .lines()
-        .filter(|line| !line.starts_with(start))
+        .filter(|line| !line.starts_with(prefix))
         .collect();
-    assert!(kept.len() < text.lines().count(), "{start} is in the file");
+    assert!(
+        kept.len() < text.lines().count(),
+        "no line begins with {prefix}"
+    );
     kept.join("\n")
 }
 
 #[test]
-fn optional_keys_of_the_platforms_file_have_defaults() {
-    let text = without(PLATFORM, "ram_mb");
+fn optional_keys_of_the_platform_file_have_defaults() {
+    let text = without_lines(PLATFORM, "ram_mb");
     let limits = load(&text, None)
         .unwrap()
         .platform
@@ -193,17 +198,21 @@
     assert_eq!(limits.ram_mb, None);
     let start = PLATFORM.find("[[peers]]").unwrap();
     let end = PLATFORM.find("[external]").unwrap();
-    let alone = format!("{}{}", &PLATFORM[..start], &PLATFORM[end..]);
-    assert!(load(&alone, None).unwrap().platform.peers.is_empty());
+    let without_peers = format!("{}{}", &PLATFORM[..start], &PLATFORM[end..]);
+    assert!(load(&without_peers, None)
+        .unwrap()
+        .platform
+        .peers
+        .is_empty());
     let start = PLATFORM.find("[[deployment.teams]]").unwrap();
     let end = PLATFORM.find("[deployment.workers]").unwrap();
-    let bare = format!("{}{}", &PLATFORM[..start], &PLATFORM[end..]);
-    let deployment = load(&bare, None).unwrap().platform.deployment;
+    let without_teams = format!("{}{}", &PLATFORM[..start], &PLATFORM[end..]);
+    let deployment = load(&without_teams, None).unwrap().platform.deployment;
     assert!(deployment.teams.is_empty() && deployment.objectives.is_empty());
 }
 
 #[test]
-fn a_missing_key_of_the_platforms_file_is_named_with_the_file() {
+fn the_error_for_a_missing_platform_key_names_the_file_and_the_key() {
     for key in [
         "node",
         "zone",
@@ -224,7 +233,7 @@
         "list_lag_s",
         "max_connections",
     ] {
-        let error = load(&without(PLATFORM, &format!("{key} =")), None).unwrap_err();
+        let error = load(&without_lines(PLATFORM, &format!("{key} =")), None).unwrap_err();
         assert!(error.contains("platform.toml"), "{error}");
         assert!(error.contains(&format!("missing field `{key}`")), "{error}");
     }
@@ -241,13 +250,13 @@
 }
 
 #[test]
-fn unknown_keys_of_the_platforms_file_are_ignored() {
+fn unknown_keys_of_the_platform_file_are_ignored() {
     let text = PLATFORM.replace("[external]", "[external]\nweather = \"dry\"");
     assert!(load(&format!("surprise = 3\n{text}"), None).is_ok());
 }
 
 #[test]
-fn the_operators_file_is_read_key_by_key() {
+fn every_key_of_the_operator_file_is_read() {
     let operator = load(PLATFORM, Some(OPERATOR)).unwrap().operator;
     assert_eq!(operator.group_factor, 1.5);
     assert_eq!(operator.fetch_gb_per_s, 0.2);
@@ -267,15 +276,18 @@
 }
 
 #[test]
-fn every_key_of_the_operators_has_a_default() {
+fn every_key_of_the_operator_file_has_a_default() {
     assert_defaults(&load(PLATFORM, None).unwrap().operator);
     assert_defaults(&load(PLATFORM, Some("")).unwrap().operator);
-    let one = load(PLATFORM, Some("hold_s = 3.0")).unwrap().operator;
-    assert_eq!((one.leader_lease_s, one.group_factor), (3.0, 1.25));
+    let operator = load(PLATFORM, Some("hold_s = 3.0")).unwrap().operator;
+    assert_eq!(
+        (operator.leader_lease_s, operator.group_factor),
+        (3.0, 1.25)
+    );
 }
 
 #[test]
-fn an_unknown_key_of_the_operators_is_refused_and_named_with_the_file() {
+fn the_error_for_an_unknown_operator_key_names_the_file_and_the_key() {
     for line in ["group_factr = 2.0", "node = \"x\"", "[deployment]"] {
         let error = load(PLATFORM, Some(line)).unwrap_err();
         let key = line
@@ -288,16 +300,16 @@
     }
 }
 
-/// Asserts that the platform's file is refused for this reason once one of its lines is another.
-fn assert_refused(from: &str, to: &str, reason: &str) {
-    assert!(PLATFORM.contains(from), "{from}");
-    let error = load(&PLATFORM.replacen(from, to, 1), None).expect_err("refused");
+/// Asserts that [`PLATFORM`] with `from` replaced by `to` is rejected with this reason.
+fn assert_rejected(from: &str, to: &str, reason: &str) {
+    assert!(PLATFORM.contains(from), "{from} is not in the file");
+    let error = load(&PLATFORM.replacen(from, to, 1), None).expect_err("the settings are rejected");
     let expected = format!("platform.toml: {reason}");
     assert!(error.ends_with(&expected), "{error}");
 }
 
 #[test]
-fn a_limit_of_the_platforms_file_that_is_not_above_0_is_named_with_the_file() {
+fn the_error_for_a_platform_limit_not_above_0_names_the_file_and_the_key() {
     for (from, to, field) in [
         ("report_s = 1.5", "report_s = 0.0", "workers.report_s"),
         ("lease_s = 12.0", "lease_s = -1.0", "workers.lease_s"),
@@ -308,49 +320,49 @@
         ("rps = 3.0", "rps = -3.0", "cloud.rps"),
     ] {
         let reason = format!("`deployment.{field}` must be a number above 0");
-        assert_refused(from, to, &reason);
+        assert_rejected(from, to, &reason);
     }
 }
 
 #[test]
-fn a_bad_value_of_the_platforms_file_is_named_with_the_file() {
-    assert_refused(
+fn the_error_for_an_invalid_platform_value_names_the_file_and_the_key() {
+    assert_rejected(
         "txn_ops = 16",
         "txn_ops = 3",
         "`deployment.state.txn_ops` must be at least 4",
     );
-    assert_refused(
+    assert_rejected(
         "lease_s = 12.0",
         "lease_s = 1.5",
         "`deployment.workers.lease_s` must exceed report_s",
     );
-    assert_refused(
+    assert_rejected(
         "cancel_s = 42.0",
         "cancel_s = 12.0",
         "`deployment.workers.cancel_s` must exceed lease_s",
     );
-    let itself = "`peers` contains this node";
-    assert_refused("node = \"drover-1\"", "node = \"drover-0\"", itself);
+    let reason = "`peers` contains this node";
+    assert_rejected("node = \"drover-1\"", "node = \"drover-0\"", reason);
     assert!(load(&PLATFORM.replace("txn_ops = 16", "txn_ops = 4"), None).is_ok());
 }
 
 #[test]
-fn a_bad_team_of_the_platforms_file_is_named_with_the_file() {
-    let negative = "`deployment.teams` has a negative or non-finite amount";
-    let too_much = "`deployment.teams` guarantees more than its limit";
+fn the_error_for_an_invalid_team_names_the_file_and_the_reason() {
+    let invalid_amount = "`deployment.teams` has a negative or non-finite amount";
+    let above_limit = "`deployment.teams` guarantees more than its limit";
     for (key, value) in [("cpus", "24.0"), ("gpus", "2.0"), ("cpus_max", "40.0")] {
         let from = format!("{key} = {value}");
-        assert_refused(&from, &format!("{key} = -1.0"), negative);
-        assert_refused(&from, &format!("{key} = nan"), negative);
+        assert_rejected(&from, &format!("{key} = -1.0"), invalid_amount);
+        assert_rejected(&from, &format!("{key} = nan"), invalid_amount);
     }
-    assert_refused("gpus_max = 4.0", "gpus_max = inf", negative);
-    assert_refused("cpus = 24.0", "cpus = 40.5", too_much);
-    assert_refused("gpus = 2.0", "gpus = 4.5", too_much);
+    assert_rejected("gpus_max = 4.0", "gpus_max = inf", invalid_amount);
+    assert_rejected("cpus = 24.0", "cpus = 40.5", above_limit);
+    assert_rejected("gpus = 2.0", "gpus = 4.5", above_limit);
     assert!(load(&PLATFORM.replace("cpus = 24.0", "cpus = 40.0"), None).is_ok());
 }
 
 #[test]
-fn a_bad_value_of_the_operators_is_named_with_the_file() {
+fn the_error_for_an_invalid_operator_value_names_the_file_and_the_key() {
     for (line, problem) in [
         ("group_factor = 0.9", "`group_factor` must be at least 1"),
         ("group_factor = nan", "`group_factor` must be at least 1"),
@@ -378,7 +390,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_or_parsed_is_named() {
+fn the_error_for_an_unreadable_or_malformed_file_names_the_file() {
     let missing = Path::new("/nonexistent/p.toml");
     let error = Settings::load(missing, None).unwrap_err().to_string();
     assert!(error.starts_with("/nonexistent/p.toml: "), "{error}");
@@ -390,11 +402,11 @@
 }
 
 #[test]
-fn the_program_is_built_and_started_as_the_deploy_file_says() {
+fn the_deploy_file_contains_the_build_and_run_commands() {
     let text = include_str!("../../deploy/service.toml");
     let deploy: toml::Table = text.parse().unwrap();
-    let line = |key: &str| deploy[key].as_str().unwrap();
-    assert_eq!(line("build"), "cargo build --release --locked");
-    assert_eq!(line("run"), "target/release/hollowswitch --config");
+    let command = |key: &str| deploy[key].as_str().unwrap();
+    assert_eq!(command("build"), "cargo build --release --locked");
+    assert_eq!(command("run"), "target/release/hollowswitch --config");
     assert_eq!(deploy.len(), 2);
 }
