--- a/tests/compat/peers.rs
+++ b/tests/compat/peers.rs
@@ -1,12 +1,12 @@
-//! Messages between controllers, as literal bincode. An old and a new process run side by side during an upgrade, so that the
-//! order and the types of all fields have to stay.
+//! Messages between controllers, as literal bincode. Bincode contains no field names, and old and new versions of the program
+//! exchange messages during an upgrade. The order and the types of all fields must therefore not change.
 
 use hollowswitch::coordination::peers::{
     decode, encode, Cancelled, CancelledJob, JobTaskCounts, View,
 };
 use hollowswitch::store::{Epoch, Revision};
 
-/// A follower's view: node, epoch, revision, whether the store answers, then two absent fields.
+/// View of a follower: node, epoch, revision, whether the store is reachable. The last two fields are absent.
 const FOLLOWER_VIEW: &[u8] = b"\x08\0\0\0\0\0\0\0drover-1\
     \x07\0\0\0\0\0\0\0\
     \x02\x01\0\0\0\0\0\0\
@@ -14,7 +14,7 @@
     \x00\
     \x00";
 
-/// A leader's view, with its changes a second (2.5) and done and running tasks of two jobs.
+/// View of a leader: the same fields, its changes per second (2.5), and the numbers of done and running tasks of two jobs.
 const LEADER_VIEW: &[u8] = b"\x08\0\0\0\0\0\0\0drover-0\
     \x08\0\0\0\0\0\0\0\
     \x03\x01\0\0\0\0\0\0\
@@ -24,13 +24,13 @@
     \x04\0\0\0\0\0\0\0wk-1\x05\0\0\0\x06\0\0\0\
     \x05\0\0\0\0\0\0\0wk-22\x00\x01\0\0\x0a\0\0\0";
 
-/// Two cancelled jobs: id, number of tasks, revision.
+/// Notification of two cancelled jobs, each with its id, number of tasks and revision.
 const CANCELLATIONS: &[u8] = b"\x02\0\0\0\0\0\0\0\
     \x04\0\0\0\0\0\0\0wk-1\x03\0\0\0\x28\0\0\0\0\0\0\0\
     \x05\0\0\0\0\0\0\0wk-22\xa0\x86\x01\0\x00\0\0\0\x01\0\0\0";
 
-/// The answer to cancellations: the revision that the peer's replica of the store has reached.
-const REVISION: &[u8] = b"\x03\x01\0\0\0\0\0\0";
+/// Response to a notification of cancelled jobs: the revision that the peer's replica of the store has reached.
+const CANCELLATIONS_REPLY: &[u8] = b"\x03\x01\0\0\0\0\0\0";
 
 fn task_counts(job: &str, done: u32, running: u32) -> JobTaskCounts {
     JobTaskCounts {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_followers_view_is_written_and_read() {
+fn the_view_of_a_follower_is_encoded_and_decoded() {
     let view = View {
         node: "drover-1".into(),
         epoch: Epoch::new(7),
@@ -51,17 +51,17 @@
         task_counts: None,
     };
     assert_eq!(encode(&view), FOLLOWER_VIEW);
-    let read: View = decode(FOLLOWER_VIEW).unwrap();
-    assert_eq!(read.node, "drover-1");
-    assert_eq!(read.epoch.as_u64(), 7);
-    assert_eq!(read.revision, Revision::new(258));
-    assert!(read.store_reachable);
-    assert_eq!(read.leader_changes_per_s, None);
-    assert_eq!(read.task_counts, None);
+    let decoded: View = decode(FOLLOWER_VIEW).unwrap();
+    assert_eq!(decoded.node, "drover-1");
+    assert_eq!(decoded.epoch.as_u64(), 7);
+    assert_eq!(decoded.revision, Revision::new(258));
+    assert!(decoded.store_reachable);
+    assert_eq!(decoded.leader_changes_per_s, None);
+    assert_eq!(decoded.task_counts, None);
 }
 
 #[test]
-fn a_leaders_view_is_written_and_read() {
+fn the_view_of_a_leader_is_encoded_and_decoded() {
     let view = View {
         node: "drover-0".into(),
         epoch: Epoch::new(8),
@@ -74,14 +74,14 @@
         ]),
     };
     assert_eq!(encode(&view), LEADER_VIEW);
-    let read: View = decode(LEADER_VIEW).unwrap();
-    assert_eq!(read.node, "drover-0");
-    assert_eq!(read.epoch.as_u64(), 8);
-    assert_eq!(read.revision, Revision::new(259));
-    assert!(!read.store_reachable);
-    assert_eq!(read.leader_changes_per_s, Some(2.5));
+    let decoded: View = decode(LEADER_VIEW).unwrap();
+    assert_eq!(decoded.node, "drover-0");
+    assert_eq!(decoded.epoch.as_u64(), 8);
+    assert_eq!(decoded.revision, Revision::new(259));
+    assert!(!decoded.store_reachable);
+    assert_eq!(decoded.leader_changes_per_s, Some(2.5));
     assert_eq!(
-        read.task_counts,
+        decoded.task_counts,
         Some(vec![
             task_counts("wk-1", 5, 6),
             task_counts("wk-22", 256, 10)
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn cancellations_are_written_and_read() {
+fn cancellations_are_encoded_and_decoded() {
     let jobs = vec![
         CancelledJob {
             job: "wk-1".into(),
@@ -104,19 +104,22 @@
         },
     ];
     assert_eq!(encode(&Cancelled { jobs: jobs.clone() }), CANCELLATIONS);
-    let read: Cancelled = decode(CANCELLATIONS).unwrap();
-    assert_eq!(read.jobs, jobs);
+    let decoded: Cancelled = decode(CANCELLATIONS).unwrap();
+    assert_eq!(decoded.jobs, jobs);
 }
 
 #[test]
-fn the_answer_to_cancellations_is_written_and_read() {
-    assert_eq!(encode(&Revision::new(259)), REVISION);
-    assert_eq!(decode::<Revision>(REVISION), Some(Revision::new(259)));
+fn the_response_to_cancellations_is_encoded_and_decoded() {
+    assert_eq!(encode(&Revision::new(259)), CANCELLATIONS_REPLY);
+    assert_eq!(
+        decode::<Revision>(CANCELLATIONS_REPLY),
+        Some(Revision::new(259))
+    );
 }
 
 #[test]
-fn a_message_that_breaks_off_is_refused() {
+fn a_truncated_message_is_rejected() {
     assert!(decode::<View>(&FOLLOWER_VIEW[..FOLLOWER_VIEW.len() - 1]).is_none());
     assert!(decode::<Cancelled>(&CANCELLATIONS[..CANCELLATIONS.len() - 1]).is_none());
-    assert!(decode::<Revision>(&REVISION[..7]).is_none());
+    assert!(decode::<Revision>(&CANCELLATIONS_REPLY[..7]).is_none());
 }
