--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -1,10 +1,10 @@
-//! Imports follow the layers of `docs/architecture.md`: a module may use only modules of lower layers, so there are no
-//! circles between the folders of `src`.
+//! Check of the layers that `docs/architecture.md` describes. A module may use only modules of lower layers, so that the
+//! top-level modules of `src` have no cyclic dependencies.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The modules of `src`, the highest layer first. Modules of one layer do not use each other.
+/// Top-level modules of `src`, from the highest to the lowest layer. Modules of the same layer may not use each other.
 const LAYERS: [&[&str]; 11] = [
     &["main", "lib"],
     &["service"],
@@ -19,14 +19,15 @@
     &["resources", "time"],
 ];
 
+/// Returns the layer of a module: its index in [`LAYERS`]. Panics if the module is not listed.
 fn layer_of(module: &str) -> usize {
     LAYERS
         .iter()
         .position(|layer| layer.contains(&module))
-        .unwrap_or_else(|| panic!("module `{module}` has no layer in this test"))
+        .unwrap_or_else(|| panic!("module `{module}` is not listed in LAYERS"))
 }
 
-/// All source files below a folder, without those of tests.
+/// Returns all source files below a folder, except for tests.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).expect("the folder is readable") {
@@ -44,17 +45,19 @@
     files
 }
 
-/// The modules of `src` that a source text names as `crate::MODULE`, outside of comments.
+/// Returns the modules that a source text refers to as `crate::MODULE`, except in comments.
 fn used_modules(text: &str) -> Vec<String> {
-    let is_name = |c: char| c.is_ascii_lowercase() || c == '_';
+    let is_identifier_char = |c: char| c.is_ascii_lowercase() || c == '_';
     let is_code = |line: &&str| !line.trim_start().starts_with("//");
     let code: String = text.lines().filter(is_code).collect();
     let modules = code.split("crate::").skip(1).map(|rest| {
         assert!(
             !rest.starts_with('{'),
-            "imports name one module of the crate each"
+            "this check does not support grouped imports from the crate root"
         );
-        rest.chars().take_while(|c| is_name(*c)).collect()
+        rest.chars()
+            .take_while(|c| is_identifier_char(*c))
+            .collect()
     });
     modules.collect()
 }
@@ -63,19 +66,24 @@
 fn modules_use_only_lower_layers() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let files = source_files(&root);
-    assert!(files.len() > 50, "the sources were found");
+    assert!(files.len() > 50, "too few source files were found");
     let mut violations = Vec::new();
     for file in files {
-        let relative = file.strip_prefix(&root).expect("a file below the root");
-        let first = relative.components().next().expect("a file has a name");
-        let name = first.as_os_str().to_string_lossy();
+        let relative = file
+            .strip_prefix(&root)
+            .expect("the file is below the root");
+        let first_component = relative.components().next().expect("the path is not empty");
+        let name = first_component.as_os_str().to_string_lossy();
         let module = name.trim_end_matches(".rs");
-        let text = fs::read_to_string(&file).expect("sources are text");
+        let text = fs::read_to_string(&file).expect("the source is readable");
         for used in used_modules(&text) {
             if used != module && layer_of(&used) <= layer_of(module) {
                 violations.push(format!("{} uses {used}", relative.display()));
             }
         }
     }
-    assert!(violations.is_empty(), "{violations:#?}");
+    assert!(
+        violations.is_empty(),
+        "modules of the same or a higher layer used: {violations:#?}"
+    );
 }
