--- a/benches/load/cloud.rs
+++ b/benches/load/cloud.rs
@@ -82,7 +82,7 @@
         zones: vec![ZONE.into()],
     };
     HttpResponse::Ok().body(encode(&Catalogue {
-        types: vec![machine_type],
+        machine_types: vec![machine_type],
     }))
 }
 
--- a/benches/load/store.rs
+++ b/benches/load/store.rs
@@ -5,7 +5,7 @@
 use actix_web::{web, HttpResponse};
 use ciborium::Value;
 use hollowswitch::protocol::{
-    decode, encode, Change, Event, Item, LeaseReply, Page, Revision, Txn, TxnReply, Watched,
+    decode, encode, Change, Event, KeyValue, LeaseReply, Page, Revision, Txn, TxnReply, WatchReply,
 };
 use serde::Deserialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -133,7 +133,7 @@
             .keys
             .range((after, Bound::Unbounded))
             .take_while(|(key, _)| key.starts_with(&query.starts));
-        let item = |(key, stored): (&String, &StoredValue)| Item {
+        let item = |(key, stored): (&String, &StoredValue)| KeyValue {
             key: key.clone(),
             value: stored.value.clone(),
             version: stored.version,
@@ -176,7 +176,7 @@
     let Some(stored) = content.keys.get(key.as_str()) else {
         return transaction_reply(404, Vec::new(), content.revision);
     };
-    let item = Item {
+    let item = KeyValue {
         key: key.into_inner(),
         value: stored.value.clone(),
         version: stored.version,
@@ -203,7 +203,7 @@
         };
         let left = until.saturating_duration_since(Instant::now());
         if !events.is_empty() || left.is_zero() {
-            return cbor(200, &Watched { revision, events });
+            return cbor(200, &WatchReply { revision, events });
         }
         let _ = tokio::time::timeout(left, changed.changed()).await;
     }
--- a/benches/load/users.rs
+++ b/benches/load/users.rs
@@ -72,7 +72,7 @@
             memory_gb: 1.0,
             image: format!("image-{}", number % IMAGES),
             image_gb: 0.5,
-            types: None,
+            machine_types: None,
             zone: None,
             single_zone: false,
             spread_zones: false,
--- a/benches/load/worker/heartbeats.rs
+++ b/benches/load/worker/heartbeats.rs
@@ -60,7 +60,7 @@
 
     /// Turns to the leader that was named, or else to the next controller.
     fn follow(&mut self, redirect: Option<Redirect>) {
-        let leader = redirect.and_then(|redirect| redirect.report_to);
+        let leader = redirect.and_then(|redirect| redirect.leader);
         let known = self
             .controllers
             .iter()
--- a/benches/load/worker/tasks.rs
+++ b/benches/load/worker/tasks.rs
@@ -28,7 +28,7 @@
             session: 1,
             sequence: 0,
             token: FencingToken::ZERO,
-            eviction_notice_s: None,
+            termination_notice_s: None,
             tasks: Vec::new(),
         };
         WorkerState {
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -35,8 +35,8 @@
     let is_valid = decided.valid_until.is_some_and(|until| now < until);
     match decided.outcome {
         HeartbeatOutcome::Reply(reply) if is_valid => responses::message(StatusCode::OK, &reply),
-        HeartbeatOutcome::Redirect(report_to) => {
-            responses::message(StatusCode::MISDIRECTED_REQUEST, &Redirect { report_to })
+        HeartbeatOutcome::Redirect(leader) => {
+            responses::message(StatusCode::MISDIRECTED_REQUEST, &Redirect { leader })
         }
         HeartbeatOutcome::Reply(_) | HeartbeatOutcome::NoLeader => {
             responses::error(StatusCode::SERVICE_UNAVAILABLE, "no authority to act")
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -82,7 +82,7 @@
     /// If the cloud does not answer with usable machine types.
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let response = self.call(Method::GET, "/flavors", None).await?;
-        let types = decode_ok::<Catalogue>(&response)?.types;
+        let types = decode_ok::<Catalogue>(&response)?.machine_types;
         if types.is_empty() || !types.iter().all(is_plausible) {
             return Err(CloudError::ImplausibleMachineTypes);
         }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,10 +12,10 @@
 mod validation;
 
 pub use error::{ConfigError, InvalidValue, Problem};
-pub use operator::Operator;
+pub use operator::OperatorSettings;
 pub use platform::{
-    CloudLimits, Deployment, External, MachineLimits, Objective, Peer, Platform, StateLimits, Team,
-    Workers,
+    CloudLimits, Deployment, ExternalServices, MachineLimits, Objective, Peer, PlatformSettings,
+    StateLimits, Team, WorkerTimings,
 };
 
 use crate::time::duration;
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The platform's settings.
-    pub platform: Platform,
+    pub platform: PlatformSettings,
     /// The operators' settings.
-    pub operator: Operator,
+    pub operator: OperatorSettings,
 }
 
 impl Settings {
@@ -48,7 +48,7 @@
             platform: read(platform)?,
             operator: match operator {
                 Some(path) => read(path)?,
-                None => Operator::default(),
+                None => OperatorSettings::default(),
             },
         };
         settings.validate(platform, operator.unwrap_or(platform))?;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -7,7 +7,7 @@
 /// The operators' own settings; each has a default.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Machines whose capability lies within this factor form a group.
     pub group_factor: f64,
     /// Rate at which images are fetched, in GB per second, assumed until one is measured.
@@ -25,9 +25,9 @@
     pub leader_lease_s: f64,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator {
+        OperatorSettings {
             group_factor: 1.25,
             fetch_gb_per_s: 0.1,
             transfer_test: true,
@@ -38,7 +38,7 @@
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Time to live of the leader lease.
     #[must_use]
     pub fn leader_lease(&self) -> Duration {
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -7,7 +7,7 @@
 
 /// The platform's settings.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Platform {
+pub struct PlatformSettings {
     /// Name of this controller.
     pub node: String,
     /// Zone of this controller.
@@ -20,7 +20,7 @@
     #[serde(default)]
     pub peers: Vec<Peer>,
     /// Services outside the deployment.
-    pub external: External,
+    pub external: ExternalServices,
     /// Parameters of the deployment, the same for all of its controllers.
     pub deployment: Deployment,
 }
@@ -36,7 +36,7 @@
 
 /// Addresses of services outside the deployment.
 #[derive(Debug, Clone, Deserialize)]
-pub struct External {
+pub struct ExternalServices {
     /// The cloud that rents machines.
     pub cloud: SocketAddr,
     /// The state service.
@@ -53,7 +53,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Timing of workers.
-    pub workers: Workers,
+    pub workers: WorkerTimings,
     /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud.
@@ -102,7 +102,7 @@
 
 /// Timing of workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerTimings {
     /// Interval between two heartbeats.
     pub report_s: f64,
     /// Time after which a worker that is not answered kills its tasks.
@@ -111,7 +111,7 @@
     pub cancel_s: f64,
 }
 
-impl Workers {
+impl WorkerTimings {
     /// Interval between two heartbeats of a worker.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
@@ -179,7 +179,7 @@
     /// and workers, and for connections that are being closed. Memory limits it too, as a process that runs out of memory is
     /// killed.
     #[must_use]
-    pub fn server_connections(&self) -> usize {
+    pub fn max_server_connections(&self) -> usize {
         let by_sockets = self.max_connections * SERVER_SOCKETS_PERCENT / 100;
         let by_memory = self.ram_mb.map_or(usize::MAX, connections_within);
         by_sockets.min(by_memory).max(MIN_SERVER_CONNECTIONS)
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -36,7 +36,7 @@
 pub(crate) fn settings() -> Settings {
     Settings {
         platform: toml::from_str(PLATFORM).unwrap(),
-        operator: Operator::default(),
+        operator: OperatorSettings::default(),
     }
 }
 
@@ -44,7 +44,7 @@
 fn unknown_fields_pass_in_the_platform_file_only() {
     let here = Path::new("x.toml");
     assert!(settings().validate(here, here).is_ok());
-    assert!(toml::from_str::<Operator>("group_factr = 2").is_err());
+    assert!(toml::from_str::<OperatorSettings>("group_factr = 2").is_err());
 }
 
 #[test]
@@ -84,7 +84,7 @@
             ram_mb,
             max_connections,
         }
-        .server_connections()
+        .max_server_connections()
     };
     assert_eq!(limits(None, 1000), 850);
     assert_eq!(limits(Some(46.0), 1000), 850);
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -1,7 +1,8 @@
 //! Validation of the settings, section by section: each check names the field by its path in the file.
 
 use super::{
-    CloudLimits, Deployment, InvalidValue, Operator, Platform, Problem, StateLimits, Team, Workers,
+    CloudLimits, Deployment, InvalidValue, OperatorSettings, PlatformSettings, Problem,
+    StateLimits, Team, WorkerTimings,
 };
 use std::ops::RangeInclusive;
 
@@ -10,7 +11,7 @@
 /// Life of the leader lease, in seconds.
 const LEADER_LEASE_S: RangeInclusive<f64> = 0.5..=60.0;
 
-impl Platform {
+impl PlatformSettings {
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
         self.deployment.validate()?;
         let contains_itself = self.peers.iter().any(|peer| peer.node == self.node);
@@ -27,7 +28,7 @@
     }
 }
 
-impl Workers {
+impl WorkerTimings {
     fn validate(&self) -> Result<(), InvalidValue> {
         const LEASE: &str = "deployment.workers.lease_s";
         const CANCEL: &str = "deployment.workers.cancel_s";
@@ -76,7 +77,7 @@
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
         let group_factor = self.group_factor.is_finite() && self.group_factor >= 1.0;
         ensure(group_factor, "group_factor", Problem::BelowOne)?;
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -166,7 +166,7 @@
         session: 1,
         sequence,
         token: FencingToken::new(TOKEN),
-        eviction_notice_s: None,
+        termination_notice_s: None,
         tasks: tasks.iter().map(task).collect(),
     }
 }
--- a/src/controller/tests/large_fleets.rs
+++ b/src/controller/tests/large_fleets.rs
@@ -14,7 +14,7 @@
         session: 1,
         sequence: 1,
         token: FencingToken::ZERO,
-        eviction_notice_s: None,
+        termination_notice_s: None,
         tasks: Vec::new(),
     }
 }
--- a/src/controller/tests/simulation/workers/mod.rs
+++ b/src/controller/tests/simulation/workers/mod.rs
@@ -128,7 +128,7 @@
             session: self.session,
             sequence: self.sequence,
             token: self.token,
-            eviction_notice_s: None,
+            termination_notice_s: None,
             tasks: self.attempts.iter().map(status).collect(),
         }
     }
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -130,7 +130,7 @@
     fn any_machine_type_fits(&self, spec: &JobSpec) -> bool {
         self.machine_types().iter().any(|machine_type| {
             let type_allowed = spec
-                .types
+                .machine_types
                 .as_ref()
                 .is_none_or(|types| types.contains(&machine_type.name));
             let zone_allowed = spec
--- a/src/controller/user_requests/submission/tests.rs
+++ b/src/controller/user_requests/submission/tests.rs
@@ -43,11 +43,11 @@
     assert_eq!(check(|spec| spec.memory_gb = 33.0), no_type_fits);
     assert_eq!(check(|spec| spec.zone = Some("b".into())), no_type_fits);
     assert_eq!(
-        check(|spec| spec.types = Some(vec!["m9".into()])),
+        check(|spec| spec.machine_types = Some(vec!["m9".into()])),
         no_type_fits
     );
     let allowed = check(|spec| {
-        spec.types = Some(vec!["m9".into(), "m8".into()]);
+        spec.machine_types = Some(vec!["m9".into(), "m8".into()]);
         spec.zone = Some("a".into());
     });
     assert_eq!(allowed, Ok(()));
--- a/src/controller/watch_loop.rs
+++ b/src/controller/watch_loop.rs
@@ -2,7 +2,7 @@
 
 use super::handles::Handles;
 use super::state::{ControllerState, LeaderKeyChange};
-use crate::protocol::Watched;
+use crate::protocol::WatchReply;
 use crate::store::StoreError;
 use crate::time::duration_from_millis;
 use futures_util::future::{select, Either};
@@ -82,7 +82,7 @@
     }
 
     /// Applies the answer to a watch request and wakes the loops that depend on it.
-    fn apply_watched(&self, changes: &Watched) {
+    fn apply_watched(&self, changes: &WatchReply) {
         let leader_key =
             self.update_state(|state| state.apply_watch_events(changes.revision, &changes.events));
         if leader_key == LeaderKeyChange::Deleted {
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -43,7 +43,7 @@
 pub struct Catalogue {
     /// All machine types on offer.
     #[serde(rename = "breeds")]
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
 }
 
 /// A request to rent machines.
--- a/src/protocol/job_validation.rs
+++ b/src/protocol/job_validation.rs
@@ -64,7 +64,7 @@
         ensure(self.amounts_are_valid(), InvalidJobSpec::Amount)?;
         let deadline = self.deadline_s.is_none_or(is_amount);
         ensure(deadline, InvalidJobSpec::Deadline)?;
-        ensure(self.types_are_valid(), InvalidJobSpec::MachineTypes)?;
+        ensure(self.machine_types_are_valid(), InvalidJobSpec::MachineTypes)?;
         let zone = self.zone.as_deref().is_none_or(is_name);
         ensure(zone, InvalidJobSpec::Zone)
     }
@@ -81,8 +81,8 @@
         amounts.into_iter().all(is_amount)
     }
 
-    fn types_are_valid(&self) -> bool {
-        self.types.as_ref().is_none_or(|types| {
+    fn machine_types_are_valid(&self) -> bool {
+        self.machine_types.as_ref().is_none_or(|types| {
             types.len() <= MACHINE_TYPES_LIMIT && types.iter().all(|name| is_name(name))
         })
     }
--- a/src/protocol/state_service.rs
+++ b/src/protocol/state_service.rs
@@ -102,7 +102,7 @@
 
 /// A key with its value.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
@@ -119,7 +119,7 @@
 pub struct Page {
     /// The keys, in their order.
     #[serde(rename = "rows")]
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Whether another page follows.
     #[serde(rename = "hasNext")]
     pub more: bool,
@@ -191,7 +191,7 @@
 
 /// The answer to a watch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Watched {
+pub struct WatchReply {
     /// Revision up to which the changes are complete; the next watch begins there.
     #[serde(rename = "ledger")]
     pub revision: Revision,
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -71,7 +71,7 @@
     pub image_gb: f64,
     /// Allowed machine types, or any.
     #[serde(rename = "breeds", default)]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone, or any.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -147,7 +147,7 @@
         deserialize_with = "optional_finite_number",
         skip_serializing_if = "Option::is_none"
     )]
-    pub eviction_notice_s: Option<f64>,
+    pub termination_notice_s: Option<f64>,
     /// All tasks on the machine. Exited ones are listed until a command removes them.
     #[serde(rename = "chores")]
     pub tasks: Vec<TaskStatus>,
@@ -229,5 +229,5 @@
 pub struct Redirect {
     /// Name of the controller that leads, if it is known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub leader: Option<String>,
 }
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -29,7 +29,7 @@
             .contact
             .record_heartbeat(heartbeat.sequence(), &report.address, now);
         let notice = report
-            .eviction_notice_s
+            .termination_notice_s
             .map(|seconds| now + duration(seconds));
         machine.eviction.set_notice(notice);
         last_session != 0 && is_new_session
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -77,7 +77,7 @@
             class: ResourceClass::of(task_resources, self.largest_machine()),
             task_resources,
             machine_types: spec
-                .types
+                .machine_types
                 .as_ref()
                 .map(|names| names.iter().map(machine_type).collect()),
             image: self.images.intern(&spec.image),
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -151,7 +151,7 @@
             session: 1,
             sequence: self.sequence,
             token,
-            eviction_notice_s: None,
+            termination_notice_s: None,
             tasks: lines.collect(),
         }
     }
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -61,16 +61,16 @@
     );
     let got = starts(&cluster.heartbeat("n-1", &[]));
     let mut r = cluster.report("n-1", first_token(EPOCH), &as_running(&got[..1]));
-    r.eviction_notice_s = Some(20.0);
+    r.termination_notice_s = Some(20.0);
     cluster.handle(&r);
     cluster.submit(spec("wk-2", 1), 102);
     cluster.run_round(2000);
     let mut r = cluster.report("n-1", first_token(EPOCH), &as_running(&got[..1]));
-    r.eviction_notice_s = Some(19.0);
+    r.termination_notice_s = Some(19.0);
     assert!(cluster.handle(&r).is_empty());
     cluster.run_round(12_500);
     let mut r = cluster.report("n-1", first_token(EPOCH), &as_running(&got[..1]));
-    r.eviction_notice_s = Some(8.5);
+    r.termination_notice_s = Some(8.5);
     assert_eq!(
         cluster.handle(&r),
         vec![Command::Stop {
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -53,7 +53,7 @@
         memory_gb: 2.0,
         image: "i".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
         single_zone: false,
         spread_zones: false,
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -74,7 +74,7 @@
     );
     cluster.submit(
         JobSpec {
-            types: Some(vec!["other".into()]),
+            machine_types: Some(vec!["other".into()]),
             ..spec("wk-3", 1)
         },
         103,
--- a/src/service.rs
+++ b/src/service.rs
@@ -14,7 +14,7 @@
 /// If the runtime cannot be built, or an address cannot be listened on.
 pub fn run(settings: Settings) -> std::io::Result<()> {
     let platform = settings.platform.clone();
-    let connections = platform.deployment.machine_limits.server_connections();
+    let connections = platform.deployment.machine_limits.max_server_connections();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -5,7 +5,7 @@
 use super::{Replica, ReplicaChange, Revision, Versioned, ROOT};
 use crate::clients::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest, HttpResponse};
 use crate::protocol::{
-    decode, encode, Item, LeaseReply, LeaseRequest, Page, Txn, TxnReply, Watched,
+    decode, encode, KeyValue, LeaseReply, LeaseRequest, Page, Txn, TxnReply, WatchReply,
 };
 use crate::time::whole_millis;
 use awc::http::{Method, StatusCode};
@@ -103,7 +103,7 @@
     /// [`StoreError::NotFound`] if the key does not exist, any other if the service does not answer with a record of this
     /// type.
     pub async fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Versioned<T>, StoreError> {
-        let item: Item = self.read(&format!("/keys/{key}"), TIMEOUT).await?;
+        let item: KeyValue = self.read(&format!("/keys/{key}"), TIMEOUT).await?;
         let record = read_record(&item.value).ok_or(MALFORMED)?;
         Ok(Versioned {
             record,
@@ -176,7 +176,7 @@
     /// # Errors
     /// [`StoreError::NotFound`] if the service no longer has all changes since then, [`StoreError::ResponseTooLarge`] if there
     /// are too many, any other if the service does not answer.
-    pub async fn watch(&self, after: Revision, hold: Duration) -> Result<Watched, StoreError> {
+    pub async fn watch(&self, after: Revision, hold: Duration) -> Result<WatchReply, StoreError> {
         let hold_ms = whole_millis(hold);
         let path = format!("/watch?starts={ROOT}&after={after}&holdMs={hold_ms}");
         self.read(&path, hold + TIMEOUT).await
--- a/tests/compat/cloud.rs
+++ b/tests/compat/cloud.rs
@@ -35,7 +35,7 @@
     assert_eq!(written(&machine_type()), type_message());
     let literal = Value::Map(vec![("breeds".into(), Value::Array(vec![type_message()]))]);
     let catalogue = Catalogue {
-        types: vec![machine_type()],
+        machine_types: vec![machine_type()],
     };
     assert_eq!(read::<Catalogue>(&literal), catalogue);
     assert_eq!(written(&catalogue), literal);
@@ -49,7 +49,10 @@
         "fetchGbPerS" => 1.5, "price" => 12, "lowPrice" => 4.5, "startupS" => 45,
         "yards" => ["a", "b"], "colour" => "grey"
     }]});
-    assert_eq!(read::<Catalogue>(&literal).types, vec![machine_type()]);
+    assert_eq!(
+        read::<Catalogue>(&literal).machine_types,
+        vec![machine_type()]
+    );
 }
 
 #[test]
--- a/tests/compat/settings.rs
+++ b/tests/compat/settings.rs
@@ -1,6 +1,6 @@
 //! Both settings files and the deploy file.
 
-use hollowswitch::config::{Operator, Settings};
+use hollowswitch::config::{OperatorSettings, Settings};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -257,7 +257,7 @@
     assert_eq!(operator.leader_lease_s, 3.5);
 }
 
-fn assert_defaults(operator: &Operator) {
+fn assert_defaults(operator: &OperatorSettings) {
     assert_eq!(operator.group_factor, 1.25);
     assert_eq!(operator.fetch_gb_per_s, 0.1);
     assert!(operator.transfer_test);
--- a/tests/compat/state_service.rs
+++ b/tests/compat/state_service.rs
@@ -3,8 +3,8 @@
 use super::literal::{assert_required, hex, message, read, try_read, with, without, written};
 use ciborium::Value;
 use hollowswitch::protocol::{
-    encode, Change, Event, Guard, Item, LeaseReply, LeaseRequest, Page, Revision, Txn, TxnReply,
-    Watched,
+    encode, Change, Event, Guard, KeyValue, LeaseReply, LeaseRequest, Page, Revision, Txn,
+    TxnReply, WatchReply,
 };
 
 /// A transaction with every kind of change.
@@ -112,14 +112,14 @@
 
 #[test]
 fn a_key_is_read_and_written_field_by_field() {
-    let item = read::<Item>(&item_message());
+    let item = read::<KeyValue>(&item_message());
     assert_eq!((item.key.as_str(), item.version.as_u64()), ("a/b", 412));
     assert_eq!(item.value, message!({"x" => [1, "y"]}));
     assert_eq!(written(&item), without(&item_message(), "tenure"));
-    assert!(try_read::<Item>(&without(&item_message(), "path")).is_none());
-    assert!(try_read::<Item>(&without(&item_message(), "v")).is_none());
-    assert!(try_read::<Item>(&without(&item_message(), "stamp")).is_none());
-    let null = read::<Item>(&with(&item_message(), "v", Value::Null));
+    assert!(try_read::<KeyValue>(&without(&item_message(), "path")).is_none());
+    assert!(try_read::<KeyValue>(&without(&item_message(), "v")).is_none());
+    assert!(try_read::<KeyValue>(&without(&item_message(), "stamp")).is_none());
+    let null = read::<KeyValue>(&with(&item_message(), "v", Value::Null));
     assert_eq!(null.value, Value::Null);
 }
 
@@ -146,7 +146,7 @@
 fn a_watch_is_read_and_written_field_by_field() {
     let literal = message!({"ledger" => 433, "events" => [
         {"put" => "c/9", "v" => {"x" => 1}, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}]});
-    let watched = read::<Watched>(&literal);
+    let watched = read::<WatchReply>(&literal);
     assert_eq!(watched.revision.as_u64(), 433);
     let [Event::Put {
         put,
@@ -165,10 +165,12 @@
     );
     assert_eq!((key.as_str(), removed.as_u64()), ("c/d", 432));
     assert_eq!(written(&watched), literal);
-    assert_required::<Watched>(&literal, &["ledger", "events"]);
-    assert!(read::<Watched>(&message!({"ledger" => 1, "events" => []}))
-        .events
-        .is_empty());
+    assert_required::<WatchReply>(&literal, &["ledger", "events"]);
+    assert!(
+        read::<WatchReply>(&message!({"ledger" => 1, "events" => []}))
+            .events
+            .is_empty()
+    );
 }
 
 #[test]
--- a/tests/compat/stored_records/mod.rs
+++ b/tests/compat/stored_records/mod.rs
@@ -7,7 +7,7 @@
 mod unreadable;
 mod written;
 
-use hollowswitch::protocol::{decode, JobKind, JobSpec, MachineType, Priority, Watched};
+use hollowswitch::protocol::{decode, JobKind, JobSpec, MachineType, Priority, WatchReply};
 use hollowswitch::store::{LeaderRecord, LiveRecord, RentalRecord, Replica};
 
 /// `JobSpec` of `job_spec`.
@@ -78,7 +78,7 @@
         memory_gb: 3.0,
         image: "img".into(),
         image_gb: 4.0,
-        types: Some(vec!["m8".into()]),
+        machine_types: Some(vec!["m8".into()]),
         zone: Some("a".into()),
         single_zone: true,
         spread_zones: false,
@@ -137,7 +137,7 @@
 /// A replica that has read the answer of a watch, as it came over the wire.
 fn replica_after(events: &[u8]) -> Replica {
     let answer = bytes(&[b"\xa2\x66ledger\x18\x64\x66events", events]);
-    let watched: Watched = decode(&answer).unwrap();
+    let watched: WatchReply = decode(&answer).unwrap();
     let mut replica = Replica::default();
     replica.apply(watched.revision, &watched.events);
     replica
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -82,7 +82,7 @@
         session: 1,
         sequence: 1 + token % 7,
         token: FencingToken::new(token),
-        eviction_notice_s: None,
+        termination_notice_s: None,
         tasks: tasks
             .iter()
             .map(|(task, attempt)| TaskStatus {
--- a/tests/compat/users.rs
+++ b/tests/compat/users.rs
@@ -34,7 +34,7 @@
         memory_gb: 64.0,
         image: "img-07".into(),
         image_gb: 6.25,
-        types: Some(vec!["g8".into(), "c4".into()]),
+        machine_types: Some(vec!["g8".into(), "c4".into()]),
         zone: Some("a".into()),
         single_zone: true,
         spread_zones: false,
@@ -79,7 +79,7 @@
         .iter()
         .fold(submission(), |m, field| without(&m, field));
     let expected = JobSpec {
-        types: None,
+        machine_types: None,
         zone: None,
         deadline_s: None,
         ..job()
@@ -286,10 +286,10 @@
         assert_eq!(refusal(|job| job.image.clone_from(&bad)), names);
         assert_eq!(refusal(|job| job.zone = Some(bad.clone())), "yard");
         let types = vec!["g8".into(), bad];
-        assert_eq!(refusal(|job| job.types = Some(types)), "breeds");
+        assert_eq!(refusal(|job| job.machine_types = Some(types)), "breeds");
     }
     let many = vec!["g8".to_string(); 65];
-    assert_eq!(refusal(|job| job.types = Some(many)), "breeds");
+    assert_eq!(refusal(|job| job.machine_types = Some(many)), "breeds");
 }
 
 #[test]
@@ -319,7 +319,7 @@
         team: name.clone(),
         image: name.clone(),
         zone: Some(name.clone()),
-        types: Some(vec![name; 64]),
+        machine_types: Some(vec![name; 64]),
         tasks: 100_000,
         cpus: 1e9,
         deadline_s: Some(1e9),
--- a/tests/compat/workers.rs
+++ b/tests/compat/workers.rs
@@ -33,7 +33,7 @@
         session: 2,
         sequence: 88,
         token: FencingToken::new(41),
-        eviction_notice_s: Some(60.5),
+        termination_notice_s: Some(60.5),
         tasks: vec![
             TaskStatus {
                 task: "wk-000412/3".into(),
@@ -70,7 +70,7 @@
 #[test]
 fn a_spot_notice_may_be_null_or_absent() {
     let expected = WorkerStatus {
-        eviction_notice_s: None,
+        termination_notice_s: None,
         ..report()
     };
     let absent = without(&report_message(), "recallS");
@@ -289,7 +289,7 @@
 #[test]
 fn a_redirect_names_a_node_or_none() {
     let to = |name: Option<&str>| Redirect {
-        report_to: name.map(String::from),
+        leader: name.map(String::from),
     };
     assert_eq!(
         written(&to(Some("drover-2"))),
@@ -300,7 +300,7 @@
     let named = hex("a1 67 666f72656d616e 68 64726f7665722d32");
     assert_eq!(encode(&to(Some("drover-2"))), named);
     assert_eq!(encode(&to(None)), hex("a0"));
-    let read_name = |literal: Value| read::<Redirect>(&literal).report_to;
+    let read_name = |literal: Value| read::<Redirect>(&literal).leader;
     assert_eq!(
         read_name(message!({"foreman" => "drover-2"})).as_deref(),
         Some("drover-2")
