--- a/benches/load/cloud.rs
+++ b/benches/load/cloud.rs
@@ -111,7 +111,7 @@
     let page = rows.by_ref().take(limit).cloned().collect();
     HttpResponse::Ok().body(encode(&MachineList {
         machines: page,
-        more: rows.next().is_some(),
+        has_more: rows.next().is_some(),
     }))
 }
 
--- a/benches/load/store.rs
+++ b/benches/load/store.rs
@@ -140,7 +140,7 @@
         };
         Page {
             items: rows.by_ref().take(query.limit).map(item).collect(),
-            more: rows.next().is_some(),
+            has_more: rows.next().is_some(),
             revision: self.revision,
         }
     }
--- a/benches/load/users.rs
+++ b/benches/load/users.rs
@@ -53,7 +53,7 @@
             kind: JobKind::Service,
             priority: Priority::Production,
             tasks: REPLICAS,
-            estimate_s: 0.0,
+            run_time_estimate_s: 0.0,
             ..self.array(number)
         }
     }
@@ -77,9 +77,9 @@
             single_zone: false,
             spread_zones: false,
             spot: false,
-            estimate_s: 60.0,
+            run_time_estimate_s: 60.0,
             checkpoint_interval_s: 0.0,
-            save_s: 0.0,
+            checkpoint_save_s: 0.0,
             deadline_s: None,
         }
     }
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -132,7 +132,7 @@
         let path = format!("/machines?after={after}&limit={PAGE_SIZE}");
         let response = self.call(Method::GET, &path, None).await?;
         let list: MachineList = decode_ok(&response)?;
-        let last = list.machines.last().filter(|_| list.more);
+        let last = list.machines.last().filter(|_| list.has_more);
         Ok(MachinePage {
             next: last.map(|machine| machine.id.clone()),
             machines: list.machines,
--- a/src/controller/cloud/rentals.rs
+++ b/src/controller/cloud/rentals.rs
@@ -93,7 +93,7 @@
     ) -> Result<Vec<String>, RentalError> {
         let OpenRental { name, record, .. } = rental;
         let request = RentRequest {
-            request: name.clone(),
+            name: name.clone(),
             machine_type: record.machine_type.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -52,7 +52,7 @@
     /// Name of the request. The cloud answers a repeated name with the machines of the first one, so that it must never be
     /// used for another request.
     #[serde(rename = "hire")]
-    pub request: String,
+    pub name: String,
     /// Name of the machine type.
     #[serde(rename = "breed")]
     pub machine_type: String,
@@ -107,5 +107,5 @@
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
     #[serde(rename = "hasNext")]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/src/protocol/job_validation.rs
+++ b/src/protocol/job_validation.rs
@@ -74,9 +74,9 @@
             self.gpus,
             self.memory_gb,
             self.image_gb,
-            self.estimate_s,
+            self.run_time_estimate_s,
             self.checkpoint_interval_s,
-            self.save_s,
+            self.checkpoint_save_s,
         ];
         amounts.into_iter().all(is_amount)
     }
--- a/src/protocol/state_service.rs
+++ b/src/protocol/state_service.rs
@@ -122,7 +122,7 @@
     pub items: Vec<KeyValue>,
     /// Whether another page follows.
     #[serde(rename = "hasNext")]
-    pub more: bool,
+    pub has_more: bool,
     /// Revision of the store when the page was read.
     #[serde(rename = "ledger")]
     pub revision: Revision,
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -44,7 +44,7 @@
         ),
         (
             JobSpec {
-                save_s: -1.0,
+                checkpoint_save_s: -1.0,
                 ..spec.clone()
             },
             "an amount",
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -86,13 +86,13 @@
     pub spot: bool,
     /// The user's estimate of the run time of a task; 0 for services.
     #[serde(rename = "reckonS", deserialize_with = "finite_number")]
-    pub estimate_s: f64,
+    pub run_time_estimate_s: f64,
     /// Progress between two checkpoints; 0 if the task cannot be checkpointed.
     #[serde(rename = "markEveryS", deserialize_with = "finite_number")]
     pub checkpoint_interval_s: f64,
     /// Time that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "stowS", deserialize_with = "finite_number")]
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     /// Deadline of the whole job, counted from its submission.
     #[serde(rename = "dueS", default, deserialize_with = "optional_finite_number")]
     pub deadline_s: Option<f64>,
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -88,7 +88,7 @@
     ConflictingAttempt,
     /// The start was refused: there is no such job or task.
     #[serde(rename = "unknown")]
-    Unknown,
+    UnknownTask,
     /// A reason that this version does not know.
     #[serde(other)]
     Other,
--- a/src/scheduler/heartbeat/commands.rs
+++ b/src/scheduler/heartbeat/commands.rs
@@ -115,7 +115,11 @@
             return None;
         }
         let attempt = active.attempt;
-        let grace_s = if save { job.record.spec.save_s } else { 0.0 };
+        let grace_s = if save {
+            job.record.spec.checkpoint_save_s
+        } else {
+            0.0
+        };
         Some(Command::Stop {
             task: self.task_name(task),
             attempt,
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -89,7 +89,7 @@
                 let now = self.now();
                 self.machine_mut(machine).health.record_refused_start(now);
             }
-            Some(ExitReason::Unknown) => {
+            Some(ExitReason::UnknownTask) => {
                 self.job_mut(job).retry_at = self.now() + UNKNOWN_TASK_BACKOFF;
             }
             _ => {}
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -182,7 +182,10 @@
         match active.phase {
             Phase::Stopping { save: true } if status.state == TaskState::Saving => {}
             Phase::Stopping { save: true } => {
-                commands.push(stop_command(status, self.job(task.job).record.spec.save_s));
+                commands.push(stop_command(
+                    status,
+                    self.job(task.job).record.spec.checkpoint_save_s,
+                ));
             }
             Phase::Stopping { save: false } => commands.push(stop_command(status, 0.0)),
             _ => self.update_phase(machine, task, active, phase),
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -244,7 +244,7 @@
             JobKind::Array | JobKind::Gang => self
                 .run_times
                 .mean_s()
-                .unwrap_or_else(|| self.spec().estimate_s.max(1.0)),
+                .unwrap_or_else(|| self.spec().run_time_estimate_s.max(1.0)),
         }
     }
 
--- a/src/scheduler/machines/expiry.rs
+++ b/src/scheduler/machines/expiry.rs
@@ -69,6 +69,6 @@
 
     /// Returns the time that a task needs to save its progress, including the delivery of the stop to its worker.
     fn time_to_save(&self, spec: &JobSpec) -> Duration {
-        duration(spec.save_s) + self.params.heartbeat_interval * 2 + STOP_MARGIN
+        duration(spec.checkpoint_save_s) + self.params.heartbeat_interval * 2 + STOP_MARGIN
     }
 }
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -54,7 +54,7 @@
     cluster.submit(
         JobSpec {
             checkpoint_interval_s: 10.0,
-            save_s: 4.0,
+            checkpoint_save_s: 4.0,
             ..spec("wk-1", 1)
         },
         101,
--- a/src/scheduler/tests/image_holders.rs
+++ b/src/scheduler/tests/image_holders.rs
@@ -11,7 +11,7 @@
     cluster.submit(
         JobSpec {
             cpus: 8.0,
-            estimate_s: 300.0,
+            run_time_estimate_s: 300.0,
             ..spec("wk-1", 1)
         },
         101,
@@ -36,7 +36,7 @@
     cluster.submit(
         JobSpec {
             kind: JobKind::Service,
-            estimate_s: 0.0,
+            run_time_estimate_s: 0.0,
             ..spec("wk-2", 1)
         },
         102,
@@ -54,7 +54,7 @@
     cluster.submit(
         JobSpec {
             cpus: 8.0,
-            estimate_s: 400.0,
+            run_time_estimate_s: 400.0,
             ..spec("wk-1", 1)
         },
         101,
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -58,9 +58,9 @@
         single_zone: false,
         spread_zones: false,
         spot: true,
-        estimate_s: 60.0,
+        run_time_estimate_s: 60.0,
         checkpoint_interval_s: 0.0,
-        save_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     }
 }
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -123,7 +123,7 @@
         JobSpec {
             priority: Priority::Low,
             checkpoint_interval_s: 10.0,
-            save_s: 3.0,
+            checkpoint_save_s: 3.0,
             ..spec("wk-1", 4)
         },
         101,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -213,7 +213,7 @@
             let revision = *first_revision.get_or_insert(page.revision);
             put_page(replica, &page);
             match page.items.last() {
-                Some(last) if page.more => after.clone_from(&last.key),
+                Some(last) if page.has_more => after.clone_from(&last.key),
                 _ => return Ok(revision),
             }
         }
--- a/tests/compat/cloud.rs
+++ b/tests/compat/cloud.rs
@@ -77,7 +77,7 @@
     let literal = message!({"hire" => "r-17", "breed" => "g8", "yard" => "a", "loaners" => true,
                             "howMany" => 12});
     let request = RentRequest {
-        request: "r-17".into(),
+        name: "r-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
@@ -86,7 +86,7 @@
     assert_eq!(written(&request), literal);
     let back = read::<RentRequest>(&literal);
     assert_eq!(
-        (back.request.as_str(), back.machine_type.as_str()),
+        (back.name.as_str(), back.machine_type.as_str()),
         ("r-17", "g8")
     );
     assert_eq!((back.zone.as_str(), back.spot, back.count), ("a", true, 12));
@@ -96,7 +96,7 @@
 #[test]
 fn a_rental_request_is_these_bytes() {
     let request = RentRequest {
-        request: "r-17".into(),
+        name: "r-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: false,
@@ -169,10 +169,10 @@
         ("hasNext".into(), Value::Bool(true)),
     ]);
     let page = read::<MachineList>(&literal);
-    assert!(page.more);
+    assert!(page.has_more);
     assert_eq!(page.machines.len(), 1);
     assert_listed(&page.machines[0]);
     assert_eq!(written(&page), literal);
     assert_required::<MachineList>(&literal, &["hosts", "hasNext"]);
-    assert!(!read::<MachineList>(&message!({"hosts" => [], "hasNext" => false})).more);
+    assert!(!read::<MachineList>(&message!({"hosts" => [], "hasNext" => false})).has_more);
 }
--- a/tests/compat/state_service.rs
+++ b/tests/compat/state_service.rs
@@ -129,7 +129,7 @@
                             "hasNext" => true, "ledger" => 431});
     let page = read::<Page>(&literal);
     assert_eq!(
-        (page.items.len(), page.more, page.revision.as_u64()),
+        (page.items.len(), page.has_more, page.revision.as_u64()),
         (1, true, 431)
     );
     assert_eq!(
@@ -139,7 +139,7 @@
     assert_eq!(page.items[0].value, message!(5));
     assert_eq!(written(&page), literal);
     assert_required::<Page>(&literal, &["rows", "hasNext", "ledger"]);
-    assert!(!read::<Page>(&message!({"rows" => [], "hasNext" => false, "ledger" => 1})).more);
+    assert!(!read::<Page>(&message!({"rows" => [], "hasNext" => false, "ledger" => 1})).has_more);
 }
 
 #[test]
--- a/tests/compat/stored_records/mod.rs
+++ b/tests/compat/stored_records/mod.rs
@@ -83,9 +83,9 @@
         single_zone: true,
         spread_zones: false,
         spot: true,
-        estimate_s: 5.0,
+        run_time_estimate_s: 5.0,
         checkpoint_interval_s: 6.0,
-        save_s: 7.0,
+        checkpoint_save_s: 7.0,
         deadline_s: Some(8.0),
     }
 }
--- a/tests/compat/users.rs
+++ b/tests/compat/users.rs
@@ -39,9 +39,9 @@
         single_zone: true,
         spread_zones: false,
         spot: true,
-        estimate_s: 240.0,
+        run_time_estimate_s: 240.0,
         checkpoint_interval_s: 30.0,
-        save_s: 4.0,
+        checkpoint_save_s: 4.0,
         deadline_s: Some(900.0),
     }
 }
@@ -304,9 +304,9 @@
         assert_eq!(refusal(|job| job.gpus = bad), "an amount");
         assert_eq!(refusal(|job| job.memory_gb = bad), "an amount");
         assert_eq!(refusal(|job| job.image_gb = bad), "an amount");
-        assert_eq!(refusal(|job| job.estimate_s = bad), "an amount");
+        assert_eq!(refusal(|job| job.run_time_estimate_s = bad), "an amount");
         assert_eq!(refusal(|job| job.checkpoint_interval_s = bad), "an amount");
-        assert_eq!(refusal(|job| job.save_s = bad), "an amount");
+        assert_eq!(refusal(|job| job.checkpoint_save_s = bad), "an amount");
         assert_eq!(refusal(|job| job.deadline_s = Some(bad)), "dueS");
     }
 }
--- a/tests/compat/workers.rs
+++ b/tests/compat/workers.rs
@@ -174,7 +174,7 @@
         (ExitReason::Error, "error"),
         (ExitReason::InsufficientResources, "full"),
         (ExitReason::ConflictingAttempt, "in_use"),
-        (ExitReason::Unknown, "unknown"),
+        (ExitReason::UnknownTask, "unknown"),
     ] {
         let literal = with(&task_message(), "cause", name.into());
         assert_eq!(read::<TaskStatus>(&literal).reason, Some(reason));
