--- a/src/protocol/state_service.rs
+++ b/src/protocol/state_service.rs
@@ -1,15 +1,15 @@
-//! The calls of the state service, a consensus-backed key-value store: transactions of conditions and changes, pages of keys,
+//! Messages to and from the state service, a consensus-backed key-value store: conditional transactions, pages of keys,
 //! watches and leases.
 //!
-//! Values are CBOR of any form: what they hold is a matter of [`crate::store`].
+//! Values are arbitrary CBOR. [`crate::store`] defines the records that are stored in them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A revision of the state service: a number that grows with every change.
+/// A revision of the state service: a number that increases with every transaction that changes something.
 ///
-/// The version of a key is the revision of its last change. A guard on version [`Revision::ZERO`] holds while the key does
-/// not exist.
+/// The version of a key is the revision of its last change. A guard on version [`Revision::ZERO`] holds as long as the key
+/// does not exist.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -20,19 +20,19 @@
     /// The revision of an empty store, and the version of a key that does not exist.
     pub const ZERO: Revision = Revision(0);
 
-    /// The revision with this number.
+    /// Creates the revision with a number.
     #[must_use]
     pub const fn new(number: u64) -> Revision {
         Revision(number)
     }
 
-    /// The revision that follows.
+    /// Returns the next revision.
     #[must_use]
     pub const fn next(self) -> Revision {
         Revision(self.0 + 1)
     }
 
-    /// Its number.
+    /// Returns the number of the revision.
     #[must_use]
     pub const fn as_u64(self) -> u64 {
         self.0
@@ -45,33 +45,33 @@
     }
 }
 
-/// A condition of a transaction.
+/// A condition of a transaction: the expected version of a key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Guard {
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Expected version; [`Revision::ZERO`]: the key does not exist.
+    /// Expected version. [`Revision::ZERO`] if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: Revision,
 }
 
-/// A change of a key in a transaction.
+/// A change of a key by a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Writes a key.
+    /// Creates or overwrites a key.
     Put {
         /// Key.
         put: String,
         /// New value.
         #[serde(rename = "v")]
         value: ciborium::Value,
-        /// Lease that the key is attached to: when it ends, the key is removed.
+        /// Lease that the key is attached to. The key is deleted when the lease ends.
         #[serde(rename = "tenure", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
         /// Key.
         #[serde(rename = "drop")]
@@ -79,28 +79,28 @@
     },
 }
 
-/// A compare-and-swap transaction: if all conditions hold, all changes are made, at one revision.
+/// A compare-and-swap transaction: if all guards hold, all changes are applied atomically, at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// Conditions; all of them have to hold.
+    /// Guards, all of which must hold.
     pub guards: Vec<Guard>,
-    /// Changes, in their order; none if the conditions are only compared.
+    /// Changes, in the order of their application. Empty for a transaction that only checks its guards.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub apply: Vec<Change>,
 }
 
-/// The outcome of a transaction.
+/// The reply to a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TxnReply {
-    /// Keys whose conditions did not hold; none if the transaction was applied.
+    /// Keys whose guards did not hold. Empty if the transaction was applied.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// Revision of the changes; that of the store if nothing was changed.
+    /// Revision of the changes, or the current revision of the store if the transaction changed nothing.
     #[serde(rename = "ledger")]
     pub revision: Revision,
 }
 
-/// A key with its value.
+/// A key with its value and version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
     /// Key.
@@ -117,10 +117,10 @@
 /// A page of keys.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Page {
-    /// The keys, in their order.
+    /// Keys on this page, in ascending order.
     #[serde(rename = "rows")]
     pub items: Vec<KeyValue>,
-    /// Whether another page follows.
+    /// Whether more pages follow.
     #[serde(rename = "hasNext")]
     pub has_more: bool,
     /// Revision of the store when the page was read.
@@ -128,13 +128,14 @@
     pub revision: Revision,
 }
 
-/// A change of a key that a watch brings.
+/// A change of a key, as delivered by a watch.
 ///
-/// Read by way of `EventFields`: as an untagged enum each event was first copied whole, for every variant to be tried.
+/// Deserialized through `EventFields`: the derived implementation for untagged enums copies each event as a whole before it
+/// tries the variants.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged, try_from = "EventFields")]
 pub enum Event {
-    /// A key was written.
+    /// A key was created or overwritten.
     Put {
         /// Key.
         put: String,
@@ -145,23 +146,23 @@
         #[serde(rename = "stamp")]
         version: Revision,
     },
-    /// A key was removed.
+    /// A key was deleted.
     Delete {
         /// Key.
         #[serde(rename = "drop")]
         key: String,
-        /// Version of the removal.
+        /// Revision of the deletion.
         #[serde(rename = "stamp")]
         version: Revision,
     },
 }
 
-/// Why an event is not understood.
+/// The error for an event with both of the fields that identify its variant, or with neither.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("an event is either a put or a drop")]
+#[error("an event must have exactly one of the fields `put` and `drop`")]
 struct AmbiguousEvent;
 
-/// The fields of either variant of `Event`.
+/// The fields of all variants of `Event`.
 #[derive(Deserialize)]
 struct EventFields {
     put: Option<String>,
@@ -189,28 +190,28 @@
     }
 }
 
-/// The answer to a watch.
+/// The reply to a watch request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchReply {
-    /// Revision up to which the changes are complete; the next watch begins there.
+    /// Revision up to which the events are complete. The next watch continues from there.
     #[serde(rename = "ledger")]
     pub revision: Revision,
-    /// Changes in the order of their revisions; none if the watch has ended without any.
+    /// Events, in the order of their revisions. Empty if the watch timed out without any.
     pub events: Vec<Event>,
 }
 
-/// A request for a lease.
+/// A request to open a lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time until it ends without renewal, in milliseconds.
+    /// Time to live in milliseconds: the lease ends if it is not renewed for this long.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
 
-/// The answer to a request for a lease.
+/// The reply to a request to open a lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseReply {
-    /// The lease's id.
+    /// Id of the lease.
     #[serde(rename = "tenure")]
     pub lease: u64,
 }
