--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,12 +1,12 @@
-//! Workers: their heartbeats, and the commands that they are given.
+//! Messages to and from workers: heartbeats and commands.
 
 use super::decoding::optional_finite_number;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::Add;
 
-/// Identifies who may command a worker. A worker follows only tokens that are at least the highest it has seen, so that
-/// raising the token of a machine voids every command sent before.
+/// A fencing token, sent with all commands to a worker. A worker executes only commands whose token is at least the highest one
+/// that it has seen, so that advancing the token of a machine invalidates all earlier commands to it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -14,16 +14,16 @@
 pub struct FencingToken(u64);
 
 impl FencingToken {
-    /// The token of a worker that has seen none.
+    /// The initial token of a worker, which has seen no other.
     pub const ZERO: FencingToken = FencingToken(0);
 
-    /// The token with this number.
+    /// Creates the token with a number.
     #[must_use]
     pub const fn new(number: u64) -> FencingToken {
         FencingToken(number)
     }
 
-    /// The number on the wire.
+    /// Returns the number of the token, as sent on the wire.
     #[must_use]
     pub const fn as_u64(self) -> u64 {
         self.0
@@ -33,7 +33,7 @@
 impl Add<u64> for FencingToken {
     type Output = FencingToken;
 
-    /// The token raised this many times.
+    /// Returns the token advanced by a number of steps.
     fn add(self, steps: u64) -> FencingToken {
         FencingToken(self.0 + steps)
     }
@@ -48,48 +48,48 @@
 /// The state of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// The task waits for its image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Has its image and waits for the other tasks of its gang.
+    /// The machine has the image, and the task waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
     Gathering,
-    /// Runs.
+    /// The task runs.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves a checkpoint.
+    /// The task was told to stop and is saving a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// Has ended, see [`ExitReason`].
+    /// The task has ended, for an [`ExitReason`].
     #[serde(rename = "exited")]
     Exited,
-    /// A state that this version does not know.
+    /// Any state that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// Why a task ended.
+/// The reason why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// The task has completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Done,
     /// The task was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// The task has failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// The start was refused: the machine has too few free resources.
+    /// The start was refused because the machine has too few free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// The start was refused: the task is on the machine with another attempt.
+    /// The start was refused because another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     ConflictingAttempt,
-    /// The start was refused: there is no such job or task.
+    /// The start was refused because no such job or task exists.
     #[serde(rename = "unknown")]
     UnknownTask,
-    /// A reason that this version does not know.
+    /// Any reason that this version does not know.
     #[serde(other)]
     Other,
 }
@@ -97,7 +97,7 @@
 /// The status of a task on its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// `job/number`.
+    /// Name of the task: `job/number`.
     #[serde(rename = "chore")]
     pub task: String,
     /// Number of the attempt to run the task.
@@ -106,41 +106,41 @@
     /// State of the task.
     #[serde(rename = "standing")]
     pub state: TaskState,
-    /// Why it has ended; absent while it has not.
+    /// Reason why the task ended. Absent before its end.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<ExitReason>,
-    /// Whether its progress was saved.
+    /// Whether the progress of the task was saved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A heartbeat of a worker, with the status of its machine and of all tasks there.
+/// A heartbeat: the status of a worker, of its machine and of all tasks on the machine. Also the response to direct commands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerStatus {
     /// Name of the machine.
     #[serde(rename = "host")]
     pub machine: String,
-    /// Address at which the worker takes direct commands.
+    /// Address at which the worker accepts direct commands.
     pub address: String,
     /// Name of the machine type.
     #[serde(rename = "breed")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Incarnation of the worker: starts at 1, and increases whenever its lease has expired and its tasks were killed.
+    /// Session of the worker. Starts at 1 and increases whenever the lease of the worker expires and its tasks are killed.
     #[serde(rename = "shift")]
     pub session: u64,
-    /// Sequence number: increases with every heartbeat and every response to direct commands.
+    /// Sequence number, which increases with every heartbeat and every response to direct commands.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Seconds until the cloud takes the spot machine back, once it has given notice.
+    /// Seconds until the cloud terminates the spot machine. Absent unless the machine has a termination notice.
     #[serde(
         rename = "recallS",
         default,
@@ -148,86 +148,86 @@
         skip_serializing_if = "Option::is_none"
     )]
     pub termination_notice_s: Option<f64>,
-    /// All tasks on the machine. Exited ones are listed until a command removes them.
+    /// All tasks on the machine. An exited task is listed until a [`Command::Forget`] removes it.
     #[serde(rename = "chores")]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// Splits the name of a task, `job/number`, into job id and number.
+/// Splits the name of a task, `job/number`, into the job id and the task number. Returns `None` for a malformed name.
 #[must_use]
 pub fn split_task(task: &str) -> Option<(&str, u32)> {
     let (job, number) = task.split_once('/')?;
     Some((job, number.parse().ok()?))
 }
 
-/// A command to a worker. Each may be repeated, but a start after [`Command::Forget`] starts the attempt again.
+/// A command to a worker. Commands are idempotent, except that a start after [`Command::Forget`] runs the same attempt again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
     /// Starts a task.
     #[serde(rename = "start")]
     Start {
-        /// `job/number`.
+        /// Name of the task: `job/number`.
         #[serde(rename = "chore")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
     /// Stops a task.
     #[serde(rename = "halt")]
     Stop {
-        /// `job/number`.
+        /// Name of the task: `job/number`.
         #[serde(rename = "chore")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time that the task has to save a checkpoint, in seconds; if it is too short, it exits at once.
+        /// Time allowed for saving a checkpoint, in seconds. If it is too short for that, the task exits at once.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
-    /// Removes an exited task from the heartbeats.
+    /// Removes an exited task from the list of tasks in heartbeats.
     #[serde(rename = "clear")]
     Forget {
-        /// `job/number`.
+        /// Name of the task: `job/number`.
         #[serde(rename = "chore")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// The response to a heartbeat.
+/// The reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The fencing token under which the commands are given.
+    /// Fencing token of the commands.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Commands, which the worker executes in this order.
+    /// Commands, in the order in which the worker executes them.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands that are sent to the address of a worker instead of with the response to a heartbeat.
+/// Commands that are sent directly to the address of a worker, instead of in the reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommandRequest {
-    /// The fencing token under which the commands are given.
+    /// Fencing token of the commands.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// The incarnation of the worker for which they are meant; any other refuses them.
+    /// Session of the worker that the commands are meant for. A worker in any other session rejects them.
     #[serde(rename = "shift")]
     pub session: u64,
-    /// Commands, which the worker executes in this order.
+    /// Commands, in the order in which the worker executes them.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Tells a worker to send its heartbeats to another controller.
+/// The response to a heartbeat by a controller that does not lead: tells the worker where to send its heartbeats.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of the controller that leads, if it is known.
+    /// Name of the leader, if it is known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
