--- a/src/protocol/decoding.rs
+++ b/src/protocol/decoding.rs
@@ -1,15 +1,15 @@
-//! Decoding of amounts: the protocol allows any amount to be sent as an integer or as a decimal number.
+//! Deserialization of amounts. A peer may send any amount as an integer or as a floating-point number.
 
 use serde::de::{Deserializer, Error, Visitor};
 use serde::Deserialize;
 use std::fmt;
 
-/// Accepts an integer or a decimal number that is finite.
+/// Deserializes an integer or a finite floating-point number.
 pub(super) fn finite_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     deserializer.deserialize_any(FiniteNumber)
 }
 
-/// Accepts what [`finite_number`] accepts, and null.
+/// Deserializes null, or what [`finite_number`] accepts.
 pub(super) fn optional_finite_number<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<f64>, D::Error> {
@@ -18,6 +18,7 @@
     Ok(Option::<Amount>::deserialize(deserializer)?.map(|amount| amount.0))
 }
 
+/// Visitor of [`finite_number`].
 struct FiniteNumber;
 
 impl Visitor<'_> for FiniteNumber {
--- a/src/protocol/job_validation.rs
+++ b/src/protocol/job_validation.rs
@@ -1,21 +1,21 @@
-//! Validation of submitted jobs. A job that fails it is answered with status 400.
+//! Validation of submitted jobs. An invalid job is rejected with status 400.
 
 use super::JobSpec;
 
-/// Largest number of tasks in a job.
+/// Maximum number of tasks of a job.
 pub const TASK_LIMIT: u32 = 100_000;
-/// Longest name of a class, team, image, machine type or zone, in bytes.
+/// Maximum length of the name of a class, team, image, machine type or zone, in bytes.
 const NAME_LIMIT: usize = 200;
-/// Largest amount of a resource, in its unit, and longest duration, in seconds.
+/// Maximum amount of a resource, in its unit, and maximum duration, in seconds.
 const AMOUNT_LIMIT: f64 = 1e9;
-/// Most machine types that a job may list.
+/// Maximum number of machine types that a job may list.
 const MACHINE_TYPES_LIMIT: usize = 64;
-/// What every job id begins with; digits follow.
+/// Prefix of every job id. Digits follow it.
 const JOB_ID_PREFIX: &str = "wk-";
-/// Most digits in a job id.
+/// Maximum number of digits of a job id.
 const JOB_ID_DIGITS_LIMIT: usize = 20;
 
-/// The field for which a submitted job is refused. Displayed by its name in the protocol, as the user wrote it.
+/// The invalid field for which a submitted job is rejected. Displays the name of the field in the protocol, as users know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidJobSpec {
     /// The job id does not have the form of [`is_job_id`].
@@ -24,19 +24,19 @@
     /// The name of the class, the team or the image is empty or too long.
     #[error("lane, crew or bundle")]
     Name,
-    /// There are no tasks, or more than [`TASK_LIMIT`].
+    /// The number of tasks is 0 or exceeds [`TASK_LIMIT`].
     #[error("chores")]
     TaskCount,
-    /// CPUs are not above 0, or too many.
+    /// The number of CPUs is not above 0, not finite or too large.
     #[error("cores")]
     Cpus,
-    /// Another resource or duration is negative, not finite or too large.
+    /// The amount of another resource, or a duration, is negative, not finite or too large.
     #[error("an amount")]
     Amount,
-    /// The deadline is negative, not finite or too far away.
+    /// The deadline is negative, not finite or too large.
     #[error("dueS")]
     Deadline,
-    /// Too many machine types, or the name of one is empty or too long.
+    /// The list of machine types is too long, or the name of a type is empty or too long.
     #[error("breeds")]
     MachineTypes,
     /// The name of the zone is empty or too long.
@@ -45,28 +45,28 @@
 }
 
 impl JobSpec {
-    /// Checks the values of all fields, in the order of the variants of [`InvalidJobSpec`].
+    /// Validates all fields, in the order of the variants of [`InvalidJobSpec`].
     ///
     /// # Errors
     ///
-    /// Names the first field that is invalid.
+    /// Returns the first invalid field.
     pub fn validate(&self) -> Result<(), InvalidJobSpec> {
         ensure(is_job_id(&self.id), InvalidJobSpec::Id)?;
         let names = [&self.class, &self.team, &self.image];
         ensure(
-            names.into_iter().all(|name| is_name(name)),
+            names.into_iter().all(|name| is_valid_name(name)),
             InvalidJobSpec::Name,
         )?;
-        let task_count = (1..=TASK_LIMIT).contains(&self.tasks);
-        ensure(task_count, InvalidJobSpec::TaskCount)?;
-        let cpus = is_amount(self.cpus) && self.cpus > 0.0;
-        ensure(cpus, InvalidJobSpec::Cpus)?;
+        let valid_task_count = (1..=TASK_LIMIT).contains(&self.tasks);
+        ensure(valid_task_count, InvalidJobSpec::TaskCount)?;
+        let valid_cpus = is_valid_amount(self.cpus) && self.cpus > 0.0;
+        ensure(valid_cpus, InvalidJobSpec::Cpus)?;
         ensure(self.amounts_are_valid(), InvalidJobSpec::Amount)?;
-        let deadline = self.deadline_s.is_none_or(is_amount);
-        ensure(deadline, InvalidJobSpec::Deadline)?;
+        let valid_deadline = self.deadline_s.is_none_or(is_valid_amount);
+        ensure(valid_deadline, InvalidJobSpec::Deadline)?;
         ensure(self.machine_types_are_valid(), InvalidJobSpec::MachineTypes)?;
-        let zone = self.zone.as_deref().is_none_or(is_name);
-        ensure(zone, InvalidJobSpec::Zone)
+        let valid_zone = self.zone.as_deref().is_none_or(is_valid_name);
+        ensure(valid_zone, InvalidJobSpec::Zone)
     }
 
     fn amounts_are_valid(&self) -> bool {
@@ -78,12 +78,12 @@
             self.checkpoint_interval_s,
             self.checkpoint_save_s,
         ];
-        amounts.into_iter().all(is_amount)
+        amounts.into_iter().all(is_valid_amount)
     }
 
     fn machine_types_are_valid(&self) -> bool {
         self.machine_types.as_ref().is_none_or(|types| {
-            types.len() <= MACHINE_TYPES_LIMIT && types.iter().all(|name| is_name(name))
+            types.len() <= MACHINE_TYPES_LIMIT && types.iter().all(|name| is_valid_name(name))
         })
     }
 }
@@ -96,16 +96,17 @@
     }
 }
 
-/// Whether an amount is finite and within bounds.
-fn is_amount(amount: f64) -> bool {
+/// Reports whether an amount is finite, not negative and at most [`AMOUNT_LIMIT`].
+fn is_valid_amount(amount: f64) -> bool {
     amount.is_finite() && (0.0..=AMOUNT_LIMIT).contains(&amount)
 }
 
-fn is_name(name: &str) -> bool {
+/// Reports whether a name is not empty and at most [`NAME_LIMIT`] bytes long.
+fn is_valid_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= NAME_LIMIT
 }
 
-/// Whether a job id has the form that all job ids have: `wk-` and up to 20 digits.
+/// Reports whether an id has the form of a job id: `wk-` and 1 to 20 digits.
 #[must_use]
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix(JOB_ID_PREFIX).is_some_and(|digits| {
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,15 +1,15 @@
-//! The messages exchanged with other programs, and the checks that incoming ones have to pass.
+//! The messages that are exchanged with other programs, and the validation of incoming ones.
 //!
 //! | module | peer | direction |
 //! | --- | --- | --- |
-//! | `users` | users, by way of the load balancer | requests in, job states out |
+//! | `users` | users, through the load balancer | requests in, job states out |
 //! | `workers` | the worker of each machine | heartbeats in, commands out |
-//! | `cloud` | the cloud that rents machines | requests out, machines in |
+//! | `cloud` | the cloud that rents out machines | requests out, machines in |
 //! | `state_service` | the consensus-backed key-value store | transactions out, keys and watch events in |
 //!
-//! Bodies are CBOR maps keyed by text. The protocol has names of its own for most fields (`lane` for a job's class, `baton`
-//! for the fencing token); they are mapped to the field's standard terms here, by serde attributes, and no other module
-//! knows them. Messages between controllers are not part of this module, see [`crate::coordination::peers`].
+//! Bodies are CBOR maps with text keys. The protocol has its own names for most fields, such as `lane` for the class of a job
+//! and `baton` for the fencing token. Serde attributes in this module map them to standard terms, so that no other module
+//! depends on them. Messages between controllers are not part of this module: see [`crate::coordination::peers`].
 
 mod cloud;
 mod codec;
@@ -34,5 +34,5 @@
     TaskState, TaskStatus, WorkerStatus,
 };
 
-/// Largest request body accepted from users, in bytes. Also the unit for the limit on heartbeats.
+/// Maximum size of a request body from users, in bytes. The limit on the size of heartbeats is a multiple of it.
 pub const BODY_LIMIT: usize = 64 * 1024;
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of encoding, decoding and validation.
+//! Tests for encoding, decoding and validation.
 
 use super::*;
 use ciborium::cbor;
 
 #[test]
-fn whole_numbers_pass_as_amounts_and_trailing_bytes_do_not() {
-    let v = cbor!({"id"=>"wk-1","lane"=>"a","crew"=>"t","shape"=>"array","rank"=>"idle","chores"=>3,"cores"=>2,
+fn amounts_may_be_integers_and_trailing_bytes_are_rejected() {
+    let message = cbor!({"id"=>"wk-1","lane"=>"a","crew"=>"t","shape"=>"array","rank"=>"idle","chores"=>3,"cores"=>2,
         "cards"=>0,"memGb"=>1.5,"bundle"=>"i","pullGb"=>1,"together"=>false,"scatter"=>false,"loaners"=>true,
         "reckonS"=>10,"markEveryS"=>0,"stowS"=>0,"dueS"=>null,"new"=>[1]})
     .unwrap();
-    let mut body = encode(&v);
+    let mut body = encode(&message);
     let spec: JobSpec = decode(&body).unwrap();
     assert_eq!((spec.cpus, spec.deadline_s), (2.0, None));
     assert!(spec.validate().is_ok());
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn bad_fields_are_named() {
+fn validation_names_the_invalid_field() {
     let spec = crate::scheduler::tests::spec("wk-7", 1);
-    for (bad, field) in [
+    for (invalid, field) in [
         (
             JobSpec {
                 id: "xx-1".into(),
@@ -57,9 +57,9 @@
             "dueS",
         ),
     ] {
-        assert_eq!(bad.validate().unwrap_err().to_string(), field);
+        assert_eq!(invalid.validate().unwrap_err().to_string(), field);
     }
-    // A hundred nested lists must be refused, not recursed into.
+    // 100 nested lists exceed the maximum depth: decoding must fail instead of exhausting the stack.
     assert!(decode::<ciborium::Value>(&[0x81; 100]).is_err());
 }
 
@@ -79,20 +79,17 @@
             Change::Delete { key: "c/d".into() },
         ],
     };
-    let back: ciborium::Value = decode(&encode(&txn)).unwrap();
-    let expect = cbor!({"guards"=>[{"path"=>"a/b","stamp"=>0}],
+    let encoded: ciborium::Value = decode(&encode(&txn)).unwrap();
+    let expected = cbor!({"guards"=>[{"path"=>"a/b","stamp"=>0}],
         "apply"=>[{"put"=>"a/b","v"=>{"x"=>1},"tenure"=>7},{"drop"=>"c/d"}]})
     .unwrap();
-    assert_eq!(back, expect);
-    let commands = HeartbeatReply {
+    assert_eq!(encoded, expected);
+    let reply = HeartbeatReply {
         token: FencingToken::new(4),
         commands: vec![Command::Start {
             task: "wk-1/0".into(),
             attempt: 2,
         }],
     };
-    assert_eq!(
-        decode::<HeartbeatReply>(&encode(&commands)).unwrap(),
-        commands
-    );
+    assert_eq!(decode::<HeartbeatReply>(&encode(&reply)).unwrap(), reply);
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,129 +1,129 @@
-//! Users: jobs that they submit, and the states that they are told.
+//! Messages to and from users: submitted jobs and job states.
 
 use super::decoding::{finite_number, optional_finite_number};
 use serde::{Deserialize, Serialize};
 
-/// How the tasks of a job relate, and whether they end by themselves.
+/// The kind of a job: whether its tasks depend on each other, and whether they run to completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks that run to completion.
     #[serde(rename = "array")]
     Array,
-    /// Replicas that run until the job is cancelled.
+    /// Independent replicas that run until the job is cancelled.
     #[serde(rename = "daemon")]
     Service,
-    /// Tasks that run together and to completion: started whole or not at all.
+    /// Tasks that run to completion and at the same time: all of them are started, or none.
     #[serde(rename = "gang")]
     Gang,
 }
 
-/// Priority, the highest first. A job may preempt jobs of a lower one.
+/// The priority of a job, from highest to lowest. A job may preempt jobs of lower priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Production.
+    /// Production: the highest priority.
     #[serde(rename = "prod")]
     Production,
-    /// High.
+    /// High priority.
     #[serde(rename = "urgent")]
     High,
-    /// Normal.
+    /// Normal priority.
     #[serde(rename = "standard")]
     Normal,
-    /// Low.
+    /// Low priority.
     #[serde(rename = "idle")]
     Low,
 }
 
-/// A job as its user describes it. Resources are per task, durations in seconds.
+/// The specification of a job, as submitted by a user. Resources are per task, durations in seconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique job id, chosen by the user; a repeated submission has the same one.
+    /// Unique job id, chosen by the user. A repeated submission carries the same id.
     pub id: String,
-    /// Class of jobs for which the settings state service-level objectives.
+    /// Class of the job. The settings define service-level objectives per class.
     #[serde(rename = "lane")]
     pub class: String,
-    /// Team whose quota (guarantee and limit) applies.
+    /// Team whose quota, a guarantee and a limit, applies.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Job array, service or gang.
+    /// Kind of the job.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Priority.
+    /// Priority of the job.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks; they are numbered from 0.
+    /// Number of tasks. Tasks are numbered from 0.
     #[serde(rename = "chores")]
     pub tasks: u32,
-    /// CPUs of a task.
+    /// Number of CPUs.
     #[serde(rename = "cores", deserialize_with = "finite_number")]
     pub cpus: f64,
-    /// Accelerators of a task.
+    /// Number of accelerators.
     #[serde(rename = "cards", deserialize_with = "finite_number")]
     pub gpus: f64,
-    /// Memory of a task, in GB.
+    /// Memory, in GB.
     #[serde(rename = "memGb", deserialize_with = "finite_number")]
     pub memory_gb: f64,
-    /// Image that a machine must have before a task starts there.
+    /// Image that a machine must hold before a task can start there.
     #[serde(rename = "bundle")]
     pub image: String,
     /// Size of the image, in GB.
     #[serde(rename = "pullGb", deserialize_with = "finite_number")]
     pub image_gb: f64,
-    /// Allowed machine types, or any.
+    /// Allowed machine types. `None` allows any type.
     #[serde(rename = "breeds", default)]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone, or any.
+    /// Allowed zone. `None` allows any zone.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "together")]
     pub single_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether the tasks must be spread: at most half of them, rounded up, may run in one zone.
     #[serde(rename = "scatter")]
     pub spread_zones: bool,
-    /// Whether spot machines may be used.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The user's estimate of the run time of a task; 0 for services.
+    /// The user's estimate of the run time of a task. 0 for services.
     #[serde(rename = "reckonS", deserialize_with = "finite_number")]
     pub run_time_estimate_s: f64,
-    /// Progress between two checkpoints; 0 if the task cannot be checkpointed.
+    /// Progress of a task between two checkpoints. 0 if the tasks cannot be checkpointed.
     #[serde(rename = "markEveryS", deserialize_with = "finite_number")]
     pub checkpoint_interval_s: f64,
     /// Time that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "stowS", deserialize_with = "finite_number")]
     pub checkpoint_save_s: f64,
-    /// Deadline of the whole job, counted from its submission.
+    /// Deadline for the completion of all tasks, counted from the submission of the job.
     #[serde(rename = "dueS", default, deserialize_with = "optional_finite_number")]
     pub deadline_s: Option<f64>,
 }
 
-/// The state of a job as its user sees it.
+/// The state of a job, as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
-    /// No task runs.
+    /// The job is not finished, and none of its tasks is running.
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
-    /// Every task has completed.
+    /// All tasks have completed.
     Done,
-    /// Its user has cancelled it.
+    /// The user has cancelled the job.
     Cancelled,
 }
 
-/// What a user is told of a job.
+/// The status of a job, as shown to users.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobView {
     /// Job id.
     pub id: String,
-    /// State.
+    /// State of the job.
     #[serde(rename = "standing")]
     pub state: JobState,
-    /// Completed tasks, for display.
+    /// Number of completed tasks, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Running tasks, for display.
+    /// Number of running tasks, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
