--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file.
+//! Settings in the platform's file.
 
 use crate::time::duration;
 use serde::Deserialize;
@@ -12,34 +12,34 @@
     pub node: String,
     /// Zone of this controller.
     pub zone: String,
-    /// Address for users, workers and health checks.
+    /// Address that serves users, workers and health checks.
     pub api_addr: SocketAddr,
-    /// Address for the other controllers.
+    /// Address that serves the other controllers.
     pub internal_addr: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Services outside the deployment.
+    /// Addresses of services outside the deployment.
     pub external: ExternalServices,
-    /// Parameters of the deployment, the same for all of its controllers.
+    /// Parameters of the deployment, which are the same for all of its controllers.
     pub deployment: Deployment,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Name.
+    /// Name of the controller.
     pub node: String,
-    /// Address for the other controllers.
+    /// Address that serves the other controllers.
     pub peer_addr: SocketAddr,
 }
 
 /// Addresses of services outside the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ExternalServices {
-    /// The cloud that rents machines.
+    /// Address of the cloud that rents out machines.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddr,
 }
 
@@ -49,10 +49,10 @@
     /// Teams and their quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Service-level objectives of the classes of jobs.
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Timing of workers.
+    /// Timings of workers.
     pub workers: WorkerTimings,
     /// Limits of the state service.
     pub state: StateLimits,
@@ -62,63 +62,63 @@
     pub machine_limits: MachineLimits,
 }
 
-/// The quota of a team. An amount of 0 means none, for guarantees as well as for limits.
+/// The quota of a team. A guarantee of 0 means no guarantee, and a limit of 0 means no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Name.
+    /// Name of the team.
     pub name: String,
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Limit of CPUs in use.
+    /// Limit on CPUs in use.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed accelerators.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of accelerators in use.
+    /// Limit on accelerators in use.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// A service-level objective of a class of jobs.
+/// A service-level objective, usually for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is measured: `wait`, `deadline`, `finished` or `guarantee`.
+    /// Kind of the objective: `wait`, `deadline`, `finished` or `guarantee`.
     pub kind: String,
-    /// The class, for kinds that have one.
+    /// Class of jobs, for kinds that apply to one class.
     pub class: Option<String>,
-    /// The time allowed, in seconds.
+    /// Time allowed in seconds, for kinds with a time limit.
     pub within_s: Option<f64>,
 }
 
 impl Objective {
-    /// The time allowed, for kinds that have one.
+    /// Returns the time allowed, for kinds with a time limit.
     #[must_use]
     pub fn time_allowed(&self) -> Option<Duration> {
         self.within_s.map(duration)
     }
 }
 
-/// Timing of workers, in seconds.
+/// Timings of workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerTimings {
-    /// Interval between two heartbeats.
+    /// Interval between two heartbeats of a worker.
     pub report_s: f64,
-    /// Time after which a worker that is not answered kills its tasks.
+    /// Lease of a worker: the time after which a worker kills its tasks if none of its heartbeats is answered.
     pub lease_s: f64,
-    /// Time after a cancellation at which all tasks of the job must be gone.
+    /// Time within which all tasks of a job must be gone after its cancellation.
     pub cancel_s: f64,
 }
 
 impl WorkerTimings {
-    /// Interval between two heartbeats of a worker.
+    /// Returns the interval between two heartbeats of a worker.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
         duration(self.report_s)
     }
 
-    /// Lease of a worker, counted from the sending of its last heartbeat that was answered.
+    /// Returns the duration of a worker's lease, which starts when the worker sends a heartbeat that is answered.
     #[must_use]
     pub fn lease(&self) -> Duration {
         duration(self.lease_s)
@@ -130,11 +130,11 @@
 pub struct StateLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes per second.
+    /// Changes, which are puts and deletes, per second.
     pub write_rps: f64,
-    /// Size of a value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Puts and deletes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
 }
 
@@ -143,12 +143,12 @@
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Time by which the list of machines lags behind, in seconds; now and then twice as much.
+    /// Usual lag of the list of machines, in seconds. Occasionally the list lags behind twice as long.
     pub list_lag_s: f64,
 }
 
 impl CloudLimits {
-    /// Time by which the list of machines usually lags behind.
+    /// Returns the usual lag of the list of machines.
     #[must_use]
     pub fn list_lag(&self) -> Duration {
         duration(self.list_lag_s)
@@ -158,40 +158,40 @@
 /// Limits of the machine that this controller runs on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// Memory in MiB, where the platform states it.
+    /// Memory in MiB, if the platform specifies it.
     #[serde(default)]
     pub ram_mb: Option<f64>,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub max_connections: usize,
 }
 
-/// Memory of a connection in KiB: its buffers, and what its requests hold. As measured (docs/results.md).
-const CONNECTION_KIB: f64 = 26.0;
-/// The part of the memory that connections may use.
+/// Memory per connection in KiB, for its buffers and the state of its requests (docs/results.md).
+const MEMORY_PER_CONNECTION_KIB: f64 = 26.0;
+/// Share of the memory that connections may use.
 const CONNECTION_MEMORY_SHARE: f64 = 0.6;
-/// The part of the sockets that the server may use.
+/// Share of the sockets that the server may use, in percent.
 const SERVER_SOCKETS_PERCENT: usize = 85;
-/// Connections that the server accepts however tight the limits are.
+/// Number of connections that the server accepts even if the limits are lower.
 const MIN_SERVER_CONNECTIONS: usize = 8;
 
 impl MachineLimits {
-    /// How many connections the server keeps at a time. The other sockets are for calls to the state service, the cloud, peers
-    /// and workers, and for connections that are being closed. Memory limits it too, as a process that runs out of memory is
-    /// killed.
+    /// Returns the maximum number of concurrent connections of the server. The remaining sockets are reserved for calls to the
+    /// state service, the cloud, peers and workers, and for connections that are being closed. The number is also limited by
+    /// memory, since a process that runs out of memory is killed.
     #[must_use]
     pub fn max_server_connections(&self) -> usize {
-        let by_sockets = self.max_connections * SERVER_SOCKETS_PERCENT / 100;
-        let by_memory = self.ram_mb.map_or(usize::MAX, connections_within);
-        by_sockets.min(by_memory).max(MIN_SERVER_CONNECTIONS)
+        let socket_limit = self.max_connections * SERVER_SOCKETS_PERCENT / 100;
+        let memory_limit = self.ram_mb.map_or(usize::MAX, connections_within_memory);
+        socket_limit.min(memory_limit).max(MIN_SERVER_CONNECTIONS)
     }
 }
 
-/// How many connections fit into their part of the memory.
+/// Returns the number of connections that fit into their share of the memory.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "float to integer casts saturate, which is what is wanted"
+    reason = "float to integer casts saturate, as intended"
 )]
-fn connections_within(ram_mb: f64) -> usize {
-    (ram_mb * 1024.0 * CONNECTION_MEMORY_SHARE / CONNECTION_KIB) as usize
+fn connections_within_memory(ram_mb: f64) -> usize {
+    (ram_mb * 1024.0 * CONNECTION_MEMORY_SHARE / MEMORY_PER_CONNECTION_KIB) as usize
 }
