--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,9 +1,9 @@
-//! Errors of the settings. Each names the file and the field.
+//! Errors of loading the settings. Each names the file and, if possible, the field.
 
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why the settings cannot be used.
+/// The reason why the settings cannot be loaded.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum ConfigError {
@@ -15,36 +15,36 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// A file is not TOML, or its fields are not the expected ones.
+    /// A file is not valid TOML, or its fields do not match the expected ones.
     #[error("{}: {}", file.display(), source.to_string().trim())]
     Parse {
         /// The file.
         file: PathBuf,
-        /// The line and the field, as the parser names them.
+        /// The error of the parser, with the line and the field.
         source: Box<toml::de::Error>,
     },
-    /// A value cannot be used.
+    /// A field has an invalid value.
     #[error("{}: {source}", file.display())]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// The field, and what is wrong with it.
+        /// The field and the problem with its value.
         source: InvalidValue,
     },
 }
 
-/// A field whose value cannot be used.
+/// A field with an invalid value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("`{field}` {problem}")]
 pub struct InvalidValue {
     /// Path of the field in its file.
     pub field: &'static str,
-    /// What is wrong with its value.
+    /// Problem with the value.
     pub problem: Problem,
 }
 
 impl InvalidValue {
-    /// The error with the file in which the field stands.
+    /// Adds the path of the file that contains the field.
     pub(super) fn in_file(self, file: &Path) -> ConfigError {
         ConfigError::Invalid {
             file: file.to_owned(),
@@ -53,41 +53,42 @@
     }
 }
 
-/// What is wrong with a value.
+/// The problem with a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum Problem {
-    /// It is 0 or less, or not finite.
+    /// The value is 0 or less, or not finite.
     #[error("must be a number above 0")]
     NotPositive,
-    /// Transactions of the leader need this many changes.
+    /// The limit on the changes of a transaction is below the number that the leader needs.
     #[error("must be at least 4")]
     TooFewChanges,
-    /// A worker whose lease does not exceed its heartbeat interval loses the lease between two heartbeats.
+    /// The lease of workers does not exceed their heartbeat interval, so that it would expire between two heartbeats.
     #[error("must exceed report_s")]
     LeaseTooShort,
-    /// A task that its worker keeps until its lease expires has to be gone when a cancellation takes effect.
+    /// The cancellation time does not exceed the lease of workers. A worker may keep a task running until its lease expires, and
+    /// the task must be gone by the end of the cancellation time.
     #[error("must exceed lease_s")]
     CancellationTooShort,
-    /// A guarantee or a limit is negative or not finite.
+    /// A guarantee or a limit of a team is negative or not finite.
     #[error("has a negative or non-finite amount")]
     InvalidQuota,
-    /// A team is guaranteed more than it may use.
+    /// The guarantee of a team exceeds its limit.
     #[error("guarantees more than its limit")]
     GuaranteeAboveLimit,
-    /// This controller is listed as its own peer.
+    /// The list of peers contains this controller.
     #[error("contains this node")]
     ContainsThisController,
-    /// It is below 1 or not finite.
+    /// The value is below 1 or not finite.
     #[error("must be at least 1")]
     BelowOne,
-    /// It is 0 or less, or not finite.
+    /// The value is 0 or less, or not finite.
     #[error("must be above 0")]
     NotAboveZero,
-    /// It is negative or not finite.
+    /// The value is negative or not finite.
     #[error("must be 0 or more")]
     Negative,
-    /// A leader lease is too short to be renewed in time, or so long that a failover takes minutes.
+    /// The leader lease is too short to be renewed in time, or so long that a failover would take minutes.
     #[error("must be from 0.5 to 60")]
     LeaderLeaseOutOfRange,
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! Settings: the platform's file, in which unknown fields are ignored, and the operators' own file, in which they are
-//! refused.
+//! Settings, which are loaded from two TOML files: the platform's file, in which unknown fields are ignored, and the operators'
+//! file, in which unknown fields are errors.
 //!
-//! Both files are read once, at the start of the program; a change needs a restart. `platform` and `operator` describe the
-//! two files and keep the names that their fields have there, `validation` checks the values, `error` says what is wrong.
+//! Both files are read_settings_file once, at the start of the program, so that a change takes effect after a restart. `platform` and
+//! `operator` define the fields of the two files, `validation` checks their values, and `error` defines the errors.
 
 mod error;
 mod operator;
@@ -23,31 +23,32 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The clocks of two machines may drift apart by up to 0.05%: a worker's lease, timed by both, may last this much longer.
+/// Factor by which a worker's lease, which is timed by the clocks of two machines, may be extended by clock drift. The clocks of
+/// two machines may drift apart by up to 0.05%.
 const CLOCK_DRIFT_FACTOR: f64 = 1.001;
-/// Part of the margin of [`Settings::grace_period`] that does not depend on the settings, in seconds.
+/// Constant part of the margin in [`Settings::grace_period`], in seconds.
 const STOP_MARGIN_S: f64 = 1.5;
 
 /// All settings of a controller.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The platform's settings.
+    /// Settings from the platform's file.
     pub platform: PlatformSettings,
-    /// The operators' settings.
+    /// Settings from the operators' file.
     pub operator: OperatorSettings,
 }
 
 impl Settings {
-    /// Reads and validates both files. Without an operators' file, all of its settings have their defaults.
+    /// Reads and validates both files. Without an operators' file, its settings have their default values.
     ///
     /// # Errors
     ///
-    /// A file cannot be read or parsed, or a value is invalid; the error names the file and the field.
+    /// Returns an error that names the file and the field if a file cannot be read_settings_file or parsed, or if a value is invalid.
     pub fn load(platform: &Path, operator: Option<&Path>) -> Result<Settings, ConfigError> {
         let settings = Settings {
-            platform: read(platform)?,
+            platform: read_settings_file(platform)?,
             operator: match operator {
-                Some(path) => read(path)?,
+                Some(path) => read_settings_file(path)?,
                 None => OperatorSettings::default(),
             },
         };
@@ -64,22 +65,24 @@
             .map_err(|error| error.in_file(operator))
     }
 
-    /// The grace period: how long a leader may go on renewing the leases of workers after its authority to start tasks has
-    /// ended. It is short enough that the tasks of a job that another controller has cancelled meanwhile are gone within
-    /// `cancel_s`. The authority to start tasks ends within a leader lease of the sending of the last read whose revision the
-    /// replica of the store has reached, so that a cancellation that the leader does not know of was confirmed after that;
-    /// from then on a leader lease, this period and the lease of a worker pass at most.
+    /// Returns the grace period: the time for which a leader may go on renewing worker leases after its authority to start tasks
+    /// has ended.
+    ///
+    /// It is short enough that the tasks of a job that another controller has cancelled in the meantime are gone within
+    /// `cancel_s`. The authority to start tasks ends at most one leader lease after the leader sent the last read_settings_file whose revision
+    /// its replica has reached. A cancellation that the leader does not know of was confirmed after that read_settings_file was sent. From
+    /// then on, tasks of the job can run for at most a leader lease, the grace period and the lease of a worker.
     #[must_use]
     pub fn grace_period(&self) -> Duration {
         let workers = &self.platform.deployment.workers;
-        // The leader lease itself and, for stops that are sent late, the time of two heartbeats and their responses.
+        // Covers the leader lease and, for stop commands that are sent late, two heartbeats and their responses.
         let margin = self.operator.leader_lease_s + STOP_MARGIN_S + 2.0 * workers.report_s;
         duration(workers.cancel_s - workers.lease_s * CLOCK_DRIFT_FACTOR - margin)
     }
 }
 
-/// Reads a settings file.
-fn read<T: DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
+/// Reads and parses a settings file.
+fn read_settings_file<T: DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
     let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
         file: path.to_owned(),
         source,
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,23 +1,23 @@
-//! The operators' settings file.
+//! Settings in the operators' file.
 
 use crate::time::duration;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The operators' own settings; each has a default.
+/// The operators' settings. Each has a default value.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// Machines whose capability lies within this factor form a group.
+    /// Maximum ratio of the capabilities of the fastest and the slowest machine of a placement group.
     pub group_factor: f64,
-    /// Rate at which images are fetched, in GB per second, assumed until one is measured.
+    /// Assumed fetch rate of images in GB per second, until it is measured.
     pub fetch_gb_per_s: f64,
-    /// Whether the scheduler weighs the time of an image fetch when it chooses between machines that hold the image and
-    /// others.
+    /// Whether placement applies the transfer test, which weighs the time of an image fetch when it chooses between machines
+    /// that hold the image and others. See [`crate::placement`].
     pub transfer_test: bool,
-    /// Whether starts are also sent directly to the workers, instead of only with the responses to heartbeats.
+    /// Whether start commands are also sent directly to workers, instead of only in the replies to heartbeats.
     pub direct_starts: bool,
-    /// An idle machine is returned to the cloud after this time, in seconds.
+    /// Time for which a machine may be idle before it is returned to the cloud, in seconds.
     #[serde(rename = "idle_return_s")]
     pub idle_timeout_s: f64,
     /// Time to live of the leader lease, in seconds.
@@ -39,13 +39,13 @@
 }
 
 impl OperatorSettings {
-    /// Time to live of the leader lease.
+    /// Returns the time to live of the leader lease.
     #[must_use]
     pub fn leader_lease(&self) -> Duration {
         duration(self.leader_lease_s)
     }
 
-    /// How long a machine may be idle before it is returned to the cloud.
+    /// Returns the time for which a machine may be idle before it is returned to the cloud.
     #[must_use]
     pub fn idle_timeout(&self) -> Duration {
         duration(self.idle_timeout_s)
