--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of both settings files.
+//! Tests for both settings files.
 
 use super::*;
 
-pub(crate) const PLATFORM: &str = r#"
+pub(crate) const PLATFORM_TOML: &str = r#"
 node = "drover-0"
 zone = "z"
 api_addr = "127.0.0.1:1"
@@ -35,20 +35,20 @@
 
 pub(crate) fn settings() -> Settings {
     Settings {
-        platform: toml::from_str(PLATFORM).unwrap(),
+        platform: toml::from_str(PLATFORM_TOML).unwrap(),
         operator: OperatorSettings::default(),
     }
 }
 
 #[test]
-fn unknown_fields_pass_in_the_platform_file_only() {
-    let here = Path::new("x.toml");
-    assert!(settings().validate(here, here).is_ok());
+fn unknown_fields_are_accepted_only_in_the_platform_file() {
+    let path = Path::new("x.toml");
+    assert!(settings().validate(path, path).is_ok());
     assert!(toml::from_str::<OperatorSettings>("group_factr = 2").is_err());
 }
 
 #[test]
-fn a_wrong_value_is_named() {
+fn an_invalid_value_is_reported_with_its_field() {
     let mut s = settings();
     s.platform.deployment.workers.cancel_s = 5.0;
     let e = s
@@ -60,25 +60,26 @@
 }
 
 #[test]
-fn the_grace_period_of_an_outage_ends_before_a_cancelled_task_could_overstay() {
+fn cancelled_tasks_are_gone_within_cancel_s_despite_the_grace_period() {
     let s = settings();
     let w = &s.platform.deployment.workers;
     assert!(
         s.operator.leader_lease_s + s.grace_period().as_secs_f64() + w.lease_s + 2.0 * w.report_s
             < w.cancel_s
     );
-    // A longer leader lease leaves less, never an overstay.
-    let mut long = settings();
-    long.operator.leader_lease_s = 20.0;
-    let w = &long.platform.deployment.workers;
+    // A longer leader lease shortens the grace period, so that tasks are still gone within `cancel_s`.
+    let mut long_lease = settings();
+    long_lease.operator.leader_lease_s = 20.0;
+    let w = &long_lease.platform.deployment.workers;
     assert!(
-        long.operator.leader_lease_s + long.grace_period().as_secs_f64() + w.lease_s <= w.cancel_s
+        long_lease.operator.leader_lease_s + long_lease.grace_period().as_secs_f64() + w.lease_s
+            <= w.cancel_s
     );
-    assert!(long.grace_period() < s.grace_period());
+    assert!(long_lease.grace_period() < s.grace_period());
 }
 
 #[test]
-fn connections_are_bounded_by_sockets_and_by_memory() {
+fn connections_are_limited_by_sockets_and_memory() {
     let limits = |ram_mb, max_connections| {
         MachineLimits {
             ram_mb,
@@ -88,7 +89,7 @@
     };
     assert_eq!(limits(None, 1000), 850);
     assert_eq!(limits(Some(46.0), 1000), 850);
-    // More sockets than memory for their buffers.
+    // Memory is the tighter limit.
     assert!(limits(Some(46.0), 10_000) < 46 * 1024 / 26);
     assert_eq!(limits(Some(0.0), 1000), 8);
 }
--- a/src/config/validation.rs
+++ b/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of the settings, section by section: each check names the field by its path in the file.
+//! Validation of the settings. Errors name a field by its path in the file.
 
 use super::{
     CloudLimits, Deployment, InvalidValue, OperatorSettings, PlatformSettings, Problem,
@@ -6,16 +6,20 @@
 };
 use std::ops::RangeInclusive;
 
-/// Fewest changes that transactions must be able to hold.
+/// Minimum of the limit on changes per transaction. Transactions of the leader need this many changes.
 const MIN_TRANSACTION_CHANGES: usize = 4;
-/// Life of the leader lease, in seconds.
-const LEADER_LEASE_S: RangeInclusive<f64> = 0.5..=60.0;
+/// Allowed range of the time to live of the leader lease, in seconds.
+const LEADER_LEASE_RANGE_S: RangeInclusive<f64> = 0.5..=60.0;
 
 impl PlatformSettings {
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
         self.deployment.validate()?;
-        let contains_itself = self.peers.iter().any(|peer| peer.node == self.node);
-        ensure(!contains_itself, "peers", Problem::ContainsThisController)
+        let contains_this_controller = self.peers.iter().any(|peer| peer.node == self.node);
+        ensure(
+            !contains_this_controller,
+            "peers",
+            Problem::ContainsThisController,
+        )
     }
 }
 
@@ -67,10 +71,10 @@
     fn validate(&self) -> Result<(), InvalidValue> {
         const TEAMS: &str = "deployment.teams";
         for (guarantee, limit) in [(self.cpus, self.cpus_max), (self.gpus, self.gpus_max)] {
-            let amounts = is_amount(guarantee) && is_amount(limit);
-            ensure(amounts, TEAMS, Problem::InvalidQuota)?;
-            let limited = limit > 0.0;
-            let within_limit = !limited || guarantee <= limit;
+            let valid_amounts = is_finite_non_negative(guarantee) && is_finite_non_negative(limit);
+            ensure(valid_amounts, TEAMS, Problem::InvalidQuota)?;
+            let has_limit = limit > 0.0;
+            let within_limit = !has_limit || guarantee <= limit;
             ensure(within_limit, TEAMS, Problem::GuaranteeAboveLimit)?;
         }
         Ok(())
@@ -79,14 +83,14 @@
 
 impl OperatorSettings {
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
-        let group_factor = self.group_factor.is_finite() && self.group_factor >= 1.0;
-        ensure(group_factor, "group_factor", Problem::BelowOne)?;
-        let fetch_rate = is_positive(self.fetch_gb_per_s);
-        ensure(fetch_rate, "fetch_gb_per_s", Problem::NotAboveZero)?;
-        let idle_timeout = is_amount(self.idle_timeout_s);
-        ensure(idle_timeout, "idle_return_s", Problem::Negative)?;
-        let leader_lease = LEADER_LEASE_S.contains(&self.leader_lease_s);
-        ensure(leader_lease, "hold_s", Problem::LeaderLeaseOutOfRange)
+        let valid_group_factor = self.group_factor.is_finite() && self.group_factor >= 1.0;
+        ensure(valid_group_factor, "group_factor", Problem::BelowOne)?;
+        let valid_fetch_rate = is_finite_positive(self.fetch_gb_per_s);
+        ensure(valid_fetch_rate, "fetch_gb_per_s", Problem::NotAboveZero)?;
+        let valid_idle_timeout = is_finite_non_negative(self.idle_timeout_s);
+        ensure(valid_idle_timeout, "idle_return_s", Problem::Negative)?;
+        let valid_leader_lease = LEADER_LEASE_RANGE_S.contains(&self.leader_lease_s);
+        ensure(valid_leader_lease, "hold_s", Problem::LeaderLeaseOutOfRange)
     }
 }
 
@@ -99,13 +103,13 @@
 }
 
 fn ensure_positive(value: f64, field: &'static str) -> Result<(), InvalidValue> {
-    ensure(is_positive(value), field, Problem::NotPositive)
+    ensure(is_finite_positive(value), field, Problem::NotPositive)
 }
 
-fn is_positive(value: f64) -> bool {
+fn is_finite_positive(value: f64) -> bool {
     value.is_finite() && value > 0.0
 }
 
-fn is_amount(value: f64) -> bool {
+fn is_finite_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
