--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! Settings, which are loaded from two TOML files: the platform's file, in which unknown fields are ignored, and the operators'
 //! file, in which unknown fields are errors.
 //!
-//! Both files are read_settings_file once, at the start of the program, so that a change takes effect after a restart. `platform` and
+//! Both files are read once, at the start of the program, so that a change takes effect after a restart. `platform` and
 //! `operator` define the fields of the two files, `validation` checks their values, and `error` defines the errors.
 
 mod error;
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the file and the field if a file cannot be read_settings_file or parsed, or if a value is invalid.
+    /// Returns an error that names the file and the field if a file cannot be read or parsed, or if a value is invalid.
     pub fn load(platform: &Path, operator: Option<&Path>) -> Result<Settings, ConfigError> {
         let settings = Settings {
             platform: read_settings_file(platform)?,
@@ -69,8 +69,8 @@
     /// has ended.
     ///
     /// It is short enough that the tasks of a job that another controller has cancelled in the meantime are gone within
-    /// `cancel_s`. The authority to start tasks ends at most one leader lease after the leader sent the last read_settings_file whose revision
-    /// its replica has reached. A cancellation that the leader does not know of was confirmed after that read_settings_file was sent. From
+    /// `cancel_s`. The authority to start tasks ends at most one leader lease after the leader sent the last read whose revision
+    /// its replica has reached. A cancellation that the leader does not know of was confirmed after that read was sent. From
     /// then on, tasks of the job can run for at most a leader lease, the grace period and the lease of a worker.
     #[must_use]
     pub fn grace_period(&self) -> Duration {
