--- a/benches/load/http.rs
+++ b/benches/load/http.rs
@@ -1,14 +1,15 @@
-//! As much of HTTP/1.1 as the stand-ins for workers need: one message at a time, with a length.
+//! A minimal HTTP/1.1 implementation for the simulated workers and users. It supports one message at a time, whose body has a
+//! `Content-Length`.
 
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest message taken.
+/// Maximum size of the head and of the body of a message, in bytes.
 const MESSAGE_LIMIT: usize = 1 << 20;
 
-/// Sends a request.
-pub(crate) async fn request(
+/// Writes a request.
+pub(crate) async fn write_request(
     stream: &mut TcpStream,
     method: &str,
     path: &str,
@@ -23,8 +24,8 @@
     stream.write_all(&message).await.ok()
 }
 
-/// Sends a response after which the connection is closed.
-pub(crate) async fn respond(stream: &mut TcpStream, status: u16, body: &[u8]) -> Option<()> {
+/// Writes a response that announces the end of the connection.
+pub(crate) async fn write_response(stream: &mut TcpStream, status: u16, body: &[u8]) -> Option<()> {
     let head = format!(
         "HTTP/1.1 {status} OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -35,40 +36,42 @@
         .ok()
 }
 
-/// Reads a message: its head in lower case, and its body.
-pub(crate) async fn read(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
+/// Reads a message. Returns its head in lower case and its body, or `None` if the connection ended or the message is too large
+/// or malformed.
+pub(crate) async fn read_message(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let mut bytes = Vec::new();
     loop {
-        if let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
-            let length = length(&head).filter(|length| *length <= MESSAGE_LIMIT)?;
-            let mut body = bytes.split_off(end + 4);
+        if let Some(head_end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&bytes[..head_end]).to_lowercase();
+            let length = content_length(&head).filter(|length| *length <= MESSAGE_LIMIT)?;
+            let mut body = bytes.split_off(head_end + 4);
             let missing = length.checked_sub(body.len())?;
-            let from = body.len();
-            body.resize(from + missing, 0);
-            stream.read_exact(&mut body[from..]).await.ok()?;
+            let received = body.len();
+            body.resize(received + missing, 0);
+            stream.read_exact(&mut body[received..]).await.ok()?;
             return Some((head, body));
         }
-        let read = stream.read_buf(&mut bytes).await.ok()?;
-        if read == 0 || bytes.len() > MESSAGE_LIMIT {
+        let byte_count = stream.read_buf(&mut bytes).await.ok()?;
+        if byte_count == 0 || bytes.len() > MESSAGE_LIMIT {
             return None;
         }
     }
 }
 
-fn length(head: &str) -> Option<usize> {
+/// Returns the content length in a head, which is 0 if the header is missing.
+fn content_length(head: &str) -> Option<usize> {
     let line = head
         .lines()
         .find_map(|line| line.strip_prefix("content-length:"));
     line.map_or(Some(0), |length| length.trim().parse().ok())
 }
 
-/// The status of a response.
-pub(crate) fn status(head: &str) -> Option<u16> {
+/// Returns the status code in the head of a response.
+pub(crate) fn status_code(head: &str) -> Option<u16> {
     head.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Whether the connection ends after this message.
-pub(crate) fn closes(head: &str) -> bool {
+/// Reports whether the sender closes the connection after a message with this head.
+pub(crate) fn closes_connection(head: &str) -> bool {
     head.lines().any(|line| line.trim() == "connection: close")
 }
--- a/benches/load/users.rs
+++ b/benches/load/users.rs
@@ -1,4 +1,4 @@
-//! A stand-in for users: services at the start, arrays at a steady rate, and polls of unfinished jobs.
+//! Simulated users, who submit services at the start and job arrays at a constant rate, and poll each job until it is done.
 
 use crate::http;
 use hollowswitch::protocol::{decode, encode, JobKind, JobSpec, JobState, JobView, Priority};
@@ -8,45 +8,45 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time between two polls of a job.
+/// Interval between two polls of a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// Time until a request that failed is repeated.
-const RETRY: Duration = Duration::from_secs(1);
-/// Time allowed for an answer.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay before a failed request is repeated.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Tasks of a service.
+/// Number of tasks of a service.
 const REPLICAS: u32 = 4;
-/// Number of images among which the jobs take turns.
+/// Number of images. Jobs use them in turn.
 const IMAGES: usize = 12;
 
-/// What the users submit.
+/// The jobs that users submit.
 pub(crate) struct Workload {
-    /// The controllers' addresses.
+    /// Addresses of the controllers.
     pub controllers: Vec<SocketAddr>,
-    /// Services at the start.
+    /// Number of services submitted at the start.
     pub services: usize,
-    /// Arrays a second.
+    /// Number of job arrays submitted per second.
     pub arrays_per_s: f64,
-    /// Tasks of an array.
+    /// Number of tasks of a job array.
     pub tasks_per_array: u32,
-    /// CPUs of a task.
+    /// Number of CPUs per task.
     pub cpus_per_task: f64,
 }
 
-/// What became of the requests.
+/// Counts of the outcomes of requests.
 #[derive(Default)]
 pub(crate) struct RequestCounts {
-    /// Jobs accepted.
+    /// Jobs that were accepted.
     pub accepted: u64,
-    /// Jobs that a poll showed to be done.
+    /// Jobs whose completion was observed by a poll.
     pub done: u64,
-    /// Requests without a good answer.
+    /// Requests without a response, or with an unexpected status.
     pub failed: u64,
 }
 
 impl Workload {
-    /// A service: four replicas that run for ever.
+    /// Returns the specification of a service, whose replicas run until the driver ends.
     fn service(&self, number: usize) -> JobSpec {
         JobSpec {
             class: "service".into(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// An array: tasks that end.
+    /// Returns the specification of a job array, whose tasks run to completion.
     fn array(&self, number: usize) -> JobSpec {
         JobSpec {
             id: format!("wk-{number:06}"),
@@ -84,24 +84,31 @@
         }
     }
 
-    /// The controller that a user asks.
-    fn controller(&self, number: usize) -> SocketAddr {
+    /// Returns the address of the controller that a user sends its requests to.
+    fn controller_address(&self, number: usize) -> SocketAddr {
         self.controllers[number % self.controllers.len()]
     }
 }
 
-/// One request on a connection of its own.
-async fn call(to: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
+/// Sends a request over a new connection. Returns the status and the body of the response.
+async fn send_request(
+    to: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> Option<(u16, Vec<u8>)> {
     let exchange = async {
         let mut stream = TcpStream::connect(to).await.ok()?;
-        http::request(&mut stream, method, path, to, body).await?;
-        http::read(&mut stream).await
+        http::write_request(&mut stream, method, path, to, body).await?;
+        http::read_message(&mut stream).await
     };
-    let (head, body) = tokio::time::timeout(TIMEOUT, exchange).await.ok()??;
-    Some((http::status(&head)?, body))
+    let (head, body) = tokio::time::timeout(REQUEST_TIMEOUT, exchange)
+        .await
+        .ok()??;
+    Some((http::status_code(&head)?, body))
 }
 
-/// A user: submits a job, and polls it until it is done.
+/// Simulates a user, who submits a job and polls it until it is done.
 async fn submit_and_poll(to: SocketAddr, job: JobSpec, counts: Rc<RefCell<RequestCounts>>) {
     submit(to, &job, &counts).await;
     counts.borrow_mut().accepted += 1;
@@ -109,23 +116,24 @@
     counts.borrow_mut().done += 1;
 }
 
-/// Submits a job until it is accepted.
+/// Submits a job, repeatedly until it is accepted.
 async fn submit(to: SocketAddr, job: &JobSpec, counts: &RefCell<RequestCounts>) {
     loop {
-        let answer = call(to, "POST", "/v1/jobs", &encode(job)).await;
-        if matches!(answer, Some((200 | 201, _))) {
+        let response = send_request(to, "POST", "/v1/jobs", &encode(job)).await;
+        if matches!(response, Some((200 | 201, _))) {
             return;
         }
         counts.borrow_mut().failed += 1;
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
+/// Polls a job until it is done.
 async fn poll_until_done(to: SocketAddr, id: &str, counts: &RefCell<RequestCounts>) {
     let path = format!("/v1/jobs/{id}");
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
-        match call(to, "GET", &path, &[]).await {
+        match send_request(to, "GET", &path, &[]).await {
             Some((200, body)) if is_done(&body) => return,
             Some((200, _)) => {}
             _ => counts.borrow_mut().failed += 1,
@@ -137,17 +145,17 @@
     decode::<JobView>(body).is_ok_and(|view| view.state == JobState::Done)
 }
 
-/// Runs the users for ever: all services at the start, then arrays at a steady rate.
+/// Runs the users: submits all services first, then job arrays at a constant rate. Does not return.
 pub(crate) async fn run(workload: Workload, counts: Rc<RefCell<RequestCounts>>) {
-    let start = |number, job| {
-        let to = workload.controller(number);
+    let start_user = |number, job| {
+        let to = workload.controller_address(number);
         actix_web::rt::spawn(submit_and_poll(to, job, counts.clone()));
     };
     for number in 0..workload.services {
-        start(number, workload.service(number));
+        start_user(number, workload.service(number));
     }
     for number in workload.services.. {
         tokio::time::sleep(Duration::from_secs_f64(1.0 / workload.arrays_per_s)).await;
-        start(number, workload.array(number));
+        start_user(number, workload.array(number));
     }
 }
--- a/benches/load/worker/heartbeats.rs
+++ b/benches/load/worker/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The kept connection over which a worker sends its heartbeats, to the controller that it takes for the leader.
+//! The persistent connection over which a worker sends its heartbeats to the controller that it considers the leader.
 
 use crate::http;
 use crate::topology::ControllerId;
@@ -7,25 +7,25 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time allowed for an answer.
-const TIMEOUT: Duration = Duration::from_secs(4);
+/// Timeout of a heartbeat request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Status of an answer.
+/// Status of the response by the leader.
 const OK: u16 = 200;
-/// Status of an answer that names another controller.
+/// Status of a response that redirects the worker to another controller.
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// What became of a heartbeat.
+/// The outcome of a heartbeat request.
 pub(super) enum Outcome {
-    /// The leader answered; nothing if its answer cannot be read.
+    /// The leader replied. `None` if its reply could not be decoded.
     Answered(Option<HeartbeatReply>),
-    /// The next heartbeat goes to the controller that was named.
+    /// The worker was redirected. The next heartbeat goes to another controller.
     Redirected,
-    /// No answer, or none of use; the next heartbeat goes to another controller.
+    /// There was no response, or one with an unexpected status. The next heartbeat goes to another controller.
     Failed,
 }
 
-/// The connection.
+/// A connection for heartbeats, which is opened when it is needed.
 pub(super) struct HeartbeatConnection {
     controllers: Vec<ControllerId>,
     target: usize,
@@ -33,7 +33,7 @@
 }
 
 impl HeartbeatConnection {
-    /// A connection to the first controller, not open yet.
+    /// Creates a closed connection to the first controller.
     pub(super) fn new(controllers: Vec<ControllerId>) -> Self {
         HeartbeatConnection {
             controllers,
@@ -42,43 +42,45 @@
         }
     }
 
-    /// Sends a heartbeat and waits for its answer.
+    /// Sends a heartbeat and waits for the response.
     pub(super) async fn exchange(&mut self, heartbeat: &[u8]) -> Outcome {
         let to = self.controllers[self.target].api_address();
         match exchange(&mut self.stream, to, heartbeat).await {
             Some((OK, body)) => Outcome::Answered(decode(&body).ok()),
             Some((MISDIRECTED_REQUEST, body)) => {
-                self.follow(decode(&body).ok());
+                self.follow_redirect(decode(&body).ok());
                 Outcome::Redirected
             }
             _ => {
-                self.turn_to(self.next_target());
+                self.switch_to(self.next_target());
                 Outcome::Failed
             }
         }
     }
 
-    /// Turns to the leader that was named, or else to the next controller.
-    fn follow(&mut self, redirect: Option<Redirect>) {
+    /// Switches to the leader named by a redirect. If it names none or an unknown one, switches to the next controller.
+    fn follow_redirect(&mut self, redirect: Option<Redirect>) {
         let leader = redirect.and_then(|redirect| redirect.leader);
-        let known = self
+        let leader_index = self
             .controllers
             .iter()
             .position(|controller| Some(controller.name()) == leader);
-        self.turn_to(known.unwrap_or(self.next_target()));
+        self.switch_to(leader_index.unwrap_or(self.next_target()));
     }
 
     fn next_target(&self) -> usize {
         (self.target + 1) % self.controllers.len()
     }
 
-    fn turn_to(&mut self, target: usize) {
+    /// Closes the connection and switches to a controller.
+    fn switch_to(&mut self, target: usize) {
         self.stream = None;
         self.target = target;
     }
 }
 
-/// One request and its response over a kept connection.
+/// Sends a heartbeat over the connection, which is opened first if it is closed. Returns the status and the body of the
+/// response.
 async fn exchange(
     stream: &mut Option<TcpStream>,
     to: SocketAddr,
@@ -88,13 +90,15 @@
         *stream = TcpStream::connect(to).await.ok();
     }
     let connection = stream.as_mut()?;
-    let answer = async {
-        http::request(connection, "POST", "/hello", to, body).await?;
-        http::read(connection).await
+    let round_trip = async {
+        http::write_request(connection, "POST", "/hello", to, body).await?;
+        http::read_message(connection).await
     };
-    let (head, body) = tokio::time::timeout(TIMEOUT, answer).await.ok()??;
-    let status = http::status(&head)?;
-    if http::closes(&head) {
+    let (head, body) = tokio::time::timeout(REQUEST_TIMEOUT, round_trip)
+        .await
+        .ok()??;
+    let status = http::status_code(&head)?;
+    if http::closes_connection(&head) {
         *stream = None;
     }
     Some((status, body))
--- a/benches/load/worker/tasks.rs
+++ b/benches/load/worker/tasks.rs
@@ -1,4 +1,4 @@
-//! A worker's tasks, and what commands do to them.
+//! The tasks of a worker, and the execution of commands.
 
 use hollowswitch::protocol::{
     encode, Command, DirectCommandRequest, ExitReason, FencingToken, HeartbeatReply, ListedMachine,
@@ -7,17 +7,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A worker's tasks and counters.
+/// The state of a worker.
 pub(super) struct WorkerState {
-    /// The last heartbeat; its tasks are the worker's.
+    /// The latest heartbeat. It contains the current tasks of the worker.
     heartbeat: WorkerStatus,
-    /// When each task ends, in the order of the heartbeat.
-    ends: Vec<Option<Instant>>,
+    /// End of each task in the order of the heartbeat. `None` for a task that has exited.
+    end_times: Vec<Option<Instant>>,
     run_time: Duration,
 }
 
 impl WorkerState {
-    /// A worker without tasks, in its first session.
+    /// Creates a worker without tasks, in its first session.
     pub(super) fn new(machine: ListedMachine, run_time: Duration) -> Self {
         let heartbeat = WorkerStatus {
             machine: machine.id,
@@ -33,49 +33,51 @@
         };
         WorkerState {
             heartbeat,
-            ends: Vec::new(),
+            end_times: Vec::new(),
             run_time,
         }
     }
 
-    /// The next heartbeat, encoded.
+    /// Returns the next heartbeat, encoded.
     pub(super) fn next_heartbeat(&mut self) -> Vec<u8> {
         self.heartbeat.sequence += 1;
         encode(&self.heartbeat)
     }
 
-    /// Takes the answer to a heartbeat; true if the next heartbeat is to follow at once.
-    pub(super) fn take_reply(&mut self, reply: &HeartbeatReply) -> bool {
-        let newer = reply.token > self.heartbeat.token;
+    /// Handles the reply to a heartbeat. Returns true if the next heartbeat should be sent at once.
+    pub(super) fn handle_reply(&mut self, reply: &HeartbeatReply) -> bool {
+        let is_newer_token = reply.token > self.heartbeat.token;
         self.heartbeat.token = self.heartbeat.token.max(reply.token);
-        self.execute(&reply.commands) || newer
+        self.execute(&reply.commands) || is_newer_token
     }
 
-    /// Executes direct commands; false if they are void, since a newer token is known or the session is another.
-    pub(super) fn take_direct_commands(&mut self, direct: &DirectCommandRequest) -> bool {
+    /// Executes direct commands. Returns false if they are rejected because their token is older than the known one or they are
+    /// for another session.
+    pub(super) fn handle_direct_commands(&mut self, request: &DirectCommandRequest) -> bool {
         let valid =
-            direct.token >= self.heartbeat.token && direct.session == self.heartbeat.session;
+            request.token >= self.heartbeat.token && request.session == self.heartbeat.session;
         if valid {
-            self.heartbeat.token = direct.token;
-            self.execute(&direct.commands);
+            self.heartbeat.token = request.token;
+            self.execute(&request.commands);
         }
         valid
     }
 
-    /// Executes commands; true if there are more or fewer tasks afterwards.
+    /// Executes commands. Returns true if the number of tasks has changed.
     fn execute(&mut self, commands: &[Command]) -> bool {
-        let before = self.heartbeat.tasks.len();
-        for order in commands {
-            match order {
+        let count_before = self.heartbeat.tasks.len();
+        for command in commands {
+            match command {
                 Command::Start { task, attempt } => self.start(task, *attempt),
                 Command::Stop { task, attempt, .. } => self.stop(task, *attempt),
                 Command::Forget { task, attempt } => self.forget(task, *attempt),
             }
         }
-        before != self.heartbeat.tasks.len()
+        count_before != self.heartbeat.tasks.len()
     }
 
-    fn position(&self, task: &str, attempt: u64) -> Option<usize> {
+    /// Returns the index of an attempt of a task.
+    fn task_index(&self, task: &str, attempt: u64) -> Option<usize> {
         let tasks = &self.heartbeat.tasks;
         tasks
             .iter()
@@ -83,7 +85,7 @@
     }
 
     fn start(&mut self, task: &str, attempt: u64) {
-        if self.position(task, attempt).is_some() {
+        if self.task_index(task, attempt).is_some() {
             return;
         }
         self.heartbeat.tasks.push(TaskStatus {
@@ -93,42 +95,43 @@
             reason: None,
             saved: None,
         });
-        self.ends.push(Some(Instant::now() + self.run_time));
+        self.end_times.push(Some(Instant::now() + self.run_time));
     }
 
     fn stop(&mut self, task: &str, attempt: u64) {
-        if let Some(index) = self.position(task, attempt) {
-            self.exit(index, ExitReason::Stopped);
+        if let Some(index) = self.task_index(task, attempt) {
+            self.mark_exited(index, ExitReason::Stopped);
         }
     }
 
-    fn exit(&mut self, index: usize, reason: ExitReason) {
+    /// Marks a task as exited.
+    fn mark_exited(&mut self, index: usize, reason: ExitReason) {
         self.heartbeat.tasks[index].state = TaskState::Exited;
         self.heartbeat.tasks[index].reason = Some(reason);
-        self.ends[index] = None;
+        self.end_times[index] = None;
     }
 
     fn forget(&mut self, task: &str, attempt: u64) {
-        if let Some(index) = self.position(task, attempt) {
+        if let Some(index) = self.task_index(task, attempt) {
             self.heartbeat.tasks.swap_remove(index);
-            self.ends.swap_remove(index);
+            self.end_times.swap_remove(index);
         }
     }
 
-    /// Ends the tasks whose run time is over; true if there were any.
-    pub(super) fn end_due_tasks(&mut self) -> bool {
+    /// Completes the tasks whose run time is over. Returns true if there were any.
+    pub(super) fn finish_due_tasks(&mut self) -> bool {
         let now = Instant::now();
-        let due: Vec<usize> = (0..self.ends.len())
-            .filter(|index| self.ends[*index].is_some_and(|at| at <= now))
+        let due: Vec<usize> = (0..self.end_times.len())
+            .filter(|index| self.end_times[*index].is_some_and(|end| end <= now))
             .collect();
         for index in &due {
-            self.exit(*index, ExitReason::Done);
+            self.mark_exited(*index, ExitReason::Done);
         }
         !due.is_empty()
     }
 
-    /// When the next task ends.
+    /// Returns when the next task ends.
     pub(super) fn next_task_end(&self) -> Option<Instant> {
-        self.ends.iter().flatten().min().copied()
+        self.end_times.iter().flatten().min().copied()
     }
 }
