--- a/benches/load/args.rs
+++ b/benches/load/args.rs
@@ -1,41 +1,41 @@
-//! The command line.
+//! Command-line options.
 
 use clap::Parser;
 
-/// The load.
+/// Measures the resource usage of controllers under a simulated load.
 #[derive(Parser)]
 pub(crate) struct Args {
-    /// Machines that the cloud rents out.
+    /// Number of machines that the cloud can rent out.
     #[arg(long, default_value_t = 370)]
     pub machines: usize,
-    /// Time between reports in seconds.
+    /// Interval between two heartbeats of a worker, in seconds.
     #[arg(long, default_value_t = 1.5)]
     pub report_s: f64,
-    /// CPUs of a machine.
+    /// Number of CPUs per machine.
     #[arg(long, default_value_t = 16.0)]
     pub cpus: f64,
-    /// Services at the start, of four replicas each.
+    /// Number of services submitted at the start, with four replicas each.
     #[arg(long, default_value_t = 60)]
     pub services: usize,
-    /// Arrays a second.
+    /// Number of job arrays submitted per second.
     #[arg(long, default_value_t = 0.25)]
     pub arrays_per_s: f64,
-    /// Tasks of an array.
+    /// Number of tasks per job array.
     #[arg(long, default_value_t = 60)]
     pub tasks: u32,
-    /// Run time of an array's task in seconds.
+    /// Run time of a task, in seconds.
     #[arg(long, default_value_t = 60.0)]
     pub task_s: f64,
-    /// Time before the measurement, in seconds: the fleet is rented and heard.
+    /// Warm-up time before the measurement, in seconds. The machines are rented and send their first heartbeats in it.
     #[arg(long, default_value_t = 40.0)]
     pub warmup_s: f64,
-    /// Measured time in seconds.
+    /// Duration of the measurement, in seconds.
     #[arg(long, default_value_t = 30.0)]
     pub measured_s: f64,
-    /// The program to be measured.
+    /// Path of the controller program to measure.
     #[arg(long, default_value = env!("CARGO_BIN_EXE_hollowswitch"))]
     pub program: String,
-    /// Given by `cargo bench`; without effect.
+    /// Passed by `cargo bench`. Has no effect.
     #[arg(long)]
     bench: bool,
 }
--- a/benches/load/cloud.rs
+++ b/benches/load/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud: machines of one type that are up as soon as they are rented.
+//! A simulated cloud. It offers machines of one type, which run as soon as they are rented.
 
 use crate::topology::{worker_address, ZONE};
 use crate::worker;
@@ -11,25 +11,25 @@
 
 /// Name of the only machine type.
 const MACHINE_TYPE: &str = "standard";
-/// Boot time of a machine in seconds.
+/// Nominal boot time of a machine, in seconds.
 const BOOT_S: f64 = 1.0;
 
-/// The stand-in.
-pub(crate) struct Cloud {
-    /// Most machines that it rents out.
+/// The simulated cloud.
+pub(crate) struct SimulatedCloud {
+    /// Maximum number of rented machines.
     capacity: usize,
-    /// CPUs of a machine.
+    /// Number of CPUs per machine.
     cpus: f64,
-    /// What the workers of its machines need.
+    /// Settings of the workers on the machines.
     worker: worker::Settings,
-    /// The rented machines by name.
+    /// Rented machines by name.
     machines: Mutex<BTreeMap<String, ListedMachine>>,
 }
 
-impl Cloud {
-    /// A cloud of which nothing is rented yet.
+impl SimulatedCloud {
+    /// Creates a cloud without rented machines.
     pub(crate) fn new(capacity: usize, cpus: f64, worker: worker::Settings) -> Self {
-        Cloud {
+        SimulatedCloud {
             capacity,
             cpus,
             worker,
@@ -37,13 +37,14 @@
         }
     }
 
-    /// Rents out as many of the machines as there are, and runs their workers; returns the machines' names.
+    /// Rents out the requested machines as far as the capacity allows, and starts their workers. Returns the names of the
+    /// machines.
     fn rent(&self, request: &RentRequest) -> Vec<String> {
-        let mut machines = self.machines();
-        let rented = machines.len();
-        let wanted = rented + request.count as usize;
+        let mut machines = self.lock_machines();
+        let rented_count = machines.len();
+        let wanted_count = rented_count + request.count as usize;
         let mut names = Vec::new();
-        for number in rented..self.capacity.min(wanted) {
+        for number in rented_count..self.capacity.min(wanted_count) {
             let name = format!("n-{number:06}");
             let address = worker_address(number);
             let machine = ListedMachine {
@@ -63,12 +64,16 @@
         names
     }
 
-    fn machines(&self) -> MutexGuard<'_, BTreeMap<String, ListedMachine>> {
-        self.machines.lock().expect("no handler panics")
+    /// Locks the rented machines.
+    fn lock_machines(&self) -> MutexGuard<'_, BTreeMap<String, ListedMachine>> {
+        self.machines
+            .lock()
+            .expect("no handler panics while it holds the lock")
     }
 }
 
-async fn flavors(cloud: web::Data<Cloud>) -> HttpResponse {
+/// Handles `GET /flavors`: returns the machine types.
+async fn list_machine_types(cloud: web::Data<SimulatedCloud>) -> HttpResponse {
     let machine_type = MachineType {
         name: MACHINE_TYPE.into(),
         cpus: cloud.cpus,
@@ -86,7 +91,8 @@
     }))
 }
 
-async fn rent(cloud: web::Data<Cloud>, body: web::Bytes) -> HttpResponse {
+/// Handles `POST /machines`: rents machines.
+async fn rent(cloud: web::Data<SimulatedCloud>, body: web::Bytes) -> HttpResponse {
     let Ok(request) = decode::<RentRequest>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
@@ -97,8 +103,9 @@
     HttpResponse::Ok().body(encode(&MachineNames { machines: names }))
 }
 
-async fn list(
-    cloud: web::Data<Cloud>,
+/// Handles `GET /machines`: returns a page of the rented machines.
+async fn list_machines(
+    cloud: web::Data<SimulatedCloud>,
     query: web::Query<BTreeMap<String, String>>,
 ) -> HttpResponse {
     let after = query.get("after").cloned().unwrap_or_default();
@@ -106,19 +113,19 @@
         .get("limit")
         .and_then(|limit| limit.parse().ok())
         .unwrap_or(500);
-    let machines = cloud.machines();
-    let mut rows = machines.values().filter(|machine| machine.id > after);
-    let page = rows.by_ref().take(limit).cloned().collect();
+    let machines = cloud.lock_machines();
+    let mut remaining = machines.values().filter(|machine| machine.id > after);
+    let page = remaining.by_ref().take(limit).cloned().collect();
     HttpResponse::Ok().body(encode(&MachineList {
         machines: page,
-        has_more: rows.next().is_some(),
+        has_more: remaining.next().is_some(),
     }))
 }
 
-/// The routes of the cloud. Nothing is released in these runs.
+/// Registers the routes of the cloud. There is no route to release machines, since none are released in these runs.
 pub(crate) fn routes(config: &mut web::ServiceConfig) {
     config
-        .route("/flavors", web::get().to(flavors))
+        .route("/flavors", web::get().to(list_machine_types))
         .route("/machines", web::post().to(rent))
-        .route("/machines", web::get().to(list));
+        .route("/machines", web::get().to(list_machines));
 }
--- a/benches/load/settings.rs
+++ b/benches/load/settings.rs
@@ -1,19 +1,20 @@
-//! The platform's settings file of a controller.
+//! Generation of the platform's settings file for a controller.
 
 use crate::args::Args;
 use crate::topology::{cloud_address, store_address, ControllerId, ZONE};
 use std::fmt::Write;
 
-/// Connections that a controller has beside those of the workers.
+/// Number of connections of a controller besides those of its workers.
 const OTHER_CONNECTIONS: usize = 200;
 
-/// The file's content.
+/// Returns the content of the settings file.
 pub(crate) fn settings_file(controller: ControllerId, args: &Args) -> String {
     let mut file = String::new();
-    write_sections(&mut file, controller, args).expect("a string takes everything");
+    write_sections(&mut file, controller, args).expect("writing to a string cannot fail");
     file
 }
 
+/// Writes all sections.
 fn write_sections(file: &mut String, controller: ControllerId, args: &Args) -> std::fmt::Result {
     writeln!(file, "node = \"{}\"", controller.name())?;
     writeln!(file, "zone = \"{ZONE}\"")?;
@@ -34,8 +35,9 @@
     write_deployment(file, args)
 }
 
+/// Writes the sections of the deployment.
 fn write_deployment(file: &mut String, args: &Args) -> std::fmt::Result {
-    // More than the machines have, so that the quota holds nothing back.
+    // Twice the CPUs of all machines, so that the quota limits nothing.
     let quota = args.machines as f64 * args.cpus * 2.0;
     writeln!(file, "[[deployment.teams]]")?;
     writeln!(file, "name = \"team\"")?;
--- a/benches/load/store.rs
+++ b/benches/load/store.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the consensus-backed key-value store: one map in memory behind the wire protocol.
+//! A simulated key-value store: an in-memory map that speaks the protocol of the state service.
 //!
-//! Its leases do not end, since no controller ends in these runs.
+//! Its leases never end, since all controllers run until the end of the benchmark.
 
 use actix_web::{web, HttpResponse};
 use ciborium::Value;
@@ -14,10 +14,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// By how many changes a watch can lag behind.
-const HISTORY: usize = 10_000;
+/// Maximum number of events kept for watches. A watch that lags further behind misses events.
+const HISTORY_LIMIT: usize = 10_000;
 
-/// A key's value and version.
+/// The value and version of a key.
 struct StoredValue {
     value: Value,
     version: Revision,
@@ -32,24 +32,24 @@
     history: VecDeque<Event>,
 }
 
-/// The stand-in.
-pub(crate) struct Store {
+/// The simulated store.
+pub(crate) struct SimulatedStore {
     content: Mutex<Content>,
     changed: watch::Sender<Revision>,
 }
 
-impl Default for Store {
+impl Default for SimulatedStore {
     fn default() -> Self {
-        Store {
+        SimulatedStore {
             content: Mutex::default(),
             changed: watch::channel(Revision::ZERO).0,
         }
     }
 }
 
-/// What a listing or a watch asks for.
+/// Query parameters of a listing or a watch.
 #[derive(Deserialize)]
-struct Query {
+struct QueryParameters {
     starts: String,
     #[serde(default)]
     after: String,
@@ -59,18 +59,20 @@
     hold_ms: u64,
 }
 
-fn cbor<T: serde::Serialize>(status: u16, body: &T) -> HttpResponse {
-    let status = actix_web::http::StatusCode::from_u16(status).expect("a status of the protocol");
+/// Builds a response with a CBOR body.
+fn cbor_response<T: serde::Serialize>(status: u16, body: &T) -> HttpResponse {
+    let status = actix_web::http::StatusCode::from_u16(status).expect("a valid status code");
     HttpResponse::build(status)
         .content_type("application/cbor")
         .body(encode(body))
 }
 
 fn transaction_reply(status: u16, failed: Vec<String>, revision: Revision) -> HttpResponse {
-    cbor(status, &TxnReply { failed, revision })
+    cbor_response(status, &TxnReply { failed, revision })
 }
 
 impl Content {
+    /// Applies a change at the current revision and records its event.
     fn apply(&mut self, change: Change) {
         let version = self.revision;
         let event = match change {
@@ -92,14 +94,14 @@
             }
         };
         self.history.push_back(event);
-        if self.history.len() > HISTORY {
+        if self.history.len() > HISTORY_LIMIT {
             self.history.pop_front();
         }
     }
 
-    /// Commits a transaction whose guards all hold.
+    /// Commits a transaction if all of its guards hold.
     fn commit(&mut self, txn: Txn) -> HttpResponse {
-        let version = |key: &str| {
+        let current_version = |key: &str| {
             self.keys
                 .get(key)
                 .map_or(Revision::ZERO, |stored| stored.version)
@@ -107,7 +109,7 @@
         let failed: Vec<String> = txn
             .guards
             .iter()
-            .filter(|guard| version(&guard.key) != guard.version)
+            .filter(|guard| current_version(&guard.key) != guard.version)
             .map(|guard| guard.key.clone())
             .collect();
         if !failed.is_empty() {
@@ -122,16 +124,16 @@
         transaction_reply(200, Vec::new(), self.revision)
     }
 
-    /// The keys of a listing, up to its limit.
-    fn page(&self, query: &Query) -> Page {
-        let after = if query.after.is_empty() {
+    /// Returns the requested page of keys.
+    fn page(&self, query: &QueryParameters) -> Page {
+        let start = if query.after.is_empty() {
             Bound::Included(query.starts.clone())
         } else {
             Bound::Excluded(query.after.clone())
         };
-        let mut rows = self
+        let mut remaining = self
             .keys
-            .range((after, Bound::Unbounded))
+            .range((start, Bound::Unbounded))
             .take_while(|(key, _)| key.starts_with(&query.starts));
         let item = |(key, stored): (&String, &StoredValue)| KeyValue {
             key: key.clone(),
@@ -139,40 +141,45 @@
             version: stored.version,
         };
         Page {
-            items: rows.by_ref().take(query.limit).map(item).collect(),
-            has_more: rows.next().is_some(),
+            items: remaining.by_ref().take(query.limit).map(item).collect(),
+            has_more: remaining.next().is_some(),
             revision: self.revision,
         }
     }
 
-    /// The changes that a watch has yet to see.
+    /// Returns the events after a revision on keys with a prefix.
     fn events_after(&self, revision: Revision, prefix: &str) -> Vec<Event> {
-        let newer = |event: &&Event| match event {
+        let is_match = |event: &&Event| match event {
             Event::Put { put, version, .. } => *version > revision && put.starts_with(prefix),
             Event::Delete { key, version } => *version > revision && key.starts_with(prefix),
         };
-        self.history.iter().filter(newer).cloned().collect()
+        self.history.iter().filter(is_match).cloned().collect()
     }
 }
 
-impl Store {
-    fn content(&self) -> std::sync::MutexGuard<'_, Content> {
-        self.content.lock().expect("no handler panics")
+impl SimulatedStore {
+    /// Locks the content.
+    fn lock_content(&self) -> std::sync::MutexGuard<'_, Content> {
+        self.content
+            .lock()
+            .expect("no handler panics while it holds the lock")
     }
 }
 
-async fn commit(store: web::Data<Store>, body: web::Bytes) -> HttpResponse {
+/// Handles `POST /multi`: executes a transaction and wakes the watches.
+async fn commit(store: web::Data<SimulatedStore>, body: web::Bytes) -> HttpResponse {
     let Ok(txn) = decode::<Txn>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
-    let mut content = store.content();
+    let mut content = store.lock_content();
     let response = content.commit(txn);
     store.changed.send_replace(content.revision);
     response
 }
 
-async fn get(store: web::Data<Store>, key: web::Path<String>) -> HttpResponse {
-    let content = store.content();
+/// Handles `GET /keys/{key}`: returns a key.
+async fn get(store: web::Data<SimulatedStore>, key: web::Path<String>) -> HttpResponse {
+    let content = store.lock_content();
     let Some(stored) = content.keys.get(key.as_str()) else {
         return transaction_reply(404, Vec::new(), content.revision);
     };
@@ -181,46 +188,55 @@
         value: stored.value.clone(),
         version: stored.version,
     };
-    cbor(200, &item)
+    cbor_response(200, &item)
 }
 
-async fn list(store: web::Data<Store>, query: web::Query<Query>) -> HttpResponse {
-    cbor(200, &store.content().page(&query))
+/// Handles `GET /keys`: returns a page of keys.
+async fn list(
+    store: web::Data<SimulatedStore>,
+    query: web::Query<QueryParameters>,
+) -> HttpResponse {
+    cbor_response(200, &store.lock_content().page(&query))
 }
 
-/// Answers a watch when something has changed, or when its time is over.
-async fn watch_prefix(store: web::Data<Store>, query: web::Query<Query>) -> HttpResponse {
+/// Handles `GET /watch`: responds as soon as there are events, or without events after the requested time.
+async fn watch_prefix(
+    store: web::Data<SimulatedStore>,
+    query: web::Query<QueryParameters>,
+) -> HttpResponse {
     let after = query.after.parse().unwrap_or(0);
-    let until = Instant::now() + Duration::from_millis(query.hold_ms);
+    let deadline = Instant::now() + Duration::from_millis(query.hold_ms);
     let mut changed = store.changed.subscribe();
     loop {
         let (events, revision) = {
-            let content = store.content();
+            let content = store.lock_content();
             (
                 content.events_after(Revision::new(after), &query.starts),
                 content.revision,
             )
         };
-        let left = until.saturating_duration_since(Instant::now());
-        if !events.is_empty() || left.is_zero() {
-            return cbor(200, &WatchReply { revision, events });
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        if !events.is_empty() || time_left.is_zero() {
+            return cbor_response(200, &WatchReply { revision, events });
         }
-        let _ = tokio::time::timeout(left, changed.changed()).await;
+        let _ = tokio::time::timeout(time_left, changed.changed()).await;
     }
 }
 
-async fn open_lease(store: web::Data<Store>) -> HttpResponse {
-    let mut content = store.content();
+/// Handles `POST /holds`: opens a lease.
+async fn open_lease(store: web::Data<SimulatedStore>) -> HttpResponse {
+    let mut content = store.lock_content();
     content.last_lease += 1;
     let lease = content.last_lease;
-    cbor(200, &LeaseReply { lease })
+    cbor_response(200, &LeaseReply { lease })
 }
 
-async fn renew_lease() -> HttpResponse {
+/// Handles the renewal and the end of a lease. Both are accepted without effect, since leases never end.
+async fn accept_lease_request() -> HttpResponse {
     HttpResponse::Ok().finish()
 }
 
-/// The routes of the store.
+/// Registers the routes of the store.
 pub(crate) fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/multi", web::post().to(commit))
@@ -228,6 +244,6 @@
         .route("/keys/{key:.*}", web::get().to(get))
         .route("/watch", web::get().to(watch_prefix))
         .route("/holds", web::post().to(open_lease))
-        .route("/holds/{id}/extend", web::post().to(renew_lease))
-        .route("/holds/{id}", web::delete().to(renew_lease));
+        .route("/holds/{id}/extend", web::post().to(accept_lease_request))
+        .route("/holds/{id}", web::delete().to(accept_lease_request));
 }
