--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -128,9 +128,9 @@
 /// Limits of the state service, shared by all controllers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Changes, which are puts and deletes, per second.
+    /// Maximum number of changes, which are puts and deletes, per second.
     pub write_rps: f64,
     /// Maximum size of a value, in KiB.
     pub value_kb: f64,
@@ -141,7 +141,7 @@
 /// Limits of the cloud, shared by all controllers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
     /// Usual lag of the list of machines, in seconds. Occasionally the list lags behind twice as long.
     pub list_lag_s: f64,
