--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -36,8 +36,8 @@
     let is_valid = decision.valid_until.is_some_and(|until| now < until);
     match decision.outcome {
         HeartbeatOutcome::Reply(reply) if is_valid => responses::message(StatusCode::OK, &reply),
-        HeartbeatOutcome::Redirect(report_to) => {
-            responses::message(StatusCode::MISDIRECTED_REQUEST, &Redirect { report_to })
+        HeartbeatOutcome::Redirect(leader) => {
+            responses::message(StatusCode::MISDIRECTED_REQUEST, &Redirect { leader })
         }
         HeartbeatOutcome::Reply(_) | HeartbeatOutcome::NoLeader => {
             responses::error(StatusCode::SERVICE_UNAVAILABLE, "no authority to act")
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -84,7 +84,7 @@
     /// Returns an error if the cloud does not answer with plausible machine types.
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let response = self.call(Method::GET, "/flavors", None).await?;
-        let types = decode_ok::<Catalogue>(&response)?.types;
+        let types = decode_ok::<Catalogue>(&response)?.machine_types;
         if types.is_empty() || !types.iter().all(is_plausible) {
             return Err(CloudError::ImplausibleMachineTypes);
         }
@@ -134,7 +134,7 @@
         let path = format!("/machines?after={after}&limit={PAGE_SIZE}");
         let response = self.call(Method::GET, &path, None).await?;
         let list: MachineList = decode_ok(&response)?;
-        let last = list.machines.last().filter(|_| list.more);
+        let last = list.machines.last().filter(|_| list.has_more);
         Ok(MachinePage {
             next: last.map(|machine| machine.id.clone()),
             machines: list.machines,
--- a/src/scheduler/machines/expiry.rs
+++ b/src/scheduler/machines/expiry.rs
@@ -69,6 +69,8 @@
 
     /// Returns the time that a task needs to save its progress, including the delivery of the stop to its worker.
     fn time_to_save(&self, spec: &JobSpec) -> Duration {
-        duration_from_secs(spec.save_s) + self.params.heartbeat_interval * 2 + STOP_MARGIN
+        duration_from_secs(spec.checkpoint_save_s)
+            + self.params.heartbeat_interval * 2
+            + STOP_MARGIN
     }
 }
--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -58,23 +58,23 @@
     cluster.submit(
         JobSpec {
             checkpoint_interval_s: 10.0,
-            save_s: 4.0,
+            checkpoint_save_s: 4.0,
             ..spec("wk-1", 1)
         },
         101,
     );
     let started = starts(&cluster.heartbeat("n-1", &[]));
     let mut status = cluster.next_status("n-1", first_token(EPOCH), &as_running(&started[..1]));
-    status.eviction_notice_s = Some(20.0);
+    status.termination_notice_s = Some(20.0);
     cluster.handle_after_pass(&status);
     cluster.submit(spec("wk-2", 1), 102);
     cluster.run_round(2000);
     let mut status = cluster.next_status("n-1", first_token(EPOCH), &as_running(&started[..1]));
-    status.eviction_notice_s = Some(19.0);
+    status.termination_notice_s = Some(19.0);
     assert!(cluster.handle_after_pass(&status).is_empty());
     cluster.run_round(12_500);
     let mut status = cluster.next_status("n-1", first_token(EPOCH), &as_running(&started[..1]));
-    status.eviction_notice_s = Some(8.5);
+    status.termination_notice_s = Some(8.5);
     assert_eq!(
         cluster.handle_after_pass(&status),
         vec![Command::Stop {
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -55,14 +55,14 @@
         memory_gb: 2.0,
         image: "i".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
         single_zone: false,
         spread_zones: false,
         spot: true,
-        estimate_s: 60.0,
+        run_time_estimate_s: 60.0,
         checkpoint_interval_s: 0.0,
-        save_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
     }
 }
--- a/src/scheduler/tests/placement.rs
+++ b/src/scheduler/tests/placement.rs
@@ -80,7 +80,7 @@
     );
     cluster.submit(
         JobSpec {
-            types: Some(vec!["other".into()]),
+            machine_types: Some(vec!["other".into()]),
             ..spec("wk-3", 1)
         },
         103,
--- a/src/service.rs
+++ b/src/service.rs
@@ -14,7 +14,7 @@
 /// Returns an error if the runtime cannot be built or a server cannot listen on its address.
 pub fn run(settings: Settings) -> std::io::Result<()> {
     let platform = settings.platform.clone();
-    let max_connections = platform.deployment.machine_limits.server_connections();
+    let max_connections = platform.deployment.machine_limits.max_server_connections();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -5,7 +5,7 @@
 use super::{Replica, ReplicaChange, Revision, Versioned, ROOT};
 use crate::clients::http::{exchange, ConnectionReuse, ExchangeError, HttpRequest, HttpResponse};
 use crate::protocol::{
-    decode, encode, Item, LeaseReply, LeaseRequest, Page, Txn, TxnReply, Watched,
+    decode, encode, KeyValue, LeaseReply, LeaseRequest, Page, Txn, TxnReply, WatchReply,
 };
 use crate::time::whole_millis;
 use awc::http::{Method, StatusCode};
@@ -104,7 +104,7 @@
     /// [`StoreError::NotFound`] if the key does not exist, another error if the service does not answer with a record of type
     /// `T`.
     pub async fn get<T: DeserializeOwned>(&self, key: &str) -> Result<Versioned<T>, StoreError> {
-        let item: Item = self.read(&format!("/keys/{key}"), CALL_TIMEOUT).await?;
+        let item: KeyValue = self.read(&format!("/keys/{key}"), CALL_TIMEOUT).await?;
         let record = decode_record(&item.value).ok_or(MALFORMED)?;
         Ok(Versioned {
             record,
@@ -179,7 +179,11 @@
     /// # Errors
     /// [`StoreError::NotFound`] if the service no longer has all changes since that revision, [`StoreError::ResponseTooLarge`]
     /// if there are too many of them, another error if the service does not answer.
-    pub async fn watch(&self, after: Revision, max_wait: Duration) -> Result<Watched, StoreError> {
+    pub async fn watch(
+        &self,
+        after: Revision,
+        max_wait: Duration,
+    ) -> Result<WatchReply, StoreError> {
         let max_wait_ms = whole_millis(max_wait);
         let path = format!("/watch?starts={ROOT}&after={after}&holdMs={max_wait_ms}");
         self.read(&path, max_wait + CALL_TIMEOUT).await
@@ -216,7 +220,7 @@
             let revision = *first_revision.get_or_insert(page.revision);
             apply_page(replica, &page);
             match page.items.last() {
-                Some(last) if page.more => after.clone_from(&last.key),
+                Some(last) if page.has_more => after.clone_from(&last.key),
                 _ => return Ok(revision),
             }
         }
--- a/tests/compat/cloud.rs
+++ b/tests/compat/cloud.rs
@@ -43,7 +43,7 @@
         Value::Array(vec![machine_type_message()]),
     )]);
     let catalogue = Catalogue {
-        types: vec![machine_type()],
+        machine_types: vec![machine_type()],
     };
     assert_eq!(decode_value::<Catalogue>(&literal), catalogue);
     assert_eq!(encode_to_value(&catalogue), literal);
@@ -58,7 +58,7 @@
         "yards" => ["a", "b"], "colour" => "grey"
     }]});
     assert_eq!(
-        decode_value::<Catalogue>(&literal).types,
+        decode_value::<Catalogue>(&literal).machine_types,
         vec![machine_type()]
     );
 }
@@ -85,7 +85,7 @@
     let literal = message!({"hire" => "r-17", "breed" => "g8", "yard" => "a", "loaners" => true,
                             "howMany" => 12});
     let request = RentRequest {
-        request: "r-17".into(),
+        name: "r-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
@@ -94,7 +94,7 @@
     assert_eq!(encode_to_value(&request), literal);
     let decoded = decode_value::<RentRequest>(&literal);
     assert_eq!(
-        (decoded.request.as_str(), decoded.machine_type.as_str()),
+        (decoded.name.as_str(), decoded.machine_type.as_str()),
         ("r-17", "g8")
     );
     assert_eq!(
@@ -107,7 +107,7 @@
 #[test]
 fn a_rental_request_encodes_to_the_expected_bytes() {
     let request = RentRequest {
-        request: "r-17".into(),
+        name: "r-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: false,
@@ -187,10 +187,10 @@
         ("hasNext".into(), Value::Bool(true)),
     ]);
     let page = decode_value::<MachineList>(&literal);
-    assert!(page.more);
+    assert!(page.has_more);
     assert_eq!(page.machines.len(), 1);
     assert_listed_machine(&page.machines[0]);
     assert_eq!(encode_to_value(&page), literal);
     assert_required::<MachineList>(&literal, &["hosts", "hasNext"]);
-    assert!(!decode_value::<MachineList>(&message!({"hosts" => [], "hasNext" => false})).more);
+    assert!(!decode_value::<MachineList>(&message!({"hosts" => [], "hasNext" => false})).has_more);
 }
--- a/tests/compat/settings.rs
+++ b/tests/compat/settings.rs
@@ -1,6 +1,6 @@
 //! The keys and values of the platform's and the operators' settings file, and the deploy file.
 
-use hollowswitch::config::{Operator, Settings};
+use hollowswitch::config::{OperatorSettings, Settings};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -266,7 +266,7 @@
     assert_eq!(operator.leader_lease_s, 3.5);
 }
 
-fn assert_defaults(operator: &Operator) {
+fn assert_defaults(operator: &OperatorSettings) {
     assert_eq!(operator.group_factor, 1.25);
     assert_eq!(operator.fetch_gb_per_s, 0.1);
     assert!(operator.transfer_test);
--- a/tests/compat/state_service.rs
+++ b/tests/compat/state_service.rs
@@ -5,8 +5,8 @@
 };
 use ciborium::Value;
 use hollowswitch::protocol::{
-    encode, Change, Event, Guard, Item, LeaseReply, LeaseRequest, Page, Revision, Txn, TxnReply,
-    Watched,
+    encode, Change, Event, Guard, KeyValue, LeaseReply, LeaseRequest, Page, Revision, Txn,
+    TxnReply, WatchReply,
 };
 
 /// Returns a transaction with a put with a lease, a put without one, and a delete.
@@ -114,14 +114,14 @@
 
 #[test]
 fn every_field_of_an_item_is_decoded_and_encoded() {
-    let item = decode_value::<Item>(&item_message());
+    let item = decode_value::<KeyValue>(&item_message());
     assert_eq!((item.key.as_str(), item.version.as_u64()), ("a/b", 412));
     assert_eq!(item.value, message!({"x" => [1, "y"]}));
     assert_eq!(encode_to_value(&item), without(&item_message(), "tenure"));
-    assert!(try_decode_value::<Item>(&without(&item_message(), "path")).is_none());
-    assert!(try_decode_value::<Item>(&without(&item_message(), "v")).is_none());
-    assert!(try_decode_value::<Item>(&without(&item_message(), "stamp")).is_none());
-    let null = decode_value::<Item>(&with(&item_message(), "v", Value::Null));
+    assert!(try_decode_value::<KeyValue>(&without(&item_message(), "path")).is_none());
+    assert!(try_decode_value::<KeyValue>(&without(&item_message(), "v")).is_none());
+    assert!(try_decode_value::<KeyValue>(&without(&item_message(), "stamp")).is_none());
+    let null = decode_value::<KeyValue>(&with(&item_message(), "v", Value::Null));
     assert_eq!(null.value, Value::Null);
 }
 
@@ -131,7 +131,7 @@
                             "hasNext" => true, "ledger" => 431});
     let page = decode_value::<Page>(&literal);
     assert_eq!(
-        (page.items.len(), page.more, page.revision.as_u64()),
+        (page.items.len(), page.has_more, page.revision.as_u64()),
         (1, true, 431)
     );
     assert_eq!(
@@ -142,7 +142,8 @@
     assert_eq!(encode_to_value(&page), literal);
     assert_required::<Page>(&literal, &["rows", "hasNext", "ledger"]);
     assert!(
-        !decode_value::<Page>(&message!({"rows" => [], "hasNext" => false, "ledger" => 1})).more
+        !decode_value::<Page>(&message!({"rows" => [], "hasNext" => false, "ledger" => 1}))
+            .has_more
     );
 }
 
@@ -150,7 +151,7 @@
 fn every_field_of_a_watch_response_is_decoded_and_encoded() {
     let literal = message!({"ledger" => 433, "events" => [
         {"put" => "c/9", "v" => {"x" => 1}, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}]});
-    let watched = decode_value::<Watched>(&literal);
+    let watched = decode_value::<WatchReply>(&literal);
     assert_eq!(watched.revision.as_u64(), 433);
     let [Event::Put {
         put,
@@ -169,9 +170,9 @@
     );
     assert_eq!((key.as_str(), deleted_at.as_u64()), ("c/d", 432));
     assert_eq!(encode_to_value(&watched), literal);
-    assert_required::<Watched>(&literal, &["ledger", "events"]);
+    assert_required::<WatchReply>(&literal, &["ledger", "events"]);
     assert!(
-        decode_value::<Watched>(&message!({"ledger" => 1, "events" => []}))
+        decode_value::<WatchReply>(&message!({"ledger" => 1, "events" => []}))
             .events
             .is_empty()
     );
--- a/tests/compat/stored_records/mod.rs
+++ b/tests/compat/stored_records/mod.rs
@@ -7,7 +7,7 @@
 mod unreadable;
 mod written;
 
-use hollowswitch::protocol::{decode, JobKind, JobSpec, MachineType, Priority, Watched};
+use hollowswitch::protocol::{decode, JobKind, JobSpec, MachineType, Priority, WatchReply};
 use hollowswitch::store::{JobRecord, LeaderRecord, RentalRecord, Replica};
 
 /// CBOR encoding of [`job_spec`].
@@ -79,14 +79,14 @@
         memory_gb: 3.0,
         image: "img".into(),
         image_gb: 4.0,
-        types: Some(vec!["m8".into()]),
+        machine_types: Some(vec!["m8".into()]),
         zone: Some("a".into()),
         single_zone: true,
         spread_zones: false,
         spot: true,
-        estimate_s: 5.0,
+        run_time_estimate_s: 5.0,
         checkpoint_interval_s: 6.0,
-        save_s: 7.0,
+        checkpoint_save_s: 7.0,
         deadline_s: Some(8.0),
     }
 }
@@ -138,7 +138,7 @@
 /// Returns a replica that has applied the response of a watch at revision 100. `events` is the CBOR array of its events.
 fn replica_after(events: &[u8]) -> Replica {
     let response = concat(&[b"\xa2\x66ledger\x18\x64\x66events", events]);
-    let watched: Watched = decode(&response).unwrap();
+    let watched: WatchReply = decode(&response).unwrap();
     let mut replica = Replica::default();
     replica.apply(watched.revision, &watched.events);
     replica
--- a/tests/compat/users.rs
+++ b/tests/compat/users.rs
@@ -35,14 +35,14 @@
         memory_gb: 64.0,
         image: "img-07".into(),
         image_gb: 6.25,
-        types: Some(vec!["g8".into(), "c4".into()]),
+        machine_types: Some(vec!["g8".into(), "c4".into()]),
         zone: Some("a".into()),
         single_zone: true,
         spread_zones: false,
         spot: true,
-        estimate_s: 240.0,
+        run_time_estimate_s: 240.0,
         checkpoint_interval_s: 30.0,
-        save_s: 4.0,
+        checkpoint_save_s: 4.0,
         deadline_s: Some(900.0),
     }
 }
@@ -80,7 +80,7 @@
         .iter()
         .fold(submission(), |m, field| without(&m, field));
     let expected = JobSpec {
-        types: None,
+        machine_types: None,
         zone: None,
         deadline_s: None,
         ..job_spec()
@@ -295,10 +295,16 @@
         assert_eq!(validation_error(|job| job.image.clone_from(&bad)), names);
         assert_eq!(validation_error(|job| job.zone = Some(bad.clone())), "yard");
         let types = vec!["g8".into(), bad];
-        assert_eq!(validation_error(|job| job.types = Some(types)), "breeds");
+        assert_eq!(
+            validation_error(|job| job.machine_types = Some(types)),
+            "breeds"
+        );
     }
     let too_many = vec!["g8".to_string(); 65];
-    assert_eq!(validation_error(|job| job.types = Some(too_many)), "breeds");
+    assert_eq!(
+        validation_error(|job| job.machine_types = Some(too_many)),
+        "breeds"
+    );
 }
 
 #[test]
@@ -313,12 +319,18 @@
         assert_eq!(validation_error(|job| job.gpus = bad), "an amount");
         assert_eq!(validation_error(|job| job.memory_gb = bad), "an amount");
         assert_eq!(validation_error(|job| job.image_gb = bad), "an amount");
-        assert_eq!(validation_error(|job| job.estimate_s = bad), "an amount");
+        assert_eq!(
+            validation_error(|job| job.run_time_estimate_s = bad),
+            "an amount"
+        );
         assert_eq!(
             validation_error(|job| job.checkpoint_interval_s = bad),
             "an amount"
         );
-        assert_eq!(validation_error(|job| job.save_s = bad), "an amount");
+        assert_eq!(
+            validation_error(|job| job.checkpoint_save_s = bad),
+            "an amount"
+        );
         assert_eq!(validation_error(|job| job.deadline_s = Some(bad)), "dueS");
     }
 }
@@ -331,7 +343,7 @@
         team: name.clone(),
         image: name.clone(),
         zone: Some(name.clone()),
-        types: Some(vec![name; 64]),
+        machine_types: Some(vec![name; 64]),
         tasks: 100_000,
         cpus: 1e9,
         deadline_s: Some(1e9),
--- a/tests/compat/workers.rs
+++ b/tests/compat/workers.rs
@@ -34,7 +34,7 @@
         session: 2,
         sequence: 88,
         token: FencingToken::new(41),
-        eviction_notice_s: Some(60.5),
+        termination_notice_s: Some(60.5),
         tasks: vec![
             TaskStatus {
                 task: "wk-000412/3".into(),
@@ -77,7 +77,7 @@
 #[test]
 fn an_eviction_notice_may_be_null_or_absent() {
     let expected = WorkerStatus {
-        eviction_notice_s: None,
+        termination_notice_s: None,
         ..worker_status()
     };
     let absent = without(&heartbeat_message(), "recallS");
@@ -187,7 +187,7 @@
         (ExitReason::Error, "error"),
         (ExitReason::InsufficientResources, "full"),
         (ExitReason::ConflictingAttempt, "in_use"),
-        (ExitReason::Unknown, "unknown"),
+        (ExitReason::UnknownTask, "unknown"),
     ] {
         let literal = with(&task_status_message(), "cause", name.into());
         assert_eq!(decode_value::<TaskStatus>(&literal).reason, Some(reason));
@@ -306,7 +306,7 @@
 #[test]
 fn a_redirect_contains_a_node_or_none() {
     let redirect_to = |node: Option<&str>| Redirect {
-        report_to: node.map(String::from),
+        leader: node.map(String::from),
     };
     assert_eq!(
         encode_to_value(&redirect_to(Some("drover-2"))),
@@ -317,7 +317,7 @@
     let named = hex("a1 67 666f72656d616e 68 64726f7665722d32");
     assert_eq!(encode(&redirect_to(Some("drover-2"))), named);
     assert_eq!(encode(&redirect_to(None)), hex("a0"));
-    let decode_target = |literal: Value| decode_value::<Redirect>(&literal).report_to;
+    let decode_target = |literal: Value| decode_value::<Redirect>(&literal).leader;
     assert_eq!(
         decode_target(message!({"foreman" => "drover-2"})).as_deref(),
         Some("drover-2")
