--- a/src/placement.rs
+++ b/src/placement.rs
@@ -123,7 +123,7 @@
     pub holds_image: bool,
     /// Number of tasks that fit on the machine now.
     pub free_slots: u32,
-    /// For a holder without free slots, the expected end times of its running tasks in ascending order, in seconds from now.
+    /// For a holder without free slots, the expected end times of its tasks in ascending order, in seconds from now.
     /// Each end frees a slot. Slots that other tasks are already waiting for are left out.
     pub next_slots_s: Vec<f64>,
     /// Order among candidates that are otherwise equal.
@@ -165,7 +165,7 @@
     pub wait_for: Vec<Share<M>>,
 }
 
-/// A slot on a machine that holds the image; free, or occupied by a running task.
+/// A slot on a machine that holds the image; free, or occupied by a task.
 struct HolderSlot<M> {
     machine: M,
     /// Expected finish time of a new task in this slot, in seconds from now.
@@ -235,7 +235,7 @@
         order.sort_by_key(|candidate| (!candidate.holds_image, candidate.preference));
         for candidate in order {
             if !candidate.holds_image {
-                self.use_better_holders(candidate);
+                self.take_better_holder_slots(candidate);
             }
             self.fill(candidate);
         }
@@ -243,7 +243,7 @@
 
     /// Applies the transfer test to a machine that has to fetch the image: takes slots on holders as long as a task would
     /// finish there no later than on this machine.
-    fn use_better_holders(&mut self, non_holder: &Candidate<M>) {
+    fn take_better_holder_slots(&mut self, non_holder: &Candidate<M>) {
         // Equation (5) of the DGNS paper: its two sides are the finish times here and on the holder.
         let finish_s = self.request.run_s / non_holder.capability + self.request.transfer_s;
         while self.slots_left > 0 {
