--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -29,8 +29,8 @@
 }
 
 impl Scheduler {
-    /// Returns the allowed machines with free resources for a task of the job and, unless waiting for an image holder is
-    /// pointless, the full ones that hold its image.
+    /// Returns the allowed machines with free resources for a task of the job. Full machines that hold its image are added if
+    /// tasks may wait for them: the transfer test applies and some machine with free resources would have to fetch the image.
     pub(super) fn candidates(&self, job: &Job, pass: &Pass) -> Vec<Candidate<MachineIndex>> {
         let holders = self.image_holders.get(job.image);
         let mut candidates = Vec::new();
@@ -48,7 +48,7 @@
         }
         if candidates.is_empty()
             || !self.params.transfer_test
-            || self.has_waited_long(job)
+            || self.exceeds_holder_wait_limit(job)
             || candidates.iter().all(|candidate| candidate.holds_image)
         {
             return candidates;
@@ -98,7 +98,7 @@
 
     /// Reports whether a job has waited so long that it takes any free machine. Slots on image holders are expected to become
     /// free again and again, and over a slow link waiting for one can look better for longer than a job may be kept waiting.
-    pub(super) fn has_waited_long(&self, job: &Job) -> bool {
+    pub(super) fn exceeds_holder_wait_limit(&self, job: &Job) -> bool {
         self.elapsed_since(job.last_placed_at) > HOLDER_WAIT_LIMIT
     }
 
--- a/src/scheduler/capacity_pool.rs
+++ b/src/scheduler/capacity_pool.rs
@@ -41,16 +41,16 @@
             order: Vec::new(),
             free: Table::filled(Resources::ZERO, scheduler.machines.index_count()),
         };
-        let mut ordinary = Vec::new();
+        let mut on_demand = Vec::new();
         for (machine, free) in machines {
             if scheduler.machine(machine).is_spot() {
                 pool.order.push(machine);
             } else {
-                ordinary.push(machine);
+                on_demand.push(machine);
             }
             pool.free[machine] = free;
         }
-        pool.order.append(&mut ordinary);
+        pool.order.append(&mut on_demand);
         pool
     }
 
@@ -72,8 +72,8 @@
         CapacityPool::new(scheduler, machines)
     }
 
-    /// Allocates resources for up to `tasks` tasks of a job, as far as its zone rules allow. Returns for how many tasks there
-    /// were none.
+    /// Allocates resources for up to `tasks` tasks of a job, as far as its zone rules allow. Returns the number of tasks that
+    /// did not fit.
     pub(super) fn allocate(
         &mut self,
         scheduler: &Scheduler,
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -91,12 +91,12 @@
         demands
     }
 
-    /// Returns how many tasks of a job fit into what is left of its team's quota, and takes them from it. A gang that does not
-    /// fit as a whole counts as 0.
+    /// Returns how many tasks of a job fit into what is left of its team's quota, and deducts their resources from it. A gang
+    /// that does not fit as a whole counts as 0.
     fn tasks_within_quota(&self, index: JobIndex, quotas: &mut AmountByTeam) -> u32 {
         let job = self.job(index);
         let Some(team) = job.team else { return 0 };
-        let left = quotas.of(team);
+        let left = quotas.get_mut(team);
         let per_task = job.task_resources.quota();
         let tasks = job.placeable(self.now()).min(per_task.count_fitting(*left));
         if job.is_gang() && tasks < job.pending() {
@@ -155,8 +155,8 @@
 }
 
 impl Forecast {
-    /// Allocates resources for tasks of a job, on booting machines only after the available ones. Returns for how many tasks
-    /// there were none.
+    /// Allocates resources for tasks of a job, on booting machines only after the available ones. Returns the number of tasks
+    /// that did not fit.
     fn allocate(
         &mut self,
         scheduler: &Scheduler,
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -36,7 +36,7 @@
     pub(super) machine_types: Option<Vec<MachineTypeIndex>>,
     /// Required zone; `None` allows any.
     pub(super) zone: Option<ZoneIndex>,
-    /// Whether the job is cancelled: its active tasks are being stopped and none is placed.
+    /// Whether the job is cancelled or was made final: its active tasks are being stopped and none is placed.
     pub(super) cancelled: bool,
     /// Tasks that have finished.
     pub(super) done: TaskBitmap,
@@ -183,8 +183,8 @@
         self.active_by_zone.get(&zone).copied().unwrap_or(0)
     }
 
-    /// Returns how many more tasks the job's zone rules allow in a zone. A job spread over zones may have at most half of its
-    /// tasks in one, rounded up.
+    /// Returns how many more tasks the job's zone rules allow in a zone. A job that has to stay in a single zone may have none
+    /// outside the zone of its active tasks. A job spread over zones may have at most half of its tasks in one, rounded up.
     pub(super) fn zone_allowance(&self, zone: ZoneIndex) -> u32 {
         let elsewhere = |(other, count): (&ZoneIndex, &u32)| *count > 0 && *other != zone;
         if self.spec().single_zone && self.active_by_zone.iter().any(elsewhere) {
@@ -234,7 +234,7 @@
     }
 
     /// Removes and returns the next pending task; the caller makes it active.
-    pub(super) fn take_pending(&mut self) -> Option<u32> {
+    pub(super) fn take_next_pending(&mut self) -> Option<u32> {
         let (tasks, done, active) = (self.record.spec.tasks, &self.done, &self.active);
         let is_new = |number| !done.contains(number) && !active.contains_key(&number);
         self.pending.take_next(tasks, is_new)
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -67,8 +67,8 @@
 }
 
 impl Scheduler {
-    /// Preempts tasks at once for the production jobs that the last scheduling pass could not place. Production waits neither
-    /// for booting machines nor for the next computation of the demand, which waits for responses of the cloud.
+    /// Preempts tasks at once for the production jobs that the last scheduling pass could not place. Production jobs wait
+    /// neither for booting machines nor for the next computation of the demand, which waits for responses of the cloud.
     pub fn preempt_for_production(&mut self) {
         let queue = std::mem::take(&mut self.unplaced_production);
         if queue.is_empty() {
@@ -100,7 +100,7 @@
         let Some(team) = job.team else { return };
         let more = job.task_resources.quota().saturating_mul(tasks);
         let mut shortfall = self.quotas.shortfall(team, more);
-        let being_evicted = being_evicted.of(team);
+        let being_evicted = being_evicted.get_mut(team);
         let covered = shortfall.min(*being_evicted);
         shortfall -= covered;
         *being_evicted -= covered;
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -8,11 +8,11 @@
 use crate::time::{duration_from_secs, millis_from_secs, Timestamp};
 use std::time::Duration;
 
-/// A job whose first task has waited for this long is overdue. This is 40 % of the 240 s within which even the largest jobs
-/// must begin (PROTOCOL, additions).
+/// A job whose first task has waited for this long is overdue and comes first among its equals, see [`Urgency`]. This is 40 %
+/// of the 240 s within which even the largest jobs must begin (PROTOCOL, additions).
 const FIRST_TASK_WAIT_LIMIT: Duration = Duration::from_secs(96);
 /// A job that is unfinished after this many times its deadline is overdue.
-const VERY_LATE_FACTOR: u32 = 3;
+const OVERDUE_DEADLINE_FACTOR: u32 = 3;
 
 /// Sort key of a job in the queue; the smallest is served first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -51,7 +51,7 @@
             let amount = job.task_resources.quota().saturating_mul(job.unfinished());
             job.within_guarantee = job.team.is_some_and(|team| {
                 let guarantee = self.quotas.guarantee(team);
-                let requested = requested.of(team);
+                let requested = requested.get_mut(team);
                 *requested = requested.saturating_add(amount);
                 !job.cancelled
                     && requested.cpu_milli <= guarantee.cpu_milli
@@ -90,7 +90,7 @@
             return Urgency::Overdue { submitted_at };
         }
         match self.deadline(job) {
-            Some(deadline) if age > deadline.saturating_mul(VERY_LATE_FACTOR) => {
+            Some(deadline) if age > deadline.saturating_mul(OVERDUE_DEADLINE_FACTOR) => {
                 Urgency::Overdue { submitted_at }
             }
             Some(deadline) if age > deadline => Urgency::Late { submitted_at },
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -115,8 +115,8 @@
 }
 
 impl AmountByTeam {
-    /// Returns the amount of a team, to be read or changed.
-    pub(super) fn of(&mut self, team: TeamIndex) -> &mut QuotaResources {
+    /// Returns a mutable reference to the amount of a team.
+    pub(super) fn get_mut(&mut self, team: TeamIndex) -> &mut QuotaResources {
         &mut self.0[team.0]
     }
 }
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -19,7 +19,7 @@
     pub(super) machines: Vec<MachineIndex>,
     /// Mean capability of the measured machines; 1 if none is measured.
     pub(super) mean_capability: ByClass<f64>,
-    /// Slots on full image holders for which tasks placed earlier in the pass wait.
+    /// Number of slots on each full image holder for which tasks of jobs earlier in the pass wait.
     pub(super) awaited_slots: HashMap<MachineIndex, u32>,
     unplaceable: UnplaceableRequests,
 }
@@ -202,7 +202,7 @@
             run_s: job.expected_run_s(),
             transfer_s: job.spec().image_gb / fetch_gb_per_s,
             group_factor: self.params.group_factor,
-            transfer_test: self.params.transfer_test && !self.has_waited_long(job),
+            transfer_test: self.params.transfer_test && !self.exceeds_holder_wait_limit(job),
         }
     }
 
@@ -222,7 +222,7 @@
                 if self.job(index).zone_allowance(zone) == 0 {
                     break;
                 }
-                let Some(number) = self.job_mut(index).take_pending() else {
+                let Some(number) = self.job_mut(index).take_next_pending() else {
                     return;
                 };
                 self.attempts += u64::from(!is_gang);
