--- a/src/scheduler/index.rs
+++ b/src/scheduler/index.rs
@@ -49,7 +49,7 @@
 }
 
 impl MachineTypeIndex {
-    /// Index of every type that the cloud's catalogue does not list.
+    /// Index shared by all types that the cloud's catalogue does not list.
     pub(super) const UNKNOWN: MachineTypeIndex = MachineTypeIndex(usize::MAX);
 }
 
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -34,7 +34,8 @@
 
 impl Scheduler {
     /// Adds a job unless it is present. `results` holds the stored chunks of its finished tasks, and `unix_millis` is the
-    /// current Unix time, from which the job's age follows. Of a `cancelled` job, present or not, the tasks are only stopped.
+    /// current Unix time, from which the job's age follows. If it is `cancelled`, its tasks are only stopped; this also applies
+    /// to a job that is present already.
     pub fn add_job(
         &mut self,
         record: JobRecord,
@@ -94,7 +95,8 @@
             })
     }
 
-    /// Stops the tasks of a job that was cancelled or is complete. Each counts for its team and zone until it is proven gone.
+    /// Stops the tasks of a job that is no longer unfinished: it was cancelled or made final. Each counts for its team and
+    /// zone until it is proven gone.
     pub fn stop_job(&mut self, id: &str) {
         if let Some(index) = self.jobs.index_of(id) {
             self.cancel(index);
--- a/src/scheduler/utilization.rs
+++ b/src/scheduler/utilization.rs
@@ -39,7 +39,7 @@
         (demanded, held)
     }
 
-    /// Returns the free CPUs, in thousandths, of ordinary (not spot) machines that are booting, by zone.
+    /// Returns the free CPUs, in thousandths, of on-demand machines that are booting, by zone.
     #[must_use]
     pub fn booting_cpus(&self) -> HashMap<ZoneIndex, u64> {
         let mut by_zone = HashMap::new();
@@ -79,7 +79,7 @@
         self.machine_mut(index).eviction.set_surplus(true);
     }
 
-    /// Lets draining surplus machines accept tasks again, except those with an eviction notice.
+    /// Lets draining surplus machines accept tasks again, except those with a termination notice.
     pub fn restore_surplus_machines(&mut self) {
         let usable =
             |machine: &Machine| machine.drains_as_surplus() && !machine.eviction.has_notice();
