--- a/src/scheduler/heartbeat/commands.rs
+++ b/src/scheduler/heartbeat/commands.rs
@@ -9,8 +9,8 @@
 const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
 impl Scheduler {
-    /// Adds the starts of a machine to a reply. The machine has no more pending commands then, unless the reply is full or
-    /// direct commands are in flight, after which more may follow.
+    /// Adds the starts of a machine to a reply, and removes the machine from those with pending commands unless the reply is
+    /// full or direct commands are in flight, after which more may follow.
     pub(super) fn add_starts_to_reply(&mut self, index: MachineIndex, commands: &mut Vec<Command>) {
         self.collect_starts(index, Route::HeartbeatReply, commands);
         let is_complete = commands.len() < MAX_COMMANDS_PER_MESSAGE;
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -9,7 +9,8 @@
 
 /// Backoff of a job after a worker has refused a start because it does not know the job or task.
 const UNKNOWN_TASK_BACKOFF: Duration = Duration::from_secs(2);
-/// Number of machines on which an unproven job must have failed before its failures no longer count against machines.
+/// Number of machines on which a job that is not known to work must have failed before its failures no longer count against
+/// machines.
 const MIN_MACHINES_TO_DISCARD_FAILURES: usize = 2;
 
 impl Scheduler {
--- a/src/scheduler/heartbeat/sequence.rs
+++ b/src/scheduler/heartbeat/sequence.rs
@@ -4,7 +4,7 @@
 /// session. The default precedes all heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(in crate::scheduler) struct HeartbeatSequence {
-    /// Session (incarnation) of the worker, increasing from 1; 0 before the first heartbeat.
+    /// Session of the worker, increasing from 1; 0 before the first heartbeat.
     pub(in crate::scheduler) session: u64,
     /// Number of the heartbeat within the session.
     pub(in crate::scheduler) number: u64,
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -1,4 +1,4 @@
-//! Lease, session (worker incarnation) and fencing token of a machine, as updated by its heartbeats.
+//! Lease, worker session and fencing token of a machine, as updated by its heartbeats.
 
 use super::{Heartbeat, HeartbeatSource};
 use crate::protocol::Command;
