--- a/src/scheduler/machines/contact.rs
+++ b/src/scheduler/machines/contact.rs
@@ -15,7 +15,8 @@
     /// Whether the machine should send heartbeats: it has sent one, may hold tasks, or is listed as running.
     heartbeat_expected: bool,
     /// When the last heartbeat under the current token arrived, or since when heartbeats are expected. Heartbeats under an
-    /// older token do not count: they may come from a machine that can send to us but receives none of our messages.
+    /// older token do not count: they may come from a machine that can send to this leader but receives none of its
+    /// messages.
     acknowledged_at: Timestamp,
     /// When the last heartbeat under any token arrived.
     last_heartbeat_at: Option<Timestamp>,
--- a/src/scheduler/machines/direct_commands.rs
+++ b/src/scheduler/machines/direct_commands.rs
@@ -116,19 +116,19 @@
     #[must_use]
     pub fn is_still_valid(&self, direct: &DirectCommands) -> bool {
         direct.commands.iter().all(|command| match command {
-            Command::Start { task, attempt } => self.is_attempt_current(task, *attempt),
+            Command::Start { task, attempt } => self.should_run(task, *attempt),
             _ => true,
         })
     }
 
     /// Reports whether this attempt of a task is the active one and is not being stopped.
-    fn is_attempt_current(&self, task: &str, attempt: u64) -> bool {
+    fn should_run(&self, task: &str, attempt: u64) -> bool {
         self.find_task(task)
             .and_then(|task| self.attempt(task))
             .is_some_and(|active| active.attempt == attempt && !active.is_stopping())
     }
 
-    /// Returns the names of up to `limit` machines to be released. Machines that block most work come first, because one
+    /// Returns the names of up to `limit` machines to be released. Machines that block the most work come first, because one
     /// release call takes only some of the machines when many fail together.
     #[must_use]
     pub fn machines_to_release(&self, limit: usize) -> Vec<String> {
--- a/src/scheduler/machines/lease.rs
+++ b/src/scheduler/machines/lease.rs
@@ -72,8 +72,8 @@
         now > began_at + lease + lease / DRIFT_DIVISOR + LEASE_MARGIN
     }
 
-    /// Reports whether more than half of the lease has passed, after which the machine should get no more work: a machine
-    /// that only direct commands reach is about to lose its tasks.
+    /// Reports whether more than half of the lease has passed since it was last renewed. The machine should then get no more
+    /// work: if only direct commands reach it, which renew no lease, it is about to lose its tasks.
     pub(in crate::scheduler) fn is_half_over(&self, lease: Duration, now: Timestamp) -> bool {
         now > self.renewed_at + lease / 2
     }
--- a/src/scheduler/machines/machine.rs
+++ b/src/scheduler/machines/machine.rs
@@ -25,7 +25,7 @@
     Waiting,
     /// Accepts new tasks.
     Up,
-    /// Accepts no new tasks; present tasks finish or are stopped.
+    /// Accepts no new tasks; its current tasks finish or are stopped.
     Draining,
     /// To be released. This is final: the cloud may execute a release call late, so no task may be started there any more.
     Releasing,
--- a/src/scheduler/machines/registry.rs
+++ b/src/scheduler/machines/registry.rs
@@ -84,18 +84,18 @@
 }
 
 /// Panic message for the index of a machine that was removed.
-const PRESENT: &str = "indices of machines are only kept while the machine is present";
+const MACHINE_IS_PRESENT: &str = "indices of machines are only kept while the machine is present";
 
 impl Index<MachineIndex> for MachineRegistry {
     type Output = Machine;
 
     fn index(&self, index: MachineIndex) -> &Machine {
-        self.machines[index].as_ref().expect(PRESENT)
+        self.machines[index].as_ref().expect(MACHINE_IS_PRESENT)
     }
 }
 
 impl IndexMut<MachineIndex> for MachineRegistry {
     fn index_mut(&mut self, index: MachineIndex) -> &mut Machine {
-        self.machines[index].as_mut().expect(PRESENT)
+        self.machines[index].as_mut().expect(MACHINE_IS_PRESENT)
     }
 }
--- a/src/scheduler/machines/zone_health.rs
+++ b/src/scheduler/machines/zone_health.rs
@@ -18,12 +18,12 @@
 
 impl OverdueMachines {
     /// Reports whether most machines are overdue. False for fewer than [`MIN_MACHINES`] machines.
-    fn is_majority(self) -> bool {
+    fn most_are_overdue(self) -> bool {
         self.total >= MIN_MACHINES && self.overdue * 2 > self.total
     }
 
     /// Reports whether all machines are overdue. False for fewer than [`MIN_MACHINES`] machines.
-    fn is_all(self) -> bool {
+    fn all_are_overdue(self) -> bool {
         self.total >= MIN_MACHINES && self.overdue == self.total
     }
 }
@@ -51,7 +51,7 @@
 ) -> HashSet<ZoneIndex> {
     overdue_by_zone(expected, timeout, now)
         .into_iter()
-        .filter(|(_, machines)| machines.is_all())
+        .filter(|(_, machines)| machines.all_are_overdue())
         .map(|(zone, _)| zone)
         .collect()
 }
@@ -71,7 +71,7 @@
         now: Timestamp,
     ) {
         for (zone, machines) in overdue_by_zone(expected, timeout, now) {
-            if machines.is_majority() {
+            if machines.most_are_overdue() {
                 self.last_outage.insert(zone, now);
             }
         }
