--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -141,7 +141,7 @@
         self.peak_in_progress = self.in_progress;
     }
 
-    /// Returns the present limit on the number of requests in progress.
+    /// Returns the current limit on the number of requests in progress.
     #[must_use]
     pub fn limit(&self) -> usize {
         round_down(self.limit)
--- a/src/admission/write_admission.rs
+++ b/src/admission/write_admission.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sets the maximum rate, and lowers the present rate to it if it is higher.
+    /// Sets the maximum rate, and lowers the current rate to it if it is higher.
     pub fn set_max_rate(&mut self, max_rate_per_s: f64) {
         self.max_rate_per_s = max_rate_per_s;
         self.rate_per_s = self.rate_per_s.min(max_rate_per_s);
--- a/src/api/workers.rs
+++ b/src/api/workers.rs
@@ -7,7 +7,7 @@
 use actix_web::{web, HttpResponse};
 use std::time::Instant;
 
-/// `POST /hello`: handles a heartbeat. The response carries commands and renews the worker's lease.
+/// `POST /hello`: handles a heartbeat. The reply carries commands and renews the worker's lease.
 pub(super) async fn heartbeat(state: web::Data<ApiState>, body: web::Bytes) -> HttpResponse {
     let status = match decode::<WorkerStatus>(&body) {
         Ok(status) => status,
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -69,12 +69,12 @@
             accelerator_milli,
             memory_mb,
         } = self;
-        let count = fitting_amounts(available.cpu_milli, cpu_milli)
-            .min(fitting_amounts(
+        let count = times_fitting(available.cpu_milli, cpu_milli)
+            .min(times_fitting(
                 available.accelerator_milli,
                 accelerator_milli,
             ))
-            .min(fitting_amounts(available.memory_mb, memory_mb));
+            .min(times_fitting(available.memory_mb, memory_mb));
         saturating_u32(count)
     }
 
@@ -187,7 +187,7 @@
     /// Returns how many times these resources fit into `available`. A resource whose amount is 0 does not limit the count.
     #[must_use]
     pub fn count_fitting(self, available: QuotaResources) -> u32 {
-        let count = fitting_amounts(available.cpu_milli, self.cpu_milli).min(fitting_amounts(
+        let count = times_fitting(available.cpu_milli, self.cpu_milli).min(times_fitting(
             available.accelerator_milli,
             self.accelerator_milli,
         ));
@@ -246,7 +246,7 @@
 }
 
 /// Returns how many times `amount` of a resource fits into `available`. An amount of 0 fits without limit.
-fn fitting_amounts(available: u64, amount: u64) -> u64 {
+fn times_fitting(available: u64, amount: u64) -> u64 {
     available.checked_div(amount).unwrap_or(u64::MAX)
 }
 
