--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -4,7 +4,7 @@
 //! and returns rental requests. The controller sends these requests to the cloud, and releases the machines that are marked for
 //! release in the scheduler.
 //!
-//! [`Autoscaler::decide`] combines the parts: `scale_in` cordons machines and marks them for release, `scale_out` plans rentals
+//! [`Autoscaler::decide`] combines the parts: `scale_in` drains machines and marks them for release, `scale_out` plans rentals
 //! for unmet demand and for the headroom that `headroom` forecasts, and `offers` avoids offers that the cloud has refused or
 //! whose machines do not come up.
 
@@ -84,7 +84,7 @@
         let boot_time_s = shortest_boot_time_s(scheduler);
         let window = policy.idle_limit + duration_from_secs(boot_time_s);
         let horizon = forecast_horizon(boot_time_s);
-        self.cordon_surplus(scheduler, &demands, window, horizon, now);
+        self.drain_surplus(scheduler, &demands, window, horizon, now);
         self.release_unneeded(scheduler, policy.idle_limit, horizon, now);
         let mut requests = self.requests_for_demand(scheduler, &demands, now);
         requests.extend(self.requests_for_headroom(scheduler, horizon, now));
@@ -113,9 +113,9 @@
     }
 
     /// Records the current demand. If any demand is unmet, takes surplus machines back into use. Otherwise moves a replica off a
-    /// surplus machine, and cordons at most one further machine: the one with the most expensive unused capacity among those
-    /// without which the others cover the peak of the window.
-    fn cordon_surplus(
+    /// surplus machine, and starts to drain at most one further machine: the one with the most expensive unused capacity among
+    /// those without which the others cover the peak of the window.
+    fn drain_surplus(
         &mut self,
         scheduler: &mut Scheduler,
         demands: &[UnmetDemand],
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -107,7 +107,8 @@
     hourly_price(machine_type, machine.offer.spot) * (1.0 - used)
 }
 
-/// An offer whose machines do not come up, see [`Scheduler::abandon_boot`].
+/// An offer whose machines may not come up: the boot of one has timed out, and no machine of the offer that was rented at the
+/// same time or later has come up, see [`Scheduler::abandon_boot`].
 pub(super) struct DoubtfulOffer {
     pub(super) offer: Offer,
     /// Time for which to avoid the offer.
