--- a/src/coordination/leadership/tests.rs
+++ b/src/coordination/leadership/tests.rs
@@ -44,7 +44,7 @@
         requested_at: at(2500),
     });
     assert_eq!(leadership.authority(at(4300)), Authority::Full);
-    // A late answer to an older renewal neither shortens nor extends the authority.
+    // A late response to an older renewal neither shortens nor extends the authority.
     leadership.apply(LeadershipEvent::LeaseRenewed {
         requested_at: at(1500),
     });
@@ -104,7 +104,7 @@
     leadership.apply(LeadershipEvent::LeaseRenewed {
         requested_at: at(9000),
     });
-    // Out-of-order answers: the read that was sent last returns the lower revision.
+    // Out-of-order responses: the read that was sent last returns the lower revision.
     read(&mut leadership, 8000, 20);
     read(&mut leadership, 9000, 15);
     leadership.apply(LeadershipEvent::ReplicaAdvanced {
--- a/src/coordination/peers/tests.rs
+++ b/src/coordination/peers/tests.rs
@@ -72,7 +72,7 @@
     assert!(!health.is_isolated(at(31_000)));
     // No contact while the process runs: it is isolated.
     assert!(health.is_isolated(at(31_000) + ISOLATED_AFTER));
-    // A pause longer than the time without contact moves the last contact to the present, not into the future.
+    // A pause longer than the time without contact moves the last contact to the current time, not into the future.
     health.exclude_pause(Duration::from_millis(1 << 40), at(32_000));
     assert!(health.is_isolated(at(32_001) + ISOLATED_AFTER));
 }
