--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -19,7 +19,7 @@
 const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum number of keys on a page.
 const PAGE_SIZE: usize = 200;
-/// Maximum size of a response in bytes. A page of keys takes at most 512 KiB. Only the answer to a watch has no bound: if it
+/// Maximum size of a response in bytes. A page of keys takes at most 512 KiB. Only the response to a watch has no bound: if it
 /// exceeds this limit, the keys are read page by page instead, which takes less memory.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! Access to the state service: keys, records, compare-and-swap transactions, a replica that a watch keeps up to date, and the
-//! client.
+//! Access to the state service, which other modules call the store: keys, records, compare-and-swap transactions, a replica that
+//! a watch keeps up to date, and the client.
 //!
 //! No other module knows the names of keys and of stored fields. This module contains no decisions: the controller decides
 //! what is written and when, and the scheduler, which belongs to a higher layer, decides where tasks run.
--- a/src/store/recent_map.rs
+++ b/src/store/recent_map.rs
@@ -1,4 +1,4 @@
-//! A map of bounded size, used to cache answers to users.
+//! A map of bounded size, used to cache the final states of jobs and which jobs do not exist.
 
 use std::collections::{HashMap, VecDeque};
 
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// The number of an epoch, the period in which one controller process leads. It increases by one with every claim of leadership.
+/// The number of an epoch, the period in which one controller process leads. It increases by one with every successful claim of
+/// leadership.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -105,7 +106,7 @@
     pub spot: bool,
     /// Number of machines requested.
     pub count: u32,
-    /// Names of the machines, or `None` while the cloud's answer is unknown.
+    /// Names of the machines, or `None` while the outcome of the request is unknown.
     pub machines: Option<Vec<String>>,
 }
 
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -219,7 +219,7 @@
     }
 
     /// Removes a rental request. Unlike other records it is removed by a deletion of the same version: the transaction that
-    /// records an answer without machines deletes the key, and its revision was passed to `put_rental`.
+    /// records that no machines were rented deletes the key, and its revision was passed to `put_rental`.
     fn remove_rental(&mut self, request: &str, removed_at: Revision) {
         let known = self.rentals.get(request);
         if known.is_some_and(|known| known.version <= removed_at) {
--- a/src/store/tests/client.rs
+++ b/src/store/tests/client.rs
@@ -3,7 +3,7 @@
 use crate::store::{Revision, StoreClient, StoreError};
 use std::time::Duration;
 
-/// The answer to a watch can have any size. One above the limit must be reported as too large and not as missing, so that the
+/// The response to a watch can have any size. One above the limit must be reported as too large and not as missing, so that the
 /// controller reads the keys page by page instead of repeating the watch.
 #[test]
 fn a_response_above_the_size_limit_is_reported_as_too_large() {
--- a/src/store/tests/replica.rs
+++ b/src/store/tests/replica.rs
@@ -68,7 +68,7 @@
     assert!(replica.is_absent("wk-1") && replica.is_absent("wk-2") && !replica.is_absent("wk-9"));
     replica.apply(Revision::new(4), &[live("wk-1", 4)]);
     assert!(!replica.is_absent("wk-1"));
-    // The answer that the job is absent arrives after the watch has added the job.
+    // The result of the read, that the job is absent, arrives after the watch has added the job.
     replica.remember_absent("wk-1", 0);
     assert!(!replica.is_absent("wk-1"));
     replica.apply(Revision::new(6), &[removed(live_key("wk-1"), 6)]);
@@ -128,7 +128,8 @@
     assert_eq!(replica.rentals["r-1"].version, Revision::new(6));
     replica.apply(Revision::new(7), &[removed(rental_key("r-1"), 7)]);
     assert!(replica.rentals.is_empty());
-    // For an answer without machines, the transaction deletes the key. The deletion has the version of the answer.
+    // If no machines were rented, the transaction that records the outcome deletes the key. The deletion has the revision of
+    // that transaction.
     replica.put_rental(
         "r-2",
         RentalRecord {
--- a/src/store/tests/transactions.rs
+++ b/src/store/tests/transactions.rs
@@ -127,7 +127,7 @@
         service.run(&rental_txn(&epoch, "a-1-1", Revision::ZERO, &rental))
             && !service.run(&rental_txn(&epoch, "a-1-1", Revision::ZERO, &rental))
     );
-    // An unanswered request stays stored, to be repeated under the same name. An answer without machines deletes it.
+    // An unanswered request stays stored, to be repeated under the same name. It is deleted if no machines were rented.
     let version = service.revision;
     let answered = RentalRecord {
         machines: Some(Vec::new()),
