--- a/src/controller/cancellation_broadcast_loop.rs
+++ b/src/controller/cancellation_broadcast_loop.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sends a peer the cancellations that it does not know of, without waiting for the answer.
+    /// Sends a peer the cancellations that it does not know of, without waiting for the response.
     fn notify_peer(&self, peer: &Peer) {
         let Some((message, last)) =
             self.read_state(|state| state.cancellation_message_for(&peer.node))
@@ -35,9 +35,9 @@
         };
         let (handles, node, address) = (self.clone(), peer.node.clone(), peer.peer_addr);
         actix::spawn(async move {
-            let answer = peers::send_cancellations(&handles.http, address, &message).await;
-            // Without an answer, the notices are resent by a later iteration of the loop.
-            if let Some(replica_revision) = answer {
+            let response = peers::send_cancellations(&handles.http, address, &message).await;
+            // Without a response, the notices are resent by a later iteration of the loop.
+            if let Some(replica_revision) = response {
                 handles.update_state(|state| {
                     state.record_acknowledgement(&node, last, replica_revision);
                 });
--- a/src/controller/election_loop.rs
+++ b/src/controller/election_loop.rs
@@ -12,7 +12,7 @@
 
 /// Maximum time between two renewals of the leader lease, or between two checks for vacant leadership.
 const MAX_ELECTION_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum time to wait for the answer to a renewal.
+/// Maximum time to wait for the response to a renewal.
 const MAX_RENEWAL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Range of the random delay before a campaign, in milliseconds, which makes simultaneous campaigns rare.
 const CAMPAIGN_JITTER_MS: Range<u64> = 0..60;
@@ -49,7 +49,7 @@
         // Authority requires both the renewed leader lease and a replica that has caught up with a read sent now.
         self.read_requested.notify_one();
         let limit = (lease_ttl / 2).min(MAX_RENEWAL_TIMEOUT);
-        let renewed = self.record_store_answer(self.store.renew(term.lease, limit).await);
+        let renewed = self.record_store_response(self.store.renew(term.lease, limit).await);
         let step_down =
             self.update_state(|state| state.handle_lease_renewal(requested_at, renewed));
         if let Some(reason) = step_down {
@@ -62,7 +62,7 @@
             state.apply_leadership_event(LeadershipEvent::CampaignStarted);
             state.now()
         });
-        let lease = self.record_store_answer(self.store.open_lease(lease_ttl).await);
+        let lease = self.record_store_response(self.store.open_lease(lease_ttl).await);
         let term = match lease {
             Ok(lease) => self.claim_leadership(lease).await,
             Err(_) => None,
@@ -134,7 +134,7 @@
     async fn commit_claim(&self, claim: &EpochClaim) -> Option<Revision> {
         match self.leader_transaction(&claim.txn).await {
             Ok(TxnOutcome::Applied(revision)) => Some(revision),
-            // The transaction may have been applied although no answer arrived: read the outcome from the store.
+            // The transaction may have been applied although no response arrived: read the outcome from the store.
             Err(StoreError::OutcomeUnknown(_)) => self.read_claimed_epoch(&claim.record).await,
             _ => None,
         }
@@ -143,9 +143,9 @@
     /// Reads back a claim. Returns the version of the epoch key if the store holds the claimed epoch and its leader.
     async fn read_claimed_epoch(&self, claimed: &EpochRecord) -> Option<Revision> {
         let epoch = self.store.get::<EpochRecord>(&store::epoch_key()).await;
-        let epoch = self.record_store_answer(epoch);
+        let epoch = self.record_store_response(epoch);
         let leader = self.store.get::<LeaderRecord>(&store::leader_key()).await;
-        let leader = self.record_store_answer(leader);
+        let leader = self.record_store_response(leader);
         let (Ok(epoch), Ok(leader)) = (epoch, leader) else {
             return None;
         };
--- a/src/controller/peer_view_loop.rs
+++ b/src/controller/peer_view_loop.rs
@@ -27,9 +27,9 @@
 
     async fn exchange_views(self, peer: SocketAddr, own: View) {
         let sent_at = Instant::now();
-        let answer = peers::exchange_views(&self.http, peer, &own).await;
+        let response = peers::exchange_views(&self.http, peer, &own).await;
         let refused = sent_at.elapsed() < MAX_REFUSAL_LATENCY;
-        self.update_state(|state| match answer {
+        self.update_state(|state| match response {
             Some(view) => state.receive_view(view),
             None if refused => state.record_peer_refusal(),
             None => {}
--- a/src/controller/read_barrier_loop.rs
+++ b/src/controller/read_barrier_loop.rs
@@ -34,9 +34,9 @@
     }
 
     async fn send_read_barrier(self, barrier: ReadBarrier) {
-        let answer = self.store.barrier(&barrier.txn).await;
+        let response = self.store.barrier(&barrier.txn).await;
         // A failed barrier drops its batch here, which makes the reads fail.
-        let Ok(revision) = self.record_store_answer(answer) else {
+        let Ok(revision) = self.record_store_response(response) else {
             return;
         };
         self.update_state(|state| {
--- a/src/controller/scheduling_loop.rs
+++ b/src/controller/scheduling_loop.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends direct commands to a worker. Returns the status that the worker answers with.
+    /// Sends direct commands to a worker. Returns the status in the response of the worker.
     pub(super) async fn send_directly(
         &self,
         message: &DirectCommands,
@@ -57,19 +57,19 @@
         worker::send_commands(&self.http, worker, &message.request()).await
     }
 
-    /// Spawns the sending of a message to a worker and the handling of the answer, so that the loop does not wait for it.
+    /// Spawns the sending of a message to a worker and the handling of the response, so that the loop does not wait for it.
     fn spawn_send(&self, message: DirectCommands, in_flight: Rc<Cell<usize>>) {
         let handles = self.clone();
         let term = self.read_state(ControllerState::term);
         in_flight.set(in_flight.get() + 1);
         actix::spawn(async move {
             let authorized = || handles.read_state(|state| state.may_send_direct(term, &message));
-            let answer = while_authorized(authorized, handles.send_directly(&message))
+            let response = while_authorized(authorized, handles.send_directly(&message))
                 .await
                 .and_then(Result::ok);
             in_flight.set(in_flight.get() - 1);
             handles.update_state(|state| {
-                state.handle_direct_response(term, &message, answer.as_ref());
+                state.handle_direct_response(term, &message, response.as_ref());
             });
             handles.round_requested.notify_one();
         });
--- a/src/controller/start_log_loop.rs
+++ b/src/controller/start_log_loop.rs
@@ -1,7 +1,7 @@
 //! Appends assignments to the start log.
 
 use super::handles::Handles;
-use super::state::{ControllerState, StartLogWrite};
+use super::state::{ControllerState, PreparedStartLogWrite};
 use crate::store::{self, StoreError, TxnOutcome, Versioned};
 use crate::time::duration_from_millis;
 
@@ -17,7 +17,7 @@
             let Some(write) = self.update_state(ControllerState::next_start_log_write) else {
                 continue;
             };
-            let StartLogWrite {
+            let PreparedStartLogWrite {
                 slot_write,
                 term,
                 txn,
@@ -40,7 +40,7 @@
     /// Reads a slot of the start log. Returns `None` if the slot is empty or the read fails.
     async fn read_start_log_slot(&self, slot: u32) -> Option<Versioned<String>> {
         let key = store::start_log_key(slot);
-        self.record_store_answer(self.store.get::<String>(&key).await)
+        self.record_store_response(self.store.get::<String>(&key).await)
             .ok()
     }
 }
--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -35,7 +35,7 @@
 pub(super) use replica_changes::LeaderKeyChange;
 pub(super) use round_timing::MIN_ROUND_INTERVAL;
 pub(super) use scheduling_round::{RoundOutcome, SendLimits, StepDownReason};
-pub(super) use start_log::StartLogWrite;
+pub(super) use start_log::PreparedStartLogWrite;
 
 use self::leader_report::LeaderReport;
 use self::leadership_status::LeadershipStatus;
@@ -115,7 +115,7 @@
         &self.settings
     }
 
-    /// Returns the time of the steady clock.
+    /// Returns the time of the monotonic clock.
     pub(super) fn now(&self) -> Timestamp {
         self.clock.now()
     }
@@ -159,12 +159,12 @@
         Some(scheduler)
     }
 
-    /// Records that the store has answered a request.
-    pub(super) fn record_store_answer(&mut self) {
-        self.store_contact.record_answer(self.clock.now());
+    /// Records that the store has responded to a request.
+    pub(super) fn record_store_response(&mut self) {
+        self.store_contact.record_response(self.clock.now());
     }
 
-    /// Reports whether the store has answered recently.
+    /// Reports whether the store has responded recently.
     pub(super) fn is_store_reachable(&self) -> bool {
         self.store_contact.is_reachable(self.now())
     }
--- a/src/controller/state/scheduling_round.rs
+++ b/src/controller/state/scheduling_round.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Lets the scheduler retry what it could not place. Returns the reason to step down, if there is one.
+    /// Runs a review, if one is due: lets the scheduler retry the tasks that it could not place, and checks whether this leader
+    /// should step down. Returns the reason to step down, if there is one.
     fn review(&mut self, now: Timestamp) -> Option<StepDownReason> {
         let has_peers = !self.settings.platform.peers.is_empty();
         let scheduler = self.scheduler.as_mut()?;
@@ -166,13 +167,13 @@
         &mut self,
         term: Option<Term>,
         message: &DirectCommands,
-        answer: Option<&WorkerStatus>,
+        response: Option<&WorkerStatus>,
     ) {
         if term.is_none() || self.term() != term {
             return;
         }
         if let Some(scheduler) = self.scheduler_at_now() {
-            scheduler.handle_direct_response(message, answer);
+            scheduler.handle_direct_response(message, response);
         }
     }
 
@@ -189,7 +190,7 @@
             pause_ms = pause.as_millis(),
             "process was paused; store and peer timeouts exclude the pause"
         );
-        self.store_contact.excuse_pause(pause, now);
+        self.store_contact.exclude_pause(pause, now);
         self.peer_health.exclude_pause(pause, now);
     }
 }
--- a/src/controller/state/start_log.rs
+++ b/src/controller/state/start_log.rs
@@ -16,7 +16,7 @@
 const VALUE_OVERHEAD_BYTES: usize = 64;
 
 /// A write of the start log.
-pub(in crate::controller) struct StartLogWrite {
+pub(in crate::controller) struct PreparedStartLogWrite {
     /// The slot and its new contents.
     pub(in crate::controller) slot_write: SlotWrite,
     /// The term in which the write was decided on.
@@ -27,7 +27,7 @@
 
 impl ControllerState {
     /// Returns the next write of the start log, if there are unwritten starts and this controller may start tasks.
-    pub(in crate::controller) fn next_start_log_write(&mut self) -> Option<StartLogWrite> {
+    pub(in crate::controller) fn next_start_log_write(&mut self) -> Option<PreparedStartLogWrite> {
         let term = self.term_with_full_authority()?;
         let limits = &self.settings.platform.deployment.state;
         // The store allows four guards for each change that a transaction may have. Two guards are used for the epoch and the
@@ -42,7 +42,7 @@
             .next_log_write(max_bytes, max_job_guards)?;
         let epoch = guard(store::epoch_key(), term.epoch_version);
         let txn = store::start_log_txn(&epoch, slot_write.start_log_write());
-        Some(StartLogWrite {
+        Some(PreparedStartLogWrite {
             slot_write,
             term,
             txn,
--- a/src/controller/state/store_contact.rs
+++ b/src/controller/state/store_contact.rs
@@ -3,28 +3,28 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How long the store counts as reachable after it has answered a request.
+/// How long the store counts as reachable after it has responded to a request.
 const REACHABILITY_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// The time at which the store last answered this controller.
+/// The time at which the store last responded to this controller.
 #[derive(Default)]
 pub(super) struct StoreContact {
-    answered_at: Timestamp,
+    responded_at: Timestamp,
 }
 
 impl StoreContact {
-    /// Records that the store has answered a request.
-    pub(super) fn record_answer(&mut self, now: Timestamp) {
-        self.answered_at = now;
+    /// Records that the store has responded to a request.
+    pub(super) fn record_response(&mut self, now: Timestamp) {
+        self.responded_at = now;
     }
 
-    /// Reports whether the store has answered recently.
+    /// Reports whether the store has responded recently.
     pub(super) fn is_reachable(&self, now: Timestamp) -> bool {
-        now < self.answered_at + REACHABILITY_TIMEOUT
+        now < self.responded_at + REACHABILITY_TIMEOUT
     }
 
-    /// Excludes a pause of the process from the time without an answer, since the store could not be heard during it.
-    pub(super) fn excuse_pause(&mut self, pause: Duration, now: Timestamp) {
-        self.answered_at = (self.answered_at + pause).min(now);
+    /// Excludes a pause of the process from the time without a response, since none could be received during it.
+    pub(super) fn exclude_pause(&mut self, pause: Duration, now: Timestamp) {
+        self.responded_at = (self.responded_at + pause).min(now);
     }
 }
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -14,8 +14,8 @@
 const RETRY_DELAY_MS: Range<u64> = 40..160;
 
 impl Handles {
-    /// Records that the store is reachable if the result is an answer of it, and returns the result unchanged.
-    pub(super) fn record_store_answer<T>(
+    /// Records that the store is reachable if the result shows that it has responded, and returns the result unchanged.
+    pub(super) fn record_store_response<T>(
         &self,
         result: Result<T, StoreError>,
     ) -> Result<T, StoreError> {
@@ -23,7 +23,7 @@
             result,
             Ok(_) | Err(StoreError::NotFound | StoreError::RateLimited)
         ) {
-            self.update_state(ControllerState::record_store_answer);
+            self.update_state(ControllerState::record_store_response);
         }
         result
     }
@@ -33,7 +33,7 @@
         let mut retries = 0;
         loop {
             self.update_state(|state| state.record_own_changes(txn.apply.len()));
-            let result = self.record_store_answer(self.store.txn(txn).await);
+            let result = self.record_store_response(self.store.txn(txn).await);
             if result != Err(StoreError::RateLimited) || retries == RETRY_LIMIT {
                 return result;
             }
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -4,7 +4,7 @@
 use crate::config::tests::settings;
 use crate::controller::clock::Clock;
 use crate::controller::state::{
-    ControllerState, EpochClaim, RoundOutcome, SendLimits, StartLogWrite,
+    ControllerState, EpochClaim, PreparedStartLogWrite, RoundOutcome, SendLimits,
 };
 use crate::controller::HeartbeatOutcome;
 use crate::coordination::leadership::{LeadershipEvent, Term};
@@ -184,7 +184,7 @@
     assert!(matches!(round, RoundOutcome::Send(messages) if messages.is_empty()));
     let mut revision = 400 + report.sequence;
     while let Some(write) = controller.next_start_log_write() {
-        let StartLogWrite {
+        let PreparedStartLogWrite {
             slot_write, term, ..
         } = write;
         revision += 1;
--- a/src/controller/user_requests/mod.rs
+++ b/src/controller/user_requests/mod.rs
@@ -35,7 +35,7 @@
     /// Reads the final state of a job from the store and remembers it; [`StoreError::NotFound`] if it has none.
     async fn read_final_state(&self, id: &str) -> Result<Versioned<FinalRecord>, StoreError> {
         let read = self.store.get::<FinalRecord>(&store::final_key(id)).await;
-        let found = self.record_store_answer(read)?;
+        let found = self.record_store_response(read)?;
         self.update_state(|state| state.record_final_state(id, &found));
         Ok(found)
     }
@@ -52,11 +52,11 @@
             .map_err(JobOutcome::RetryAfter)
     }
 
-    /// Runs a user's transaction, without retries, and adapts the rate limit of users' changes to the answer.
+    /// Runs a user's transaction, without retries, and adapts the rate limit of users' changes to the outcome.
     async fn run_user_transaction(&self, transaction: &Txn) -> Result<TxnOutcome, StoreError> {
-        let decided = self.record_store_answer(self.store.txn(transaction).await);
-        self.update_state(|state| state.record_user_transaction(&decided));
-        decided
+        let outcome = self.record_store_response(self.store.txn(transaction).await);
+        self.update_state(|state| state.record_user_transaction(&outcome));
+        outcome
     }
 }
 
--- a/src/controller/user_requests/submission.rs
+++ b/src/controller/user_requests/submission.rs
@@ -89,7 +89,7 @@
     /// Reads the store to find out whether an unanswered transaction has created the job.
     async fn read_back_submission(&self, id: &str) -> JobOutcome {
         let read = self.store.get::<JobRecord>(&store::live_key(id)).await;
-        match self.record_store_answer(read) {
+        match self.record_store_response(read) {
             Ok(_) => JobOutcome::Known(queued_view(id)),
             Err(_) => JobOutcome::RETRY_SOON,
         }
--- a/src/controller/watch_loop.rs
+++ b/src/controller/watch_loop.rs
@@ -12,7 +12,7 @@
 /// Time for which the store may hold a watch request while there are no changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time for which the replica may lag behind a read before the watch counts as stalled. It doubles each time the watch stalls
-/// again without an answer in between.
+/// again without a response in between.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay before the replica is loaded again after a failed attempt.
 const LOAD_RETRY_DELAY: Duration = Duration::from_millis(300);
@@ -36,7 +36,7 @@
     /// Replaces the replica with a full read of the store, retrying until that succeeds.
     async fn load_replica(&self) {
         loop {
-            if let Ok(fresh) = self.record_store_answer(self.store.load().await) {
+            if let Ok(fresh) = self.record_store_response(self.store.load().await) {
                 let revision = fresh.revision;
                 // A campaign is requested regardless of whether the leader key was deleted.
                 let _ = self.update_state(|state| state.replace_replica(fresh));
@@ -64,7 +64,7 @@
                     continue;
                 }
             };
-            match self.record_store_answer(watched) {
+            match self.record_store_response(watched) {
                 Ok(changes) => {
                     *stall_timeout = MIN_STALL_TIMEOUT;
                     self.apply_watched(&changes);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Applies the answer to a watch request and wakes the loops that depend on it.
+    /// Applies the response to a watch request and wakes the loops that depend on it.
     fn apply_watched(&self, changes: &Watched) {
         let leader_key =
             self.update_state(|state| state.apply_watch_events(changes.revision, &changes.events));
