--- a/src/controller/state/round_timing.rs
+++ b/src/controller/state/round_timing.rs
@@ -42,10 +42,10 @@
         now >= self.placement
     }
 
-    /// Sets the next placement deadline, counted from `now`, after a placement that took `took`.
+    /// Sets the next placement deadline after a placement that started at `now` and took `took`.
     ///
-    /// The wait of at least four times `took` limits the share of time that placement takes, however slow the machine is: to a
-    /// fifth if `now` is the end of the placement, to a quarter if it is the beginning.
+    /// The deadline is at least four times `took` after the start, so that placement takes at most a quarter of the time, however
+    /// slow the machine is.
     pub(super) fn placement_done(&mut self, now: Timestamp, took: Duration) {
         self.placement = now + 2 * MIN_ROUND_INTERVAL.max(2 * took);
     }
--- a/src/controller/state/round_timing/tests.rs
+++ b/src/controller/state/round_timing/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the detection of process pauses, and of the deadlines of placement and of searches for machines to probe.
+
 use super::*;
 
 const START: Timestamp = Timestamp::from_millis(10_000);
