--- a/src/controller/actor.rs
+++ b/src/controller/actor.rs
@@ -79,7 +79,7 @@
         let (response, needs_round) = self.handles.update_state(|state| {
             let response = HeartbeatResponse {
                 outcome: state.handle_heartbeat(&message.0),
-                valid_until: state.response_valid_until(),
+                valid_until: state.reply_valid_until(),
             };
             (response, state.needs_round())
         });
--- a/src/controller/cloud/machine_list.rs
+++ b/src/controller/cloud/machine_list.rs
@@ -49,7 +49,7 @@
             return;
         };
         self.wait_for_cloud_rate_limit().await;
-        // Without an answer the listing ends, and a new one starts after the interval.
+        // Without a response the listing ends, and a new one starts after the interval.
         if let Ok(page) = self.cloud.list_page(&after).await {
             listing.next_page = self.update_state(|state| state.reconcile_machine_page(page));
         }
--- a/src/controller/cloud/machine_types.rs
+++ b/src/controller/cloud/machine_types.rs
@@ -44,7 +44,7 @@
         }
         refresh.requested_at = Some(round.now);
         self.wait_for_cloud_rate_limit().await;
-        // Without an answer the known types remain, and the request is repeated after the interval.
+        // Without a response the known types remain, and the request is repeated after the interval.
         if let Ok(types) = self.cloud.machine_types().await {
             self.update_state(|state| state.set_machine_types(&types));
             self.store_machine_types(&types).await;
--- a/src/controller/cloud/rentals.rs
+++ b/src/controller/cloud/rentals.rs
@@ -1,4 +1,4 @@
-//! Rentals. Each request is stored under a unique name before the cloud is called. While its answer is unknown, any leader can
+//! Rentals. Each request is stored under a unique name before the cloud is called. While its outcome is unknown, any leader can
 //! repeat it under the same name, and the cloud executes it only once.
 
 use super::Handles;
@@ -31,7 +31,7 @@
 }
 
 impl Handles {
-    /// Repeats the rental requests whose answer is unknown. Returns the number of those that remain open.
+    /// Repeats the rental requests whose outcome is unknown. Returns the number of those that remain open.
     pub(super) async fn retry_open_rentals(&self) -> usize {
         let mut still_open = 0;
         for rental in self.read_state(ControllerState::open_rentals) {
--- a/src/controller/handles.rs
+++ b/src/controller/handles.rs
@@ -40,7 +40,7 @@
 const MAX_HTTP_CONNECTIONS: usize = 100;
 
 impl Handles {
-    /// Creates the handles of a controller that has not read the store yet, as a new incarnation of its node.
+    /// Creates the handles of a controller that has not read the store yet, with a new incarnation.
     pub(super) fn new(settings: Settings) -> Handles {
         let max_connections = settings.platform.deployment.machine_limits.max_connections;
         let connections = (max_connections / 8).clamp(MIN_HTTP_CONNECTIONS, MAX_HTTP_CONNECTIONS);
--- a/src/controller/messages.rs
+++ b/src/controller/messages.rs
@@ -11,12 +11,12 @@
 #[rtype(result = "JobOutcome")]
 pub struct Submit(pub JobSpec);
 
-/// A user's request for the state of the job with this ID.
+/// A user's request for the state of the job with this id.
 #[derive(Message)]
 #[rtype(result = "JobOutcome")]
 pub struct Poll(pub String);
 
-/// A user's request to cancel the job with this ID.
+/// A user's request to cancel the job with this id.
 #[derive(Message)]
 #[rtype(result = "JobOutcome")]
 pub struct Cancel(pub String);
@@ -48,7 +48,7 @@
     Accepted(JobView),
     /// The job exists and is in this state.
     Known(JobView),
-    /// No job with this ID was ever accepted.
+    /// No job with this id was ever accepted.
     NotFound,
     /// The job was not accepted, since it can never run.
     Rejected(JobRejection),
@@ -86,11 +86,11 @@
     NoLeader,
 }
 
-/// The outcome of a worker's heartbeat with its expiry.
+/// The outcome of a worker's heartbeat, and the time until which a reply may be sent.
 #[derive(Debug)]
 pub struct HeartbeatResponse {
-    /// The outcome to answer with.
+    /// The outcome of the heartbeat.
     pub outcome: HeartbeatOutcome,
-    /// When the authority under which it was decided ends; it must not be sent later.
+    /// When the authority under which the outcome was decided ends; a reply must not be sent later.
     pub valid_until: Option<Instant>,
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -4,7 +4,7 @@
 //! - `state` holds the state of a controller and makes its decisions, without I/O.
 //! - Each `*_loop` performs one kind of I/O: it asks the state what to do, waits for the network, and applies the outcome to
 //!   the state. The state is borrowed only inside closures, never across an `await`.
-//! - `cloud` makes the calls of the cloud, in a loop of its own.
+//! - `cloud` makes the calls to the cloud, in a loop of its own.
 
 mod actor;
 mod cancellation_broadcast_loop;
--- a/src/controller/state/adoption.rs
+++ b/src/controller/state/adoption.rs
@@ -48,7 +48,7 @@
     /// Nothing is added after the epoch in which the adoption began: the leader of a later epoch reads the machine from the
     /// store.
     pub(in crate::controller) fn finish_adoption(&mut self, record: &RentalRecord, term: Term) {
-        let same_epoch = |present: Term| present.epoch_version == term.epoch_version;
+        let same_epoch = |current: Term| current.epoch_version == term.epoch_version;
         if self.term().is_some_and(same_epoch) {
             self.add_machines(record, Origin::Adopted);
         }
--- a/src/controller/state/cancellations.rs
+++ b/src/controller/state/cancellations.rs
@@ -53,7 +53,7 @@
         id: &str,
         read: &Versioned<FinalRecord>,
     ) {
-        if read.record.cancelled && self.leader_may_not_know(read.version) {
+        if read.record.cancelled && self.leader_may_be_behind(read.version) {
             self.record_cancellation(CancelledJob {
                 job: id.to_string(),
                 tasks: read.record.tasks,
@@ -72,7 +72,7 @@
     pub(in crate::controller) fn receive_cancellations(&mut self, message: &Cancelled) -> Revision {
         let valid = |cancelled: &&CancelledJob| wire::is_job_id(&cancelled.job);
         for cancelled in message.jobs.iter().filter(valid) {
-            if self.leader_may_not_know(cancelled.revision) {
+            if self.leader_may_be_behind(cancelled.revision) {
                 self.record_cancellation(cancelled.clone());
             } else {
                 self.apply_cancellation(&cancelled.job, cancelled.tasks);
@@ -91,8 +91,9 @@
         self.cancellations.is_settled(self.replica_view(), notice)
     }
 
-    /// Reports whether the leader may not know of a cancellation that became durable at a revision.
-    fn leader_may_not_know(&self, revision: Revision) -> bool {
+    /// Reports whether, judging by the replicas alone, the leader may not know of a cancellation that became durable at a
+    /// revision.
+    fn leader_may_be_behind(&self, revision: Revision) -> bool {
         self.cancellations
             .leader_may_be_behind(self.replica_view(), revision)
     }
--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -123,7 +123,7 @@
     }
 
     /// Records that results were stored under an epoch's guard. Results that were stored in an earlier term are ignored, since
-    /// the present term has read them from the store.
+    /// the current term has read them from the store.
     pub(in crate::controller) fn record_stored_results(
         &mut self,
         epoch: &Guard,
--- a/src/controller/state/heartbeats.rs
+++ b/src/controller/state/heartbeats.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 impl ControllerState {
-    /// Handles a worker's heartbeat and returns the response to it.
+    /// Handles a worker's heartbeat and returns its outcome.
     pub(in crate::controller) fn handle_heartbeat(
         &mut self,
         report: &WorkerStatus,
@@ -62,8 +62,8 @@
             });
     }
 
-    /// Returns the time after which a response that is decided now must not be sent any more: the end of the current authority.
-    pub(in crate::controller) fn response_valid_until(&self) -> Option<Instant> {
+    /// Returns the time after which a reply that is decided now must not be sent any more: the end of the current authority.
+    pub(in crate::controller) fn reply_valid_until(&self) -> Option<Instant> {
         let now = self.now();
         let authority_ends = self.leadership().authority_ends(now);
         Instant::now().checked_add(authority_ends.saturating_duration_since(now))
--- a/src/controller/state/leader_report.rs
+++ b/src/controller/state/leader_report.rs
@@ -9,7 +9,7 @@
 /// How long a reported rate of store changes is valid.
 const CHANGE_RATE_TTL: Duration = Duration::from_secs(3);
 
-/// The rate of the leader's changes of the store.
+/// The rate of the leader's changes to the store.
 struct ChangeRate {
     per_second: f64,
     received_at: Timestamp,
--- a/src/controller/state/rentals.rs
+++ b/src/controller/state/rentals.rs
@@ -39,8 +39,8 @@
 
     /// Lets the autoscaler decide on rentals and returns. Returns the rentals; the returns are recorded in the scheduler.
     pub(in crate::controller) fn decide_scaling(&mut self) -> Vec<RentalRequest> {
-        // Earlier calls of the cloud may have taken seconds. Without this check, a leader that became isolated during them
-        // gave up machines that its successor was using.
+        // Earlier calls to the cloud may have taken seconds. Without this check, a leader that became isolated during them
+        // chose machines for release that its successor was using.
         if self.authority() != Authority::Full {
             return Vec::new();
         }
--- a/src/controller/state/request_limits.rs
+++ b/src/controller/state/request_limits.rs
@@ -19,13 +19,13 @@
 
 /// The request limits of one controller, and the rate of the changes that it makes as the leader.
 pub(super) struct RequestLimits {
-    /// Changes of the store by users.
+    /// Changes to the store by users.
     user_changes: WriteAdmission,
     /// Reads of the store on behalf of users: polls of jobs that the replica knows neither as unfinished nor as final or absent.
     user_reads: TokenBucket,
-    /// Calls of the cloud.
+    /// Calls to the cloud.
     cloud_calls: TokenBucket,
-    /// Changes of the store that this controller makes as the leader.
+    /// Changes to the store that this controller makes as the leader.
     own_changes: RateMeter,
 }
 
@@ -50,7 +50,7 @@
         self.user_reads.try_take(now)
     }
 
-    /// Admits a call of the cloud, or returns the time until one will be admitted.
+    /// Admits a call to the cloud, or returns the time until one will be admitted.
     pub(super) fn take_cloud_call(&mut self, now: Timestamp) -> Result<(), Duration> {
         self.cloud_calls.try_take(now)
     }
@@ -89,13 +89,13 @@
 }
 
 impl ControllerState {
-    /// Records changes of the store that this controller makes as the leader.
+    /// Records changes to the store that this controller makes as the leader.
     pub(in crate::controller) fn record_own_changes(&mut self, changes: usize) {
         self.request_limits
             .record_own_changes(changes, self.clock.now());
     }
 
-    /// Admits a call of the cloud, or returns the time until one will be admitted.
+    /// Admits a call to the cloud, or returns the time until one will be admitted.
     pub(in crate::controller) fn take_cloud_call(&mut self) -> Result<(), Duration> {
         self.request_limits.take_cloud_call(self.clock.now())
     }
@@ -105,7 +105,7 @@
         self.request_limits.take_user_read(self.clock.now())
     }
 
-    /// Admits changes of the store by a user, or returns the time after which to repeat the request.
+    /// Admits changes to the store by a user, or returns the time after which to repeat the request.
     pub(in crate::controller) fn take_user_changes(
         &mut self,
         changes: u32,
