--- a/src/controller/tests/random_schedules/mod.rs
+++ b/src/controller/tests/random_schedules/mod.rs
@@ -1,7 +1,8 @@
-//! Random schedules of faults, drawn from seeds: all rules are checked after each step, and in the end everything settles.
+//! Random schedules of faults, submissions and cancellations. The safety invariants are checked after each step, and in the
+//! end all jobs have to settle.
 //!
-//! The order of draws is part of what a seed means: it must not change, or the seeds named in documents and commits lose their
-//! meaning.
+//! A schedule is determined by its seed and by the order of the calls of the random number generator. If that order or the
+//! type of a random value changes, the seeds named in documents and commits no longer reproduce what they are named for.
 
 mod scheduled_fault;
 mod workload;
@@ -10,73 +11,75 @@
 use rand::Rng;
 use scheduled_fault::ScheduledFault;
 use std::time::Duration;
-use workload::{cancel_any_job, Workload};
+use workload::{cancel_random_job, Workload};
 
-/// Length of a schedule.
-const SCHEDULE: Duration = Duration::from_mins(2);
+/// Duration of a schedule.
+const SCHEDULE_DURATION: Duration = Duration::from_mins(2);
 
-/// Time between two rounds of draws.
-const ROUND: Duration = Duration::from_millis(500);
+/// Time between two rounds, in each of which a job may be submitted, a job cancelled, and a fault injected.
+const ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Number of seeds that are played unless `WORLD_SEEDS` names another.
-const SEEDS: u64 = 40;
+/// Number of seeds that are run unless `WORLD_SEEDS` sets another number.
+const DEFAULT_SEEDS: u64 = 40;
 
-/// Plays a random schedule of faults.
-fn play_faults(simulation: &mut Simulation) {
+/// Runs a random schedule. Faults that do not end by themselves may still be active when it ends.
+fn run_schedule(simulation: &mut Simulation) {
     let mut workload = Workload::default();
     for _ in 0..4 {
         workload.submit(simulation);
     }
-    let mut under_way: Vec<ScheduledFault> = Vec::new();
-    let end = simulation.now() + SCHEDULE;
+    let mut active_faults: Vec<ScheduledFault> = Vec::new();
+    let end = simulation.now() + SCHEDULE_DURATION;
     while simulation.now() < end {
-        simulation.run(ROUND);
+        simulation.run(ROUND_INTERVAL);
         if simulation.rng.gen_bool(0.10) {
             workload.submit(simulation);
         }
         if simulation.rng.gen_bool(0.08) {
-            cancel_any_job(simulation);
+            cancel_random_job(simulation);
         }
         if simulation.rng.gen_bool(0.12) {
             let fault = ScheduledFault::draw(simulation);
             fault.begin(simulation);
-            under_way.push(fault);
+            active_faults.push(fault);
+            // From the first fault on, heartbeats may also be duplicated and direct commands delayed.
             simulation.faults.duplicated_heartbeats = 0.2;
             simulation.faults.delayed_commands = 0.1;
         }
         let now = simulation.now();
-        let (over, rest): (Vec<ScheduledFault>, Vec<ScheduledFault>) = under_way
+        let (ended, remaining): (Vec<ScheduledFault>, Vec<ScheduledFault>) = active_faults
             .into_iter()
             .partition(|fault| fault.ends_at <= now);
-        under_way = rest;
-        for fault in &over {
+        active_faults = remaining;
+        for fault in &ended {
             fault.end(simulation);
         }
     }
 }
 
-/// Plays the schedule of a seed to its end; returns the rules that were violated.
+/// Runs the schedule of a seed, ends all faults, waits for the jobs to settle, and returns the violations. With even seeds,
+/// the team has a CPU limit.
 fn violations_of(seed: u64) -> Vec<String> {
     let team_limit = seed.is_multiple_of(2).then_some(30.0);
     let mut simulation = Simulation::with_team_limit(seed, 6, team_limit);
-    play_faults(&mut simulation);
+    run_schedule(&mut simulation);
     simulation.end_all_faults();
-    let within = simulation.time_to_settle();
-    simulation.settle(within);
+    let time_limit = simulation.time_to_settle();
+    simulation.settle(time_limit);
     simulation.violations
 }
 
-/// A number of the environment.
-fn environment_number(name: &str, default: u64) -> u64 {
+/// Returns the number in an environment variable, or `default` if it is unset or not a number.
+fn number_from_env(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(default)
 }
 
-/// More seeds, or the log of one, on demand: see the README.
+/// `WORLD_FROM` sets the first seed and `WORLD_SEEDS` the number of seeds; `WORLD_LOG` enables logging. See the README.
 #[test]
-fn no_rule_is_violated_in_random_schedules_of_faults() {
+fn random_schedules_of_faults_violate_no_invariant() {
     if std::env::var_os("WORLD_LOG").is_some() {
         tracing_subscriber::fmt()
             .without_time()
@@ -84,8 +87,8 @@
             .with_ansi(false)
             .init();
     }
-    let from = environment_number("WORLD_FROM", 0);
-    for seed in from..from + environment_number("WORLD_SEEDS", SEEDS) {
+    let first_seed = number_from_env("WORLD_FROM", 0);
+    for seed in first_seed..first_seed + number_from_env("WORLD_SEEDS", DEFAULT_SEEDS) {
         let violations = violations_of(seed);
         assert!(
             violations.is_empty(),
--- a/src/controller/tests/random_schedules/scheduled_fault.rs
+++ b/src/controller/tests/random_schedules/scheduled_fault.rs
@@ -1,4 +1,4 @@
-//! The faults that a schedule draws: which, of whom, for how long.
+//! Faults of random schedules: their kinds, their random choice, and how they are injected and ended.
 
 use super::super::simulation::faults::IsolatedZone;
 use super::super::simulation::{Simulation, NODES};
@@ -6,29 +6,47 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A fault that a schedule may begin. Its index in [`FaultKind::ALL`] is what is drawn.
+/// Kind of a fault, chosen by a random index into [`FaultKind::ALL`].
 #[derive(Debug, Clone, Copy)]
 enum FaultKind {
+    /// The store refuses the requests of a controller.
     StoreRefusal,
+    /// The store is down for all controllers.
     StoreOutage,
+    /// A controller crashes, and restarts after a third of the duration.
     Crash,
+    /// A controller's process is paused for half of the duration, while the clocks run on.
     ProcessPause,
+    /// A worker's process hangs: it neither reports nor executes commands, and its tasks make no progress.
     HungWorker,
+    /// A worker receives neither replies to its heartbeats nor direct commands.
     DeafWorker,
+    /// A worker's heartbeats are lost.
     MuteWorker,
+    /// No controller reaches any other.
     CutPeers,
+    /// The cloud responds to no controller.
     CloudOutage,
+    /// 30% of the transactions get no response and are committed later.
     LateWrites,
+    /// A zone and a controller reach each other, but nothing else reaches them. The store refuses the controller.
     IsolatedZone,
+    /// All controllers crash at once and restart at different times.
     CrashOfAll,
+    /// A worker's next heartbeat is delayed.
     DelayedHeartbeat,
+    /// A controller reaches no worker.
     CutFromWorkers,
+    /// A controller reaches no other controller.
     CutFromPeers,
+    /// A controller reaches neither the store nor the workers nor the other controllers.
     CutFromNetwork,
+    /// The next leader that decides to start a task is paused before it sends the command.
     PauseBeforeSending,
 }
 
 impl FaultKind {
+    /// All kinds. Their order must not change, since the seeds named in documents and commits depend on it.
     const ALL: [FaultKind; 17] = [
         FaultKind::StoreRefusal,
         FaultKind::StoreOutage,
@@ -50,35 +68,39 @@
     ];
 }
 
-/// A fault of a schedule.
+/// A fault with its targets and its duration.
 pub(super) struct ScheduledFault {
     kind: FaultKind,
+    /// Target of a fault that affects a single controller.
     node: usize,
+    /// Target of a fault that affects a single worker.
     machine: String,
     duration: Duration,
+    /// When [`ScheduledFault::end`] is due.
     pub(super) ends_at: Timestamp,
 }
 
 impl ScheduledFault {
-    /// Draws a fault: of the leader more often than of another controller.
+    /// Chooses a random fault. The leader is its target more often than another controller.
     pub(super) fn draw(simulation: &mut Simulation) -> ScheduledFault {
         let leader = simulation.leader();
         let leader = leader.filter(|_| simulation.rng.gen_bool(0.6));
-        // Drawn in any case: the order of draws is part of what a seed means.
-        let any_node = simulation.rng.gen_range(0..NODES);
-        let machine = simulation.rng.gen_range(0..simulation.workers.len());
+        // Drawn even if it is not used: drawing it only when needed would change the schedules of existing seeds.
+        let random_node = simulation.rng.gen_range(0..NODES);
+        let machine_index = simulation.rng.gen_range(0..simulation.workers.len());
         let duration = Duration::from_millis(simulation.rng.gen_range(300..20_000));
-        // The type is part of what a seed means, too: a wider one draws other values.
-        let kind: u8 = simulation.rng.gen_range(0..17);
+        // A type of another width would give other values for the same seed.
+        let kind_index: u8 = simulation.rng.gen_range(0..17);
         ScheduledFault {
-            kind: FaultKind::ALL[usize::from(kind)],
-            node: leader.unwrap_or(any_node),
-            machine: simulation.nth_machine(machine),
+            kind: FaultKind::ALL[usize::from(kind_index)],
+            node: leader.unwrap_or(random_node),
+            machine: simulation.nth_machine(machine_index),
             duration,
             ends_at: simulation.now() + duration,
         }
     }
 
+    /// Injects the fault.
     pub(super) fn begin(&self, simulation: &mut Simulation) {
         let (node, machine, duration) = (self.node, &self.machine, self.duration);
         self.log(simulation);
@@ -118,7 +140,7 @@
             whole_millis(self.duration),
         );
         let (node, machine) = (self.node, self.machine.as_str());
-        tracing::info!(now, ?kind, node, machine, duration_ms, "fault begins");
+        tracing::info!(now, ?kind, node, machine, duration_ms, "injecting fault");
     }
 
     fn isolate_zone(&self, simulation: &mut Simulation) {
@@ -135,7 +157,7 @@
         }
     }
 
-    /// Ends a fault that does not end by itself.
+    /// Ends the fault, unless it ends by itself.
     pub(super) fn end(&self, simulation: &mut Simulation) {
         let node = self.node;
         match self.kind {
--- a/src/controller/tests/random_schedules/workload.rs
+++ b/src/controller/tests/random_schedules/workload.rs
@@ -1,4 +1,4 @@
-//! What the users of a schedule do: they submit and cancel jobs.
+//! Random submissions and cancellations of jobs by the simulated users.
 
 use super::super::simulation::{Simulation, NODES};
 use crate::protocol::{JobKind, Priority};
@@ -6,25 +6,26 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Most services, so that they leave room for the rest.
-const SERVICES: u32 = 2;
+/// Maximum number of services. They never finish, so more of them would leave too little capacity for the other jobs.
+const MAX_SERVICES: u32 = 2;
 
-/// What the users of a schedule have submitted.
+/// Numbers of jobs that have been submitted in a schedule.
 #[derive(Default)]
 pub(super) struct Workload {
+    /// All jobs, including services.
     jobs: u32,
     services: u32,
 }
 
 impl Workload {
-    /// Submits a job of a random kind.
+    /// Submits a job with a random kind, zone constraint, number of tasks, run time and priority.
     pub(super) fn submit(&mut self, simulation: &mut Simulation) {
         self.jobs += 1;
         let rng = &mut simulation.rng;
         let tasks = rng.gen_range(1..9);
         let mut job = spec(&format!("wk-{}", self.jobs), tasks);
         match rng.gen_range(0..6) {
-            0 if self.services < SERVICES => {
+            0 if self.services < MAX_SERVICES => {
                 self.services += 1;
                 job.kind = JobKind::Service;
                 job.spread_zones = rng.gen_bool(0.5);
@@ -48,8 +49,8 @@
     }
 }
 
-/// A user cancels a random job through a random controller.
-pub(super) fn cancel_any_job(simulation: &mut Simulation) {
+/// Cancels a random unfinished job, if there is one, through a random controller.
+pub(super) fn cancel_random_job(simulation: &mut Simulation) {
     let cancellable: Vec<String> = simulation
         .jobs
         .keys()
@@ -59,7 +60,7 @@
     if cancellable.is_empty() {
         return;
     }
-    let job = simulation.rng.gen_range(0..cancellable.len());
+    let job_index = simulation.rng.gen_range(0..cancellable.len());
     let node = simulation.rng.gen_range(0..NODES);
-    simulation.cancel(node, &cancellable[job]);
+    simulation.cancel(node, &cancellable[job_index]);
 }
