--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -1,5 +1,7 @@
-//! Failover: a new leader rebuilds everything from a store as its predecessor has left it. The store is given as literal text
-//! and literal records, so that this also holds between versions.
+//! Failover: a new leader rebuilds its state from the records that its predecessor left in the store.
+//!
+//! Keys and records are literals and not built by the code under test, so that the tests also guard the takeover from a
+//! predecessor of another version.
 
 use crate::config::tests::settings;
 use crate::controller::clock::Clock;
@@ -16,11 +18,13 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The predecessor's epoch is 6: its attempts begin with 6, and the new leader's token is this.
+/// Fencing token of the new leader, whose epoch is 7. The epoch stands above the lower 24 bits of tokens and attempt numbers:
+/// those of the predecessor, whose epoch is 6, begin at `0x600_0000`.
 const TOKEN: u64 = 0x700_0000;
-/// Revision of the claim.
-const CLAIMED_AT: Revision = Revision::new(301);
+/// Revision at which the new leader's claim of its epoch was committed.
+const CLAIM_REVISION: Revision = Revision::new(301);
 
+/// Returns the record of an array job that is not final.
 fn live_record(id: &str, tasks: u32) -> Value {
     cbor!({
         "spec" => {
@@ -34,8 +38,8 @@
     .unwrap()
 }
 
-/// Everything that the predecessor has stored, with its versions.
-fn stored() -> Vec<(&'static str, Value, u64)> {
+/// Returns the records that the predecessor stored, as keys, values and versions.
+fn stored_records() -> Vec<(&'static str, Value, u64)> {
     let leader = cbor!({"node" => "drover-1", "incarnation" => 70}).unwrap();
     vec![
         (
@@ -60,21 +64,21 @@
             .unwrap(),
             203,
         ),
-        // The predecessor has not seen the cloud's answer to this one.
+        // The predecessor did not receive the cloud's response to this request.
         (
             "hollowswitch/hire/drover-1-70-2",
             cbor!({"machine_type" => "m8", "zone" => "b", "spot" => true, "count" => 3, "machines" => null}).unwrap(),
             204,
         ),
-        // Task 0 is done, task 1 runs on n-1, task 2 may run on n-2, task 3 was never started.
+        // Task 0 is done, task 1 runs on n-1, task 2 may run on n-2, and task 3 was never started.
         ("hollowswitch/live/wk-1", live_record("wk-1", 4), 205),
         ("hollowswitch/done/wk-1/0", cbor!("01").unwrap(), 206),
-        // It was on a machine that no rental names any more.
+        // Its task was started on n-9, which no rental record names any more.
         ("hollowswitch/live/wk-2", live_record("wk-2", 1), 207),
         // Cancelled, but its task still runs on n-1.
         ("hollowswitch/stopping/wk-3", live_record("wk-3", 1), 208),
         ("hollowswitch/over/wk-3", cbor!({"cancelled" => true, "tasks" => 1}).unwrap(), 208),
-        // Finished: only a range of its results is left.
+        // Finished, with a chunk of results that is still to be deleted.
         ("hollowswitch/over/wk-4", cbor!({"cancelled" => false, "tasks" => 1}).unwrap(), 209),
         ("hollowswitch/done/wk-4/0", cbor!("01").unwrap(), 210),
         (
@@ -90,6 +94,7 @@
     ]
 }
 
+/// Returns the watch events that put the records.
 fn put_events(records: Vec<(&'static str, Value, u64)>) -> Vec<Event> {
     records
         .into_iter()
@@ -101,7 +106,7 @@
         .collect()
 }
 
-/// A controller that has read this store, has claimed the next epoch and leads it.
+/// Returns a controller that has loaded the records, has claimed the next epoch and leads it.
 fn new_leader(records: Vec<(&'static str, Value, u64)>) -> ControllerState {
     let mut settings = settings();
     settings.operator.direct_starts = false;
@@ -113,7 +118,9 @@
     let _ = controller.replace_replica(replica);
     let now = controller.now();
     controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
-    let EpochClaim { txn, record } = controller.claim_epoch(88).expect("nobody leads");
+    let EpochClaim { txn, record } = controller
+        .claim_epoch(88)
+        .expect("the leadership is vacant");
     assert_eq!(record.number, Epoch::new(7));
     let guarded: Vec<(&str, u64)> = txn
         .guards
@@ -126,7 +133,7 @@
     );
     let term = Term {
         epoch: Epoch::new(7),
-        epoch_version: CLAIMED_AT,
+        epoch_version: CLAIM_REVISION,
         lease: 88,
     };
     controller.apply_leadership_event(LeadershipEvent::CampaignWon {
@@ -136,20 +143,24 @@
     let own = cbor!({"node" => "drover-0", "incarnation" => 77}).unwrap();
     let epoch = cbor!({"number" => 7, "leader" => own, "members" => [own], "logs_starts" => true});
     let claimed = vec![
-        ("hollowswitch/leader", own, CLAIMED_AT.as_u64()),
-        ("hollowswitch/epoch", epoch.unwrap(), CLAIMED_AT.as_u64()),
+        ("hollowswitch/leader", own, CLAIM_REVISION.as_u64()),
+        (
+            "hollowswitch/epoch",
+            epoch.unwrap(),
+            CLAIM_REVISION.as_u64(),
+        ),
     ];
-    let _ = controller.apply_watch_events(CLAIMED_AT, &put_events(claimed));
+    let _ = controller.apply_watch_events(CLAIM_REVISION, &put_events(claimed));
     controller.apply_leadership_event(LeadershipEvent::RevisionRead {
         requested_at: now,
-        revision: CLAIMED_AT,
+        revision: CLAIM_REVISION,
     });
     controller.start_epoch(Epoch::new(7));
     controller
 }
 
-/// A worker's report under the new leader's token.
-fn report(machine: &str, sequence: u64, tasks: &[(&str, u64, TaskState)]) -> WorkerStatus {
+/// Returns a heartbeat that carries the new leader's token.
+fn heartbeat(machine: &str, sequence: u64, tasks: &[(&str, u64, TaskState)]) -> WorkerStatus {
     let task = |(task, attempt, state): &(&str, u64, TaskState)| TaskStatus {
         task: (*task).into(),
         attempt: *attempt,
@@ -171,8 +182,9 @@
     }
 }
 
-/// Lets 100 ms pass, places what can be placed, makes its lines durable, and answers a report.
-fn answer(controller: &mut ControllerState, report: &WorkerStatus) -> Vec<Command> {
+/// Advances the clock by 100 ms, runs a scheduling round, completes the writes of the start log, and returns the commands in the
+/// reply to a heartbeat.
+fn run_round_and_reply(controller: &mut ControllerState, report: &WorkerStatus) -> Vec<Command> {
     if let Clock::Scripted(now) = controller.clock() {
         now.set(now.get() + 100);
     }
@@ -208,13 +220,13 @@
     }
 }
 
-/// The tasks that are started and those that are stopped by commands.
+/// Returns the tasks that the commands start, sorted, and the tasks that they stop.
 fn started_and_stopped(commands: &[Command]) -> (Vec<&str>, Vec<&str>) {
-    let started = commands.iter().filter_map(|order| match order {
+    let started = commands.iter().filter_map(|command| match command {
         Command::Start { task, .. } => Some(task.as_str()),
         _ => None,
     });
-    let stopped = commands.iter().filter_map(|order| match order {
+    let stopped = commands.iter().filter_map(|command| match command {
         Command::Stop { task, .. } => Some(task.as_str()),
         _ => None,
     });
@@ -223,44 +235,45 @@
     (started, stopped.collect())
 }
 
+/// Tasks that n-1 still runs.
 const N1_TASKS: [(&str, u64, TaskState); 2] = [
     ("wk-1/1", 0x600_0002, TaskState::Running),
     ("wk-3/0", 0x600_0003, TaskState::Running),
 ];
 
 #[test]
-fn a_new_leader_starts_nothing_twice() {
-    let mut controller = new_leader(stored());
-    // Both machines may run something, until they have been heard.
+fn a_new_leader_starts_no_task_twice() {
+    let mut controller = new_leader(stored_records());
+    // Both machines may hold tasks of earlier epochs until they have acknowledged the new leader's token.
     assert_eq!(controller.scheduler().unwrap().unreconciled_machines(), 2);
-    let commands = answer(&mut controller, &report("n-1", 1, &N1_TASKS));
+    let commands = run_round_and_reply(&mut controller, &heartbeat("n-1", 1, &N1_TASKS));
     assert_eq!(started_and_stopped(&commands), (vec![], vec!["wk-3/0"]));
-    // wk-1/0 is done, wk-1/1 runs here, wk-1/2 may run on n-2; the older line that shows it here is void.
-    let commands = answer(&mut controller, &report("n-1", 2, &N1_TASKS));
+    // wk-1/0 is done, wk-1/1 runs here, and wk-1/2 may run on n-2: its older entry, for n-1, is superseded.
+    let commands = run_round_and_reply(&mut controller, &heartbeat("n-1", 2, &N1_TASKS));
     assert_eq!(started_and_stopped(&commands).0, ["wk-1/3", "wk-2/0"]);
     let attempts: Vec<u64> = commands
         .iter()
-        .filter_map(|order| match order {
+        .filter_map(|command| match command {
             Command::Start { attempt, .. } => Some(*attempt),
             _ => None,
         })
         .collect();
     assert!(attempts.iter().all(|attempt| *attempt > TOKEN));
-    // n-2 still runs its task: nothing to do there.
+    // n-2 still runs its task, and there is nothing left to start or to stop.
     let on_n2 = [("wk-1/2", 0x600_0006, TaskState::Running)];
     for sequence in [3, 4] {
-        let commands = answer(&mut controller, &report("n-2", sequence, &on_n2));
+        let commands = run_round_and_reply(&mut controller, &heartbeat("n-2", sequence, &on_n2));
         assert!(commands.is_empty(), "{commands:?}");
     }
     assert_eq!(controller.scheduler().unwrap().unreconciled_machines(), 0);
 }
 
 #[test]
-fn a_new_leader_starts_again_what_a_machine_no_longer_has() {
-    let mut controller = new_leader(stored());
-    answer(&mut controller, &report("n-2", 1, &[]));
-    let commands = answer(&mut controller, &report("n-2", 2, &[]));
-    // Not the task of wk-1 that may be on n-1, nor the one that is done.
+fn a_new_leader_restarts_a_task_that_its_machine_no_longer_reports() {
+    let mut controller = new_leader(stored_records());
+    run_round_and_reply(&mut controller, &heartbeat("n-2", 1, &[]));
+    let commands = run_round_and_reply(&mut controller, &heartbeat("n-2", 2, &[]));
+    // wk-1/0 is done and wk-1/1 may still run on n-1, so neither is started.
     assert_eq!(
         started_and_stopped(&commands),
         (vec!["wk-1/2", "wk-1/3", "wk-2/0"], vec![])
@@ -268,8 +281,8 @@
 }
 
 #[test]
-fn a_new_leader_forgets_nothing() {
-    let mut controller = new_leader(stored());
+fn a_new_leader_restores_jobs_rentals_cleanups_and_results() {
+    let mut controller = new_leader(stored_records());
     let view = controller.job_view("wk-1").unwrap();
     assert_eq!((view.state, view.done), (JobState::Queued, Some(1)));
     assert_eq!(controller.job_view("wk-2").unwrap().state, JobState::Queued);
@@ -279,28 +292,28 @@
     );
     assert_eq!(controller.job_view("wk-4").unwrap().state, JobState::Done);
     assert!(controller.job_view("wk-5").is_none());
-    // The request without an answer is still there to be repeated under its name.
+    // The unanswered rental request is still open, to be repeated under its name.
     let open = &controller.replica().rentals["drover-1-70-2"];
     assert_eq!((open.version.as_u64(), &open.record.machines), (204, &None));
     let scheduler = controller.scheduler().unwrap();
     assert!(scheduler.is_known("n-1") && scheduler.is_known("n-2") && !scheduler.is_known("n-9"));
-    // The cancelled job stays among those being stopped until its task is gone; only results of finished jobs are dropped.
+    // The stopping record of the cancelled job is kept until its task has ended; results of finished jobs are deleted at once.
     let epoch = controller.write_guard().unwrap();
     assert_eq!(
         (epoch.key.as_str(), epoch.version),
-        ("hollowswitch/epoch", CLAIMED_AT)
+        ("hollowswitch/epoch", CLAIM_REVISION)
     );
-    assert_eq!(dropped(&mut controller), ["hollowswitch/done/wk-4/0"]);
-    answer(&mut controller, &report("n-1", 1, &N1_TASKS));
-    assert_eq!(dropped(&mut controller), ["hollowswitch/done/wk-4/0"]);
-    answer(&mut controller, &report("n-1", 2, &N1_TASKS[..1]));
+    assert_eq!(cleanup_keys(&mut controller), ["hollowswitch/done/wk-4/0"]);
+    run_round_and_reply(&mut controller, &heartbeat("n-1", 1, &N1_TASKS));
+    assert_eq!(cleanup_keys(&mut controller), ["hollowswitch/done/wk-4/0"]);
+    run_round_and_reply(&mut controller, &heartbeat("n-1", 2, &N1_TASKS[..1]));
     assert_eq!(
-        dropped(&mut controller),
+        cleanup_keys(&mut controller),
         ["hollowswitch/stopping/wk-3", "hollowswitch/done/wk-4/0"]
     );
-    // A result is added to the stored range, under the versions that were read.
+    // A result is added to the stored chunk, guarded by the versions that were read.
     let exited = [("wk-1/1", 0x600_0002, TaskState::Exited)];
-    answer(&mut controller, &report("n-1", 3, &exited));
+    run_round_and_reply(&mut controller, &heartbeat("n-1", 3, &exited));
     let txn = controller.results_to_store(&epoch).unwrap().txn;
     let guarded: Vec<(&str, u64)> = txn
         .guards
@@ -310,7 +323,7 @@
     assert_eq!(
         guarded,
         [
-            ("hollowswitch/epoch", CLAIMED_AT.as_u64()),
+            ("hollowswitch/epoch", CLAIM_REVISION.as_u64()),
             ("hollowswitch/live/wk-1", 205),
             ("hollowswitch/done/wk-1/0", 206)
         ]
@@ -322,8 +335,8 @@
     assert_eq!(value, &cbor!("03").unwrap());
 }
 
-/// The keys that would be dropped now.
-fn dropped(controller: &mut ControllerState) -> Vec<String> {
+/// Returns the keys that the next cleanup would delete.
+fn cleanup_keys(controller: &mut ControllerState) -> Vec<String> {
     let epoch = controller.write_guard().unwrap();
     let txn = controller.final_job_cleanup(&epoch).unwrap();
     let key = |change: &Change| match change {
@@ -333,9 +346,11 @@
     txn.apply.iter().map(key).collect()
 }
 
+/// A predecessor of a version before the start log left no record of its starts, so any machine may run any task until its lease
+/// has expired.
 #[test]
-fn after_a_version_before_the_start_log_every_lease_is_waited_for() {
-    let mut records = stored();
+fn a_new_leader_starts_nothing_before_lease_expiry_if_its_predecessor_kept_no_start_log() {
+    let mut records = stored_records();
     let old_leader = cbor!({"node" => "drover-1", "incarnation" => 70}).unwrap();
     let old = cbor!({"number" => 6, "leader" => old_leader, "members" => [old_leader]}).unwrap();
     for (key, value, _) in &mut records {
@@ -346,8 +361,8 @@
     records.retain(|(key, ..)| !key.starts_with("hollowswitch/starts/"));
     let mut controller = new_leader(records);
     for sequence in 1..4 {
-        // The tasks that n-1 reports are taken over, the cancelled one is stopped, and nothing is started.
-        let commands = answer(&mut controller, &report("n-1", sequence, &N1_TASKS));
+        // The tasks that n-1 reports are adopted, the cancelled one is stopped, and nothing is started.
+        let commands = run_round_and_reply(&mut controller, &heartbeat("n-1", sequence, &N1_TASKS));
         assert!(started_and_stopped(&commands).0.is_empty(), "{commands:?}");
     }
     assert_eq!(controller.job_view("wk-1").unwrap().running, Some(1));
