--- a/src/controller/tests/cancellation_broadcast.rs
+++ b/src/controller/tests/cancellation_broadcast.rs
@@ -1,16 +1,18 @@
-//! Cancellations between controllers: none is confirmed to a user before the leader knows of it.
+//! Exchange of cancellations between controllers. A cancellation is confirmed to its user only once the leader knows of it or
+//! has lost the authority to start tasks.
 
 use super::simulation::{node_name, Simulation, NODES, SECOND};
 use crate::coordination::peers::{Cancelled, CancelledJob};
 use crate::scheduler::tests::spec;
 use crate::store::{FinalRecord, Versioned};
 
-/// The controllers that do not lead.
+/// The two controllers that do not lead.
 struct Followers {
     first: usize,
     second: usize,
 }
 
+/// Returns the controllers other than the leader.
 fn followers(leader: usize) -> Followers {
     Followers {
         first: (leader + 1) % NODES,
@@ -18,10 +20,10 @@
     }
 }
 
-/// The leader's watch is stalled, and the node that took the cancellation does not reach it. The third node passes the
-/// cancellation on, so that the leader stops the job at once.
+/// The leader's watch is stalled, and the leader and the controller that accepted the cancellation do not reach each other. The
+/// third controller must forward the cancellation, so that the leader stops the job at once.
 #[test]
-fn a_cancellation_reaches_an_unreachable_leader_through_the_third_node() {
+fn a_third_controller_forwards_a_cancellation_when_the_accepting_one_cannot_reach_the_leader() {
     let mut simulation = Simulation::new(3, 4);
     simulation.submit(spec("wk-1", 4), 600 * SECOND);
     simulation.run(5 * SECOND);
@@ -42,17 +44,18 @@
         "the leader does not know of the cancellation"
     );
     assert_eq!(simulation.running("wk-1"), 0);
-    // The node that was asked does not know that the leader knows, and waits for the end of its authority.
+    // The controller that accepted the cancellation cannot tell that the leader knows of it, and waits until the leader's
+    // authority has expired.
     assert!(!simulation.cancellation_is_confirmed("wk-1"));
     simulation.run(2 * SECOND);
     assert!(simulation.cancellation_is_confirmed("wk-1"));
     simulation.assert_no_violations();
 }
 
-/// A repeated request to cancel is answered by what the node that receives it knows. A node that the first one had notified
-/// once answered at once, before the leader was notified.
+/// A repeated cancellation request is answered from the state of the controller that receives it. A controller that had been
+/// notified by the first one used to confirm the cancellation at once, before the leader had been notified.
 #[test]
-fn a_node_notified_of_a_cancellation_confirms_it_only_once_the_leader_knows() {
+fn a_controller_notified_of_a_cancellation_confirms_it_only_once_the_leader_knows() {
     let mut simulation = Simulation::new(4, 4);
     simulation.submit(spec("wk-1", 4), 600 * SECOND);
     simulation.run(5 * SECOND);
@@ -68,7 +71,7 @@
         }],
     });
     assert!(controller.unsettled_cancellation("wk-1").is_some());
-    // That its own replica has reached the revision says nothing of the leader's.
+    // Its own replica has reached the revision, but the leader's may not have.
     controller.replica_mut().revision = revision;
     assert!(controller.unsettled_cancellation("wk-1").is_some());
     let leader = node_name(leader);
@@ -80,7 +83,7 @@
     assert!(controller.unsettled_cancellation("wk-1").is_none());
 }
 
-/// A cancellation that a node reads from the store, and that no other node sent it, is passed on as well.
+/// A controller must also forward a cancellation that it learns of only by reading the final state of the job from the store.
 #[test]
 fn a_cancellation_read_from_the_store_is_sent_to_the_leader() {
     let mut simulation = Simulation::new(5, 4);
@@ -95,7 +98,7 @@
         },
         version,
     };
-    // What the leader's replica is known to hold is not sent to it.
+    // The leader's replica is known to contain the first cancellation, which is therefore not sent.
     let revision = controller.replica().revision;
     controller
         .cancellations_mut()
