--- a/src/controller/tests/large_fleets.rs
+++ b/src/controller/tests/large_fleets.rs
@@ -1,9 +1,9 @@
-//! A controller and thousands of machines.
+//! Heartbeats from thousands of machines.
 
 use super::simulation::Simulation;
 use crate::protocol::{FencingToken, WorkerStatus};
 
-/// The first heartbeat of a machine.
+/// Returns the first heartbeat of a machine.
 fn heartbeat(machine: String) -> WorkerStatus {
     WorkerStatus {
         machine,
@@ -19,9 +19,10 @@
     }
 }
 
-/// A leader remembers all machines of a fleet that no rental names; made-up names cost bounded memory.
+/// A leader must keep every machine of a fleet that no rental record names, so that it can adopt them all. The number of kept
+/// machines must still be bounded, since heartbeats with invented names would otherwise take unbounded memory.
 #[test]
-fn a_whole_fleet_that_no_rental_names_is_remembered() {
+fn a_leader_keeps_a_large_unregistered_fleet_in_bounded_memory() {
     let mut simulation = Simulation::new(6, 3);
     let leader = simulation.leader().unwrap();
     let controller = simulation.nodes[leader].running_mut();
--- a/src/controller/tests/mod.rs
+++ b/src/controller/tests/mod.rs
@@ -1,7 +1,8 @@
-//! Whole controllers in a simulated cluster.
+//! Tests of whole controllers, nearly all of them in a simulated cluster.
 //!
-//! [`simulation`] is the simulator, [`fault_combinations`] brings about chosen combinations of faults in order, and
-//! [`random_schedules`] draws them from seeds.
+//! [`simulation`] is the simulator, [`fault_combinations`] injects chosen combinations of faults, and [`random_schedules`]
+//! injects faults at random, reproducibly from seeds. [`failover`] needs no simulator: it starts a new leader from literal
+//! records in the store.
 
 mod cancellation_broadcast;
 mod failover;
