--- a/src/controller/tests/fault_combinations/mod.rs
+++ b/src/controller/tests/fault_combinations/mod.rs
@@ -1,7 +1,7 @@
-//! Combinations of faults that have violated a rule, or might, brought about in order.
+//! Chosen combinations of faults that have violated a safety invariant or might violate one.
 //!
-//! Each file is named for the fault that leads; `docs/safety.md` says for each combination why the rules hold. Unless a test
-//! says otherwise, every job has to settle in the end and no rule may be violated on the way.
+//! Each module is named for its main fault. `docs/safety.md` explains for each combination why the invariants hold. Unless a
+//! test says otherwise, no invariant may be violated and every job has to settle in the end.
 
 mod capacity_shortages;
 mod delayed_starts;
@@ -16,17 +16,17 @@
 use std::fmt::Display;
 use std::ops::Range;
 
-/// The controller that follows another.
+/// Returns the controller after `node`; the first one follows the last.
 fn next_node(node: usize) -> usize {
     (node + 1) % NODES
 }
 
-/// The controller that is neither of two.
+/// Returns the controller that is neither `first` nor `second`.
 fn third_node(first: usize, second: usize) -> usize {
     (0..NODES).sum::<usize>() - first - second
 }
 
-/// The id of a job.
+/// Returns the id of the job with a number.
 fn job_id(number: impl Display) -> String {
     format!("wk-{number}")
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether all four tasks of each of these jobs run.
+/// Reports whether all four tasks of each of the jobs run.
 fn all_run(simulation: &Simulation, mut numbers: Range<u32>) -> bool {
     numbers.all(|number| simulation.running(&job_id(number)) == 4)
 }
--- a/src/controller/tests/fault_combinations/partitions.rs
+++ b/src/controller/tests/fault_combinations/partitions.rs
@@ -7,16 +7,19 @@
 use crate::scheduler::tests::spec;
 use std::time::Duration;
 
-/// What a controller may lose for a time.
+/// Resource that a controller loses for some time.
 #[derive(Debug, Clone, Copy)]
 enum Loss {
+    /// The store, the workers and the other controllers.
     Network,
     Store,
     Workers,
+    /// Its process is paused while the clocks run on.
     Processor,
 }
 
 impl Loss {
+    /// Takes the resource from the controller. `duration` is the length of a pause.
     fn begin(self, simulation: &mut Simulation, node: usize, duration: Duration) {
         match self {
             Loss::Network => simulation.disconnect(node),
@@ -28,30 +31,30 @@
         }
     }
 
-    /// The loss is over; a pause ends by itself.
+    /// Ends the loss. A pause ends by itself.
     fn end(simulation: &mut Simulation, node: usize) {
         simulation.reconnect(node);
     }
 }
 
-/// A controller loses the whole network, the store, the workers or its processor, for less and for much more than any lease,
-/// as leader and as follower, and returns.
+/// A controller, the leader or a follower, loses the network, the store, the workers or its processor, and returns. 5 s are
+/// shorter than a worker's lease, 75 s are much longer than any lease. The returning controller must not depose the leader.
 #[test]
-fn a_controller_back_after_a_partition_or_pause_takes_no_leadership_and_violates_no_rule() {
+fn a_controller_returning_after_a_partition_or_pause_does_not_depose_the_leader() {
     for loss in [Loss::Network, Loss::Store, Loss::Workers, Loss::Processor] {
-        for leads in [true, false] {
+        for is_leader in [true, false] {
             for duration in [5 * SECOND, 75 * SECOND] {
                 let mut simulation = Simulation::new(31, 6);
                 simulation.submit(spec("wk-1", 4), 40 * SECOND);
                 simulation.submit(spec("wk-2", 6), 150 * SECOND);
                 simulation.run(3 * SECOND);
                 let leader = simulation.leader().unwrap();
-                let node = if leads { leader } else { next_node(leader) };
+                let node = if is_leader { leader } else { next_node(leader) };
                 loss.begin(&mut simulation, node, duration);
                 simulation.run(2 * SECOND);
                 let third = third_node(node, next_node(node));
                 simulation.submit(spec("wk-3", 4), 10 * SECOND);
-                // The user asks again while no other controller can take the cancellation.
+                // The user repeats the request until the third controller accepts it.
                 let mut cancelled = false;
                 for _ in 0..6 {
                     cancelled = cancelled || simulation.cancel(third, "wk-2");
@@ -59,22 +62,26 @@
                 }
                 assert!(cancelled, "{loss:?}");
                 if duration > 10 * SECOND {
-                    // Another controller leads, and serves what was submitted meanwhile.
+                    // A controller leads, a different one if the leader was affected, and the job submitted meanwhile has
+                    // finished.
                     assert!(
                         simulation
                             .leader()
-                            .is_some_and(|leader| !leads || leader != node),
+                            .is_some_and(|leader| !is_leader || leader != node),
                         "{loss:?}"
                     );
-                    assert!(simulation.final_state("wk-3").is_some(), "{loss:?} {leads}");
+                    assert!(
+                        simulation.final_state("wk-3").is_some(),
+                        "{loss:?} {is_leader}"
+                    );
                 }
                 let epoch = simulation.epoch();
                 Loss::end(&mut simulation, node);
                 simulation.run(15 * SECOND);
-                // Its return takes the leadership from nobody.
+                // The returning controller has not started a new epoch.
                 assert!(
                     simulation.epoch() == epoch || duration < 10 * SECOND,
-                    "{loss:?} {leads}"
+                    "{loss:?} {is_leader}"
                 );
                 simulation.assert_no_violations();
                 simulation.assert_settles();
@@ -84,7 +91,7 @@
 }
 
 #[test]
-fn jobs_settle_after_workers_reached_no_controller_but_direct_commands_reached_them() {
+fn jobs_settle_after_heartbeats_were_lost_while_direct_commands_arrived() {
     let mut simulation = Simulation::new(3, 4);
     simulation.submit(spec("wk-1", 10), 30 * SECOND);
     simulation.run(4 * SECOND);
@@ -101,31 +108,31 @@
 }
 
 #[test]
-fn a_deposed_leader_that_keeps_its_workers_keeps_no_cancelled_task_running() {
+fn a_deposed_leader_that_still_reaches_its_workers_keeps_no_cancelled_task_running() {
     let mut simulation = Simulation::new(6, 6);
     submit_long_jobs(&mut simulation, 0..5);
     simulation.run(10 * SECOND);
-    let old = simulation.leader().unwrap();
-    simulation.store.refuse(old);
+    let old_leader = simulation.leader().unwrap();
+    simulation.store.refuse(old_leader);
     simulation.cut_peers(40 * SECOND);
     simulation.run(6 * SECOND);
     let new_leader = simulation.leader().unwrap();
-    assert_ne!(new_leader, old);
+    assert_ne!(new_leader, old_leader);
     assert!(
         simulation.cancel(new_leader, "wk-0")
-            && simulation.cancel(third_node(new_leader, old), "wk-1")
+            && simulation.cancel(third_node(new_leader, old_leader), "wk-1")
     );
     simulation.run(15 * SECOND);
     assert!(simulation.running("wk-0") + simulation.running("wk-1") == 0);
-    simulation.store.accept(old);
+    simulation.store.accept(old_leader);
     simulation.run(40 * SECOND);
     assert!(all_run(&simulation, 2..5));
     simulation.assert_no_violations();
 }
 
 #[test]
-fn cancellations_and_services_hold_while_a_zone_with_a_controller_is_isolated() {
-    for leads in [true, false] {
+fn cancellations_and_services_survive_the_isolation_of_a_zone_with_a_controller() {
+    for is_leader in [true, false] {
         let mut simulation = Simulation::new(14, 8);
         let service = JobSpec {
             kind: JobKind::Service,
@@ -137,7 +144,7 @@
         simulation.submit(spec("wk-3", 4), 600 * SECOND);
         simulation.run(6 * SECOND);
         let leader = simulation.leader().unwrap();
-        let node = if leads { leader } else { next_node(leader) };
+        let node = if is_leader { leader } else { next_node(leader) };
         simulation.faults.isolated_zone = Some(IsolatedZone { zone: "a", node });
         simulation.store.refuse(node);
         simulation.run(3 * SECOND);
