--- a/src/controller/tests/fault_combinations/store_refusals.rs
+++ b/src/controller/tests/fault_combinations/store_refusals.rs
@@ -1,14 +1,16 @@
-//! The store refuses the leader alone, with or without an outage for all after it, while users cancel jobs elsewhere.
+//! The store refuses the requests of the leader alone, while users cancel jobs through other controllers. In some tests an outage
+//! for all controllers follows.
 
 use super::super::simulation::{Simulation, CANCEL, LEASE, MILLISECOND, SECOND};
 use super::{all_run, job_id, next_node, submit_long_jobs};
 use crate::scheduler::tests::spec;
 use std::time::Duration;
 
-/// A refusal of the leader that ends with an outage for all.
+/// A period in which the store refuses the leader alone. It ends with an outage for all controllers.
 struct Refusal {
+    /// Length of the period.
     refused_ms: u64,
-    /// When users cancel their jobs after the refusal began; at its end if that is sooner.
+    /// Time from the start of the period to the cancellations, which come at its end at the latest.
     cancelled_after_ms: u64,
     /// Whether the controllers reach each other.
     peers_connected: bool,
@@ -47,13 +49,14 @@
     },
 ];
 
-/// The store refuses the leader alone, another controller confirms cancellations, and then the store is down for all for
-/// longer than `cancel_s`, while the workers keep reporting to the old leader.
+/// The store refuses the leader alone, another controller accepts cancellations, and then the store is down for all controllers
+/// for longer than `cancel_s`. The workers keep reporting to the old leader, which must not keep the cancelled tasks running.
 #[test]
 fn cancelled_tasks_stop_when_the_store_refuses_the_leader_and_then_goes_down() {
     for refusal in REFUSALS {
-        let refused = Duration::from_millis(refusal.refused_ms);
-        let until_cancelled = Duration::from_millis(refusal.cancelled_after_ms).min(refused);
+        let refusal_duration = Duration::from_millis(refusal.refused_ms);
+        let time_to_cancellation =
+            Duration::from_millis(refusal.cancelled_after_ms).min(refusal_duration);
         let mut simulation = Simulation::new(7, 6);
         submit_long_jobs(&mut simulation, 0..6);
         simulation.run(10 * SECOND);
@@ -62,33 +65,37 @@
         if !refusal.peers_connected {
             simulation.cut_peers(Duration::MAX);
         }
-        // More work waits for the room that a cancellation makes.
+        // wk-7 waits for capacity that a cancellation would free.
         simulation.submit(spec("wk-7", 8), 600 * SECOND);
         simulation.run(500 * MILLISECOND);
         simulation.store.refuse(leader);
-        simulation.run(until_cancelled);
+        simulation.run(time_to_cancellation);
         for id in ["wk-0", "wk-1", "wk-7"] {
             assert!(simulation.cancel(next_node(leader), id));
         }
-        simulation.run(refused.saturating_sub(until_cancelled));
+        simulation.run(refusal_duration.saturating_sub(time_to_cancellation));
         simulation.begin_store_outage();
         simulation.store.accept(leader);
         simulation.run(CANCEL + 20 * SECOND);
         for id in ["wk-0", "wk-1", "wk-7"] {
-            assert_eq!(simulation.running(id), 0, "{id}, refused for {refused:?}");
+            assert_eq!(
+                simulation.running(id),
+                0,
+                "{id}, refused for {refusal_duration:?}"
+            );
             assert!(simulation.cancellation_is_confirmed(id));
         }
         simulation.end_store_outage();
         simulation.reconnect_peers();
         simulation.run(60 * SECOND);
-        // The jobs that nobody cancelled run.
+        // The jobs that were not cancelled are running.
         assert!(all_run(&simulation, 2..6));
         simulation.assert_no_violations();
     }
 }
 
-/// The same at the moment of the refusal, a second before the outage; with a hung worker, with the controllers cut from each
-/// other, and with a crash of the leader.
+/// As above, with the cancellations at the moment of the refusal and the outage a second later. The controllers do not reach each
+/// other, a worker hangs, and in one case the leader crashes during the outage.
 #[test]
 fn cancelled_tasks_stop_when_cancelled_at_the_moment_of_the_refusal() {
     for leader_crashes in [false, true] {
@@ -131,7 +138,7 @@
     simulation.store.refuse(leader);
     simulation.run(200 * MILLISECOND);
     assert!(simulation.cancel(next_node(leader), "wk-0"));
-    // The leader lease is renewed between the refusals, but the leader's replica never advances.
+    // The leader renews its lease between the refusals, but its replica never advances.
     for _ in 0..30 {
         simulation.run(1200 * MILLISECOND);
         simulation.store.accept(leader);
@@ -147,23 +154,24 @@
     simulation.assert_no_violations();
 }
 
-/// A cancellation is confirmed once the leader knows of it, or can start nothing any more. Starts whose lines in the start log
-/// were durable before it may still be sent by a leader that the store refuses and that no other controller reaches.
+/// A cancellation is confirmed once the leader knows of it or can no longer start tasks. A leader that the store refuses and that
+/// no other controller reaches may still send starts whose log entries were durable before the cancellation, but only until the
+/// cancellation is confirmed.
 #[test]
 fn no_start_is_sent_after_a_confirmed_cancellation() {
-    for peers in [true, false] {
+    for peers_connected in [true, false] {
         for offset in 0..12 {
             let mut simulation = Simulation::new(21, 4);
             simulation.start_log_write = 400 * MILLISECOND;
             simulation.submit(spec("wk-1", 6), 60 * SECOND);
             simulation.run(50 * offset * MILLISECOND);
             let leader = simulation.leader().unwrap();
-            if !peers {
+            if !peers_connected {
                 simulation.cut_peers(20 * SECOND);
             }
             simulation.store.refuse(leader);
             if !simulation.cancel(next_node(leader), "wk-1") {
-                // Not known there yet.
+                // That controller does not know of the job yet.
                 continue;
             }
             simulation.run(6 * SECOND);
