--- a/src/controller/tests/fault_combinations/late_writes.rs
+++ b/src/controller/tests/fault_combinations/late_writes.rs
@@ -1,4 +1,4 @@
-//! Transactions of the store that cross each other or are carried out late.
+//! Store transactions that race with each other or are committed late.
 
 use super::super::simulation::{Simulation, MILLISECOND, NODES, SECOND};
 use super::job_id;
@@ -8,13 +8,13 @@
 use crate::store::Revision;
 
 #[test]
-fn one_final_state_stands_when_a_cancellation_or_resubmission_meets_the_last_result() {
+fn a_job_has_one_final_state_when_a_cancellation_and_a_resubmission_race_with_its_last_result() {
     for (round, offset) in (0..30).enumerate() {
         let mut simulation = Simulation::new(5, 2);
         simulation.submit(spec("wk-1", 2), 5 * SECOND);
         simulation.run(5500 * MILLISECOND + 100 * offset * MILLISECOND);
         let node = round % NODES;
-        // A late submission of the same job and its cancellation each cross the last results.
+        // A late submission of the same job and its cancellation both race with its last results.
         let record = store::JobRecord {
             spec: spec("wk-1", 2),
             at_ms: 1,
@@ -26,7 +26,7 @@
         simulation.commit_late(10 * MILLISECOND, resubmission);
         simulation.settle(30 * SECOND);
         assert_eq!(simulation.final_state("wk-1").unwrap().cancelled, cancelled);
-        // Its key is not created again.
+        // The late submissions do not create the job's record again.
         simulation.run(2 * SECOND);
         assert!(!simulation.store.contains(&store::live_key("wk-1")));
         simulation.assert_no_violations();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn jobs_settle_when_transactions_are_carried_out_after_newer_ones() {
+fn jobs_settle_when_transactions_are_committed_after_newer_ones() {
     let mut simulation = Simulation::new(17, 4);
     simulation.faults.late_writes = 0.5;
     for round in 0..8 {
@@ -59,24 +59,24 @@
     simulation.submit(spec("wk-1", 3), SECOND);
     simulation.job_mut("wk-1").stagger = 8 * SECOND;
     simulation.run(4 * SECOND);
-    // A row of results is written again after the job has finished and its rows were deleted: the row's version 0 matches,
-    // the job's does not.
+    // A chunk of results is written again after the job has finished and its chunks were deleted. The guard on the chunk holds,
+    // since a missing key has version 0; the guard on the job's record does not.
     let epoch = simulation.epoch_guard();
     let live = store::guard(
         store::live_key("wk-1"),
         simulation.store.version(&store::live_key("wk-1")),
     );
-    let row = store::done_key("wk-1", 0);
-    let late = |guards| Txn {
+    let chunk_key = store::done_key("wk-1", 0);
+    let late_txn = |guards| Txn {
         guards,
-        apply: vec![store::put(row.clone(), &"07", None)],
+        apply: vec![store::put(chunk_key.clone(), &"07", None)],
     };
     simulation.commit_late(
         40 * SECOND,
-        late(vec![
+        late_txn(vec![
             epoch.clone(),
             live,
-            store::guard(row.clone(), Revision::ZERO),
+            store::guard(chunk_key.clone(), Revision::ZERO),
         ]),
     );
     let record = store::RentalRecord {
@@ -96,9 +96,9 @@
     simulation.run(45 * SECOND);
     assert!(simulation.final_state("wk-1").is_some());
     assert!(
-        !simulation.store.contains(&row)
+        !simulation.store.contains(&chunk_key)
             && !simulation.store.contains(&store::rental_key("r-late"))
     );
-    assert!(matches!(late(Vec::new()).apply[0], Change::Put { .. }));
+    assert!(matches!(late_txn(Vec::new()).apply[0], Change::Put { .. }));
     simulation.assert_no_violations();
 }
