--- a/src/controller/tests/fault_combinations/capacity_shortages.rs
+++ b/src/controller/tests/fault_combinations/capacity_shortages.rs
@@ -1,4 +1,4 @@
-//! Jobs that lose their machines, and more work than the machines have room for.
+//! Jobs that lose their machines, and jobs that exceed the capacity of the cluster.
 
 use super::super::simulation::{Simulation, MILLISECOND, SECOND};
 use super::job_id;
--- a/src/controller/tests/fault_combinations/delayed_starts.rs
+++ b/src/controller/tests/fault_combinations/delayed_starts.rs
@@ -1,12 +1,12 @@
-//! Time passes between the decision to start a task and its sending, and its job is cancelled meanwhile.
+//! Jobs that are cancelled between the decision to start a task and the sending of the command.
 
 use super::super::simulation::{Simulation, MILLISECOND, SECOND};
 use super::next_node;
 use crate::scheduler::tests::spec;
 use std::time::Duration;
 
-/// A leader is paused between a decision and its sending, for longer and for less than its authority lasts, while users cancel
-/// the job through another controller.
+/// A leader is paused between the decision to start tasks and the sending of the commands, for less and for more time than its
+/// authority lasts, while the job is cancelled through another controller.
 #[test]
 fn a_leader_paused_between_decision_and_sending_starts_no_cancelled_task() {
     for pause in [1500, 3000, 6000, 30_000].map(Duration::from_millis) {
@@ -27,7 +27,7 @@
     }
 }
 
-/// A leader that goes on leading sends its decision late, since its connection to the worker opens slowly.
+/// A leader sends start commands late because its connections to the workers open slowly, and keeps its authority meanwhile.
 #[test]
 fn a_start_waiting_for_its_connection_is_not_sent_once_its_job_is_cancelled() {
     for delay in [500, 1900].map(Duration::from_millis) {
--- a/src/controller/tests/fault_combinations/failovers.rs
+++ b/src/controller/tests/fault_combinations/failovers.rs
@@ -1,4 +1,4 @@
-//! Changes of leader, crashes of all controllers, and what else happens meanwhile.
+//! Failovers and crashes of all controllers, combined with cancellations, unreachable machines and store outages.
 
 use super::super::simulation::{Simulation, LEASE, MILLISECOND, NODES, SECOND};
 use super::{job_id, next_node};
@@ -11,7 +11,7 @@
         simulation.submit(spec(&job_id(n), 2 + n % 2), 2 * SECOND);
         simulation.job_mut(&job_id(n)).stagger = 11 * SECOND;
     }
-    // Some results lie on their machines, some in the store, when a leader ends.
+    // At each crash of a leader, some results are only on their machines and others already in the store.
     for _ in 0..3 {
         simulation.run(5300 * MILLISECOND);
         let leader = simulation.leader().unwrap();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn jobs_settle_after_all_controllers_were_down_for_longer_than_the_lease() {
+fn jobs_settle_after_all_controllers_were_down_for_longer_than_a_worker_lease() {
     let mut simulation = Simulation::new(10, 5);
     simulation.submit(spec("wk-1", 6), 20 * SECOND);
     simulation.submit(spec("wk-2", 6), 600 * SECOND);
@@ -39,7 +39,7 @@
         simulation.crash(node, LEASE + 5 * SECOND);
     }
     simulation.run(LEASE + 2 * SECOND);
-    // Every worker is in its next session, with nothing on it.
+    // The worker leases have expired: every worker has ended its tasks and begun a new session.
     assert_eq!(simulation.running("wk-1") + simulation.running("wk-2"), 0);
     simulation.assert_settles();
 }
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_quota_holds_when_a_failover_meets_unreachable_machines_and_a_cancellation() {
+fn the_quota_holds_when_a_job_on_unreachable_machines_is_cancelled_during_a_failover() {
     let mut simulation = Simulation::with_team_limit(12, 6, Some(16.0));
     simulation.submit(spec("wk-1", 4), 600 * SECOND);
     simulation.submit(spec("wk-2", 4), 600 * SECOND);
@@ -84,7 +84,7 @@
     let leader = simulation.leader().unwrap();
     simulation.crash(leader, 3 * SECOND);
     simulation.run(SECOND);
-    // What is cancelled counts towards the quota until it is proven gone.
+    // A cancelled task counts towards the quota until it is proven to have ended.
     assert!(simulation.cancel(next_node(leader), "wk-1"));
     simulation.run(LEASE);
     simulation.faults.cloud_down = false;
@@ -140,7 +140,7 @@
     simulation.submit(spec("wk-1", 8), 50 * SECOND);
     simulation.submit(spec("wk-2", 4), 600 * SECOND);
     simulation.run(4 * SECOND);
-    let before = simulation.epoch();
+    let first_epoch = simulation.epoch();
     for round in 0..10 {
         if round == 4 || round == 7 {
             simulation.begin_store_outage();
@@ -159,8 +159,8 @@
         }
     }
     assert!(
-        simulation.epoch().as_u64() >= before.as_u64() + 8,
-        "{} {before}",
+        simulation.epoch().as_u64() >= first_epoch.as_u64() + 8,
+        "{} {first_epoch}",
         simulation.epoch()
     );
     if simulation.is_cancellable("wk-2") {
--- a/src/controller/tests/fault_combinations/stale_messages.rs
+++ b/src/controller/tests/fault_combinations/stale_messages.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, commands and answers that arrive late or twice.
+//! Heartbeats, commands and replies that arrive late or twice.
 
 use super::super::simulation::{Simulation, LEASE, MILLISECOND, NODES, SECOND};
 use super::{job_id, next_node};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_heartbeat_delayed_beyond_a_failover_violates_no_rule() {
+fn a_heartbeat_delayed_beyond_a_failover_violates_no_invariant() {
     for delay in [3500, 6000, 13_000, 30_000].map(Duration::from_millis) {
         let mut simulation = Simulation::new(4, 4);
         simulation.submit(spec("wk-1", 8), 25 * SECOND);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn old_heartbeats_of_earlier_sessions_and_attempts_violate_no_rule() {
+fn duplicated_heartbeats_of_earlier_sessions_and_attempts_violate_no_invariant() {
     let mut simulation = Simulation::new(16, 4);
     simulation.faults.duplicated_heartbeats = 1.0;
     simulation.submit(spec("wk-1", 8), 6 * SECOND);
