--- a/src/controller/tests/fault_combinations/partitions.rs
+++ b/src/controller/tests/fault_combinations/partitions.rs
@@ -37,8 +37,9 @@
     }
 }
 
-/// A controller, the leader or a follower, loses the network, the store, the workers or its processor, and returns. 5 s are
-/// shorter than a worker's lease, 75 s are much longer than any lease. The returning controller must not depose the leader.
+/// A controller, the leader or a follower, loses the network, the store, the workers or its processor, and returns. The
+/// loss lasts for 5 s, which is less than a worker's lease, or for 75 s, which is much more than any lease. The returning
+/// controller must not depose the leader.
 #[test]
 fn a_controller_returning_after_a_partition_or_pause_does_not_depose_the_leader() {
     for loss in [Loss::Network, Loss::Store, Loss::Workers, Loss::Processor] {
@@ -78,7 +79,7 @@
                 let epoch = simulation.epoch();
                 Loss::end(&mut simulation, node);
                 simulation.run(15 * SECOND);
-                // The returning controller has not started a new epoch.
+                // After a long loss, the return of the controller starts no new epoch.
                 assert!(
                     simulation.epoch() == epoch || duration < 10 * SECOND,
                     "{loss:?} {is_leader}"
