--- a/src/scheduler/tests/health.rs
+++ b/src/scheduler/tests/health.rs
@@ -131,7 +131,8 @@
             && max_failed <= 2,
         "{max_failed}"
     );
-    // The demand has at most one task of each of them, and another job is placed beside the one task that each may run.
+    // Machines are requested for at most one task of each of them, and another job is placed beside the one task that each may
+    // run.
     cluster.run_round(202_000);
     let demands = cluster.scheduler.unmet_demand(false);
     assert!(demands.iter().map(|demand| demand.tasks).sum::<u32>() <= 2);
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -38,7 +38,7 @@
 /// Duration of a worker's lease in milliseconds.
 const LEASE_MS: u64 = 12_000;
 
-/// Grace period of an earlier leader in milliseconds.
+/// How long an earlier leader may have gone on renewing worker leases after its authority to start tasks ended, in milliseconds.
 const GRACE_PERIOD_MS: u64 = 10_000;
 
 /// Returns the specification of an array job whose tasks each request 2 CPUs and 2 GB of memory.
--- a/src/scheduler/tests/new_leader.rs
+++ b/src/scheduler/tests/new_leader.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn stored_results_survive_a_crash_of_every_node() {
+fn stored_results_survive_a_crash_of_every_controller() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
     cluster.scheduler.add_job(
@@ -168,7 +168,8 @@
         cluster.scheduler.is_isolated_from_workers()
     };
     assert!(new_leader(false));
-    // One heartbeat, as a request or as a response, shows that the other machines are unreachable rather than this process.
+    // A single message from a worker, a heartbeat or a response to a probe, shows that the other machines are unreachable
+    // rather than this process.
     assert!(!new_leader(true));
 }
 
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -45,7 +45,7 @@
             token: first_token(EPOCH),
             commands: vec![]
         }),
-        "a heartbeat that is answered without the authority to start tasks gets no starts"
+        "a reply that only renews the lease, as during a store outage, starts no task"
     );
     assert_eq!(starts(&cluster.heartbeat("n-1", &[])).len(), 1);
     let unregistered = cluster.next_status("n-77", first_token(EPOCH), &[]);
--- a/src/scheduler/tests/start_log.rs
+++ b/src/scheduler/tests/start_log.rs
@@ -101,8 +101,8 @@
         first_write.jobs,
         vec![logged_job("wk-1", 101), logged_job("wk-2", 102)]
     );
-    // Another node has confirmed the cancellation of wk-1, which this node's replica does not show yet. The store refuses the
-    // write and names the reason.
+    // Another controller has confirmed the cancellation of wk-1, which the replica of this one does not show yet. The store
+    // refuses the write and names the reason.
     cluster.scheduler.stop_job("wk-1");
     cluster.scheduler.log_write_failed(first_write, None);
     let second_write = cluster.scheduler.next_log_write(8000, 60).unwrap();
