--- a/src/controller/tests/fault_combinations/failovers.rs
+++ b/src/controller/tests/fault_combinations/failovers.rs
@@ -49,15 +49,15 @@
 
 #[test]
 fn jobs_settle_when_machines_are_unreachable_during_a_failover() {
-    for (deaf, mute) in [(true, false), (false, true), (true, true)] {
+    for (drop_inbound, drop_heartbeats) in [(true, false), (false, true), (true, true)] {
         let mut simulation = Simulation::new(11, 5);
         simulation.submit(spec("wk-1", 10), 60 * SECOND);
         simulation.run(5 * SECOND);
         for machine in &simulation.machines_of("wk-1")[..2] {
-            if deaf {
+            if drop_inbound {
                 simulation.drop_worker_inbound(machine, WORKER_LEASE + 8 * SECOND);
             }
-            if mute {
+            if drop_heartbeats {
                 simulation.drop_worker_heartbeats(machine, WORKER_LEASE + 8 * SECOND);
             }
         }
--- a/src/controller/tests/random_schedules/scheduled_fault.rs
+++ b/src/controller/tests/random_schedules/scheduled_fault.rs
@@ -20,9 +20,9 @@
     /// A worker's process hangs: it neither reports nor executes commands, and its tasks make no progress.
     HungWorker,
     /// A worker receives neither replies to its heartbeats nor direct commands.
-    DeafWorker,
+    WorkerInboundLoss,
     /// A worker's heartbeats are lost.
-    MuteWorker,
+    WorkerHeartbeatLoss,
     /// No controller reaches any other.
     CutPeers,
     /// The cloud responds to no controller.
@@ -35,9 +35,9 @@
     CrashOfAll,
     /// A worker's next heartbeat is delayed.
     DelayedHeartbeat,
-    /// A controller reaches no worker.
+    /// A controller and the workers do not reach each other.
     CutFromWorkers,
-    /// A controller reaches no other controller.
+    /// A controller and the other controllers do not reach each other.
     CutFromPeers,
     /// A controller reaches neither the store nor the workers nor the other controllers.
     CutFromNetwork,
@@ -53,8 +53,8 @@
         FaultKind::Crash,
         FaultKind::ProcessPause,
         FaultKind::HungWorker,
-        FaultKind::DeafWorker,
-        FaultKind::MuteWorker,
+        FaultKind::WorkerInboundLoss,
+        FaultKind::WorkerHeartbeatLoss,
         FaultKind::CutPeers,
         FaultKind::CloudOutage,
         FaultKind::LateWrites,
@@ -110,8 +110,8 @@
             FaultKind::Crash => simulation.crash(node, duration / 3),
             FaultKind::ProcessPause => simulation.pause(node, duration / 2),
             FaultKind::HungWorker => simulation.hang_worker(machine, duration),
-            FaultKind::DeafWorker => simulation.drop_worker_inbound(machine, duration),
-            FaultKind::MuteWorker => simulation.drop_worker_heartbeats(machine, duration),
+            FaultKind::WorkerInboundLoss => simulation.drop_worker_inbound(machine, duration),
+            FaultKind::WorkerHeartbeatLoss => simulation.drop_worker_heartbeats(machine, duration),
             FaultKind::CutPeers => simulation.cut_peers(duration),
             FaultKind::CloudOutage => simulation.faults.cloud_down = true,
             FaultKind::LateWrites => simulation.faults.late_write_probability = 0.3,
@@ -179,8 +179,8 @@
             FaultKind::Crash
             | FaultKind::ProcessPause
             | FaultKind::HungWorker
-            | FaultKind::DeafWorker
-            | FaultKind::MuteWorker
+            | FaultKind::WorkerInboundLoss
+            | FaultKind::WorkerHeartbeatLoss
             | FaultKind::CutPeers
             | FaultKind::CrashOfAll
             | FaultKind::DelayedHeartbeat
