--- a/src/controller/tests/simulation/cluster/mod.rs
+++ b/src/controller/tests/simulation/cluster/mod.rs
@@ -65,7 +65,7 @@
         self.running_controller_mut().scheduler_mut().unwrap()
     }
 
-    /// Ends the process, which loses its state and the answers to its requests in flight.
+    /// Ends the process, which loses its state and the responses to its requests in flight.
     pub(super) fn crash(&mut self, restart_at: Timestamp) {
         self.controller = None;
         self.watch = None;
--- a/src/controller/tests/simulation/cluster/writes.rs
+++ b/src/controller/tests/simulation/cluster/writes.rs
@@ -57,8 +57,8 @@
         });
     }
 
-    /// Hands the outcome of a write to the controller, and the stored slot too if the outcome does not tell whether the write was
-    /// applied.
+    /// Hands the outcome of a write to the controller. Unless the write was applied or was refused without being executed, the
+    /// stored slot is handed over too: a failed guard may be due to an earlier write whose outcome was unknown.
     fn finish_slot_write(&mut self, node: usize, pending: PendingSlotWrite) {
         let certain = matches!(
             pending.outcome,
--- a/src/controller/tests/simulation/delivery.rs
+++ b/src/controller/tests/simulation/delivery.rs
@@ -18,15 +18,15 @@
             Message::Heartbeat {
                 node,
                 report,
-                response_discarded,
-            } => self.deliver_heartbeat(node, report, response_discarded),
-            Message::HeartbeatResponse {
+                reply_discarded,
+            } => self.deliver_heartbeat(node, report, reply_discarded),
+            Message::HeartbeatReply {
                 machine,
                 session,
                 sent_at,
                 node,
                 outcome,
-            } => self.deliver_heartbeat_response(&machine, session, sent_at, node, outcome),
+            } => self.deliver_heartbeat_reply(&machine, session, sent_at, node, outcome),
             Message::UnsentCommands(dispatch) => self.send_delayed_commands(dispatch),
             Message::DirectCommands { dispatch, sent_at } => {
                 self.deliver_direct_commands(dispatch, sent_at);
@@ -46,14 +46,14 @@
         }
     }
 
-    /// Delivers a heartbeat to a controller, after the end of the controller's pause if it is paused, and sends the response.
-    fn deliver_heartbeat(&mut self, node: usize, report: WorkerStatus, response_discarded: bool) {
+    /// Delivers a heartbeat to a controller, after the end of the controller's pause if it is paused, and sends the reply.
+    fn deliver_heartbeat(&mut self, node: usize, report: WorkerStatus, reply_discarded: bool) {
         let (now, paused_until) = (self.now(), self.nodes[node].paused_until);
         if now < paused_until {
             let retry = Message::Heartbeat {
                 node,
                 report,
-                response_discarded,
+                reply_discarded,
             };
             return self.send(paused_until.saturating_duration_since(now), retry);
         }
@@ -62,14 +62,14 @@
         };
         let outcome = controller.handle_heartbeat(&report);
         if let (HeartbeatOutcome::Reply(HeartbeatReply { commands, .. }), false) =
-            (&outcome, response_discarded)
+            (&outcome, reply_discarded)
         {
             self.check_sent_commands(commands);
         }
         let Some(worker) = self.workers.get(&report.machine) else {
             return;
         };
-        let lost = response_discarded
+        let lost = reply_discarded
             || worker.session != report.session
             || worker.sequence < report.sequence
             || now < worker.inbound_dropped_until
@@ -77,18 +77,18 @@
         if lost {
             return;
         }
-        let response = Message::HeartbeatResponse {
-            sent_at: worker.awaiting_response_since.unwrap_or_default(),
+        let reply = Message::HeartbeatReply {
+            sent_at: worker.awaiting_reply_since.unwrap_or_default(),
             machine: report.machine,
             session: report.session,
             node,
             outcome,
         };
-        self.send(STEP, response);
+        self.send(STEP, reply);
     }
 
-    /// Delivers the response to a heartbeat if the worker, in the same session, still waits for it.
-    fn deliver_heartbeat_response(
+    /// Delivers the reply to a heartbeat if the worker, in the same session, still waits for it.
+    fn deliver_heartbeat_reply(
         &mut self,
         machine: &str,
         session: u64,
@@ -101,11 +101,11 @@
             return;
         };
         let is_awaited =
-            worker.awaiting_response_since == Some(sent_at) && now <= sent_at + HEARTBEAT_TIMEOUT;
+            worker.awaiting_reply_since == Some(sent_at) && now <= sent_at + HEARTBEAT_TIMEOUT;
         if now < worker.hung_until || !is_awaited || worker.session != session {
             return;
         }
-        if let Some(commands) = worker.handle_response(now, sent_at, node, outcome) {
+        if let Some(commands) = worker.handle_reply(now, sent_at, node, outcome) {
             worker.execute(machine, &commands, now, image_fetch_time, &self.jobs);
         }
     }
--- a/src/controller/tests/simulation/faults.rs
+++ b/src/controller/tests/simulation/faults.rs
@@ -14,7 +14,7 @@
     pub node: usize,
 }
 
-/// Faults of the network, the cloud, the controllers and the answers of the store. Faults of individual workers are fields of
+/// Faults of the network, the cloud, the controllers and the responses of the store. Faults of individual workers are fields of
 /// [`Worker`], those of individual processes are fields of [`Node`](super::cluster::Node), and the store holds its outage and
 /// its refusals.
 pub(crate) struct Faults {
@@ -24,9 +24,9 @@
     pub peers_cut_until: Timestamp,
     /// The isolated zone, if any.
     pub isolated_zone: Option<IsolatedZone>,
-    /// Controllers that reach no worker.
+    /// Controllers that reach no worker and are reached by none.
     pub cut_from_workers: BTreeSet<usize>,
-    /// Controllers that reach no other controller.
+    /// Controllers that reach no other controller and are reached by none.
     pub cut_from_peers: BTreeSet<usize>,
     /// Pairs of controllers; the first does not reach the second.
     pub cut_paths: BTreeSet<(usize, usize)>,
@@ -38,8 +38,8 @@
     pub min_command_delay: Duration,
     /// Time that a controller takes to open a connection to a worker.
     pub connection_delay: Duration,
-    /// Duration of a pause, if not zero, between the next decision to start tasks and the sending of the starts. It pauses the
-    /// deciding controller, once.
+    /// If not zero, the next controller that decides to start tasks is paused for this time before it sends the starts, and the
+    /// value is reset to zero.
     pub pause_before_send: Duration,
     /// Probability that a transaction is not answered and committed later.
     pub late_write_probability: f64,
@@ -159,7 +159,7 @@
         self.worker_mut(machine).hung_until = until;
     }
 
-    /// Drops all messages to a worker for a time: responses to its heartbeats, and direct commands.
+    /// Drops all messages to a worker for a time: replies to its heartbeats, and direct commands.
     pub(crate) fn drop_worker_inbound(&mut self, machine: &str, duration: Duration) {
         let until = self.now() + duration;
         self.worker_mut(machine).inbound_dropped_until = until;
--- a/src/controller/tests/simulation/invariants.rs
+++ b/src/controller/tests/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! The safety rules, checked after each step and at each event that could violate one.
+//! The safety invariants, checked after each step and at each event that could violate one.
 
 use super::Simulation;
 use crate::protocol::{split_task, Change, Command, Txn};
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time after the confirmation of a cancellation at which no task of the job may run: `cancel_s` of the tests' settings.
+/// Time after the confirmation of a cancellation within which all tasks of the job must end: `cancel_s` of the tests' settings.
 pub(crate) const CANCELLATION_DEADLINE: Duration = Duration::from_secs(42);
 
 /// Tolerance for rounding errors in a sum of CPUs.
@@ -47,13 +47,13 @@
 }
 
 impl Simulation {
-    /// Records the violation of a rule.
+    /// Records the violation of an invariant.
     pub(super) fn record_violation(&mut self, description: impl std::fmt::Display) {
         let violation = format!("{}: {description}", self.now().as_millis());
         self.violations.push(violation);
     }
 
-    /// Asserts that no rule was violated so far.
+    /// Asserts that no invariant was violated so far.
     pub(crate) fn assert_no_violations(&self) {
         assert!(self.violations.is_empty(), "{:#?}", self.violations);
     }
--- a/src/controller/tests/simulation/mod.rs
+++ b/src/controller/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! A deterministic simulator of a cluster with a simulated clock that advances in fixed steps.
 //!
 //! The controllers are real [`ControllerState`]s. The simulator replaces everything around them, executes their requests as the
-//! controller's loops do, and checks the safety rules after each step. All randomness comes from one seeded generator, so a
+//! controller's loops do, and checks the safety invariants after each step. All randomness comes from one seeded generator, so a
 //! seed always produces the same run.
 //!
 //! | module | contents |
@@ -14,7 +14,7 @@
 //! | [`cloud`] | the rental, boot and release of machines |
 //! | [`users`] | submissions and cancellations, and the actual progress of each job |
 //! | [`faults`] | the faults in effect, including which processes reach each other |
-//! | [`invariants`] | the safety rules |
+//! | [`invariants`] | the safety invariants |
 //! | [`settling`] | the liveness check: every job settles once all faults have ended |
 
 mod cloud;
@@ -73,15 +73,15 @@
     pub nodes: Vec<Node>,
     /// The workers, by name of their machine.
     pub workers: BTreeMap<String, Worker>,
-    /// The jobs that users have submitted, by ID.
+    /// The jobs that users have submitted, by id.
     pub jobs: BTreeMap<String, SubmittedJob>,
     /// The faults in effect.
     pub faults: Faults,
-    /// Descriptions of the rule violations so far, each with its time in milliseconds.
+    /// Descriptions of the violations so far, each with its time in milliseconds.
     pub violations: Vec<String>,
     /// Time that a worker takes to fetch the image of a task before the task runs.
     pub image_fetch_time: Duration,
-    /// Time until the answer to a write of the start log arrives.
+    /// Time until the response to a write of the start log arrives.
     pub start_log_write_latency: Duration,
     cloud: Cloud,
     network: Network,
--- a/src/controller/tests/simulation/network.rs
+++ b/src/controller/tests/simulation/network.rs
@@ -11,7 +11,7 @@
 /// Time for which a controller waits for the response to direct commands.
 pub(super) const DIRECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for which a worker waits for the response to a heartbeat.
+/// Time for which a worker waits for the reply to a heartbeat.
 pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Direct commands, with the controller's process and the term in which they were decided.
@@ -30,11 +30,11 @@
     Heartbeat {
         node: usize,
         report: WorkerStatus,
-        /// Whether the response is discarded, because the heartbeat is a duplicate or the worker no longer waits for it.
-        response_discarded: bool,
+        /// Whether the reply is discarded, because the heartbeat is a duplicate or the worker no longer waits for it.
+        reply_discarded: bool,
     },
-    /// The response to a heartbeat on its way to the worker.
-    HeartbeatResponse {
+    /// The reply to a heartbeat on its way to the worker.
+    HeartbeatReply {
         machine: String,
         session: u64,
         sent_at: Timestamp,
--- a/src/controller/tests/simulation/settling.rs
+++ b/src/controller/tests/simulation/settling.rs
@@ -52,7 +52,7 @@
             + RECOVERY_TIME
     }
 
-    /// Runs until all jobs have settled. Records a violation if they have not settled within a time.
+    /// Runs until all jobs have settled. Records a violation if they have not settled within the given time.
     pub(crate) fn settle(&mut self, within: Duration) {
         let until = self.now() + within;
         loop {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Runs until all jobs have settled, and asserts that they did so in time and that no rule was violated.
+    /// Runs until all jobs have settled, and asserts that they did so in time and that no invariant was violated.
     pub(crate) fn assert_settles(mut self) {
         self.settle(SETTLE_TIMEOUT);
         self.assert_no_violations();
--- a/src/controller/tests/simulation/store.rs
+++ b/src/controller/tests/simulation/store.rs
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Grants a lease and returns its ID.
+    /// Grants a lease and returns its id.
     pub(super) fn grant_lease(&mut self, now: Timestamp, ttl: Duration) -> u64 {
         self.last_lease += 1;
         let lease = StoreLease {
--- a/src/controller/tests/simulation/workers/commands.rs
+++ b/src/controller/tests/simulation/workers/commands.rs
@@ -1,4 +1,4 @@
-//! Execution of commands by a worker, whether they arrive directly or in the response to a heartbeat.
+//! Execution of commands by a worker, whether they arrive directly or in the reply to a heartbeat.
 
 use super::super::users::SubmittedJob;
 use super::{Attempt, Worker, CHANGE_HEARTBEAT_DELAY};
--- a/src/controller/tests/simulation/workers/mod.rs
+++ b/src/controller/tests/simulation/workers/mod.rs
@@ -1,6 +1,6 @@
 //! The workers: one for each machine, with a session, a lease, a fencing token and task attempts.
 //!
-//! A worker has at most one heartbeat in flight. If no response has renewed its lease in time, it kills its tasks and begins a
+//! A worker has at most one heartbeat in flight. If no reply has renewed its lease in time, it kills its tasks and begins a
 //! new session. [`delivery`](super::delivery) delivers messages to it, and [`commands`] executes its commands.
 
 mod commands;
@@ -33,7 +33,7 @@
 /// Delay before a worker that was redirected to the leader sends it a heartbeat.
 const REDIRECT_DELAY: Duration = Duration::from_millis(300);
 
-/// Maximum delay of a heartbeat that is answered. After a longer delay, the worker no longer waits for the response.
+/// Maximum delay of a heartbeat that is answered. After a longer delay, the worker no longer waits for the reply.
 const MAX_ANSWERED_DELAY: Duration = Duration::from_secs(4);
 
 /// Range of the delay of a duplicate heartbeat, in milliseconds.
@@ -80,7 +80,7 @@
     pub(super) node: usize,
     next_heartbeat_at: Timestamp,
     /// Time at which the heartbeat in flight was sent.
-    pub(super) awaiting_response_since: Option<Timestamp>,
+    pub(super) awaiting_reply_since: Option<Timestamp>,
     /// Time until which the worker hangs.
     pub hung_until: Timestamp,
     /// Time until which messages to the worker are lost.
@@ -103,7 +103,7 @@
             attempts: BTreeMap::new(),
             node,
             next_heartbeat_at: up_at,
-            awaiting_response_since: None,
+            awaiting_reply_since: None,
             hung_until: Timestamp::ZERO,
             inbound_dropped_until: Timestamp::ZERO,
             heartbeats_dropped_until: Timestamp::ZERO,
@@ -157,7 +157,7 @@
         self.attempts.clear();
         self.session += 1;
         self.lease_renewed_at = now;
-        self.awaiting_response_since = None;
+        self.awaiting_reply_since = None;
     }
 
     /// Delays all attempts by a step: tasks make no progress while their worker hangs.
@@ -194,28 +194,28 @@
         started
     }
 
-    /// Switches to the next controller if the response to the heartbeat in flight is overdue.
+    /// Switches to the next controller if the reply to the heartbeat in flight is overdue.
     fn time_out_heartbeat(&mut self, now: Timestamp) {
         let expired = |sent_at: Timestamp| now > sent_at + HEARTBEAT_TIMEOUT;
-        if self.awaiting_response_since.is_some_and(expired) {
-            self.awaiting_response_since = None;
+        if self.awaiting_reply_since.is_some_and(expired) {
+            self.awaiting_reply_since = None;
             self.node = (self.node + 1) % NODES;
             self.next_heartbeat_at = now + RETRY_DELAY;
         }
     }
 
-    /// Handles the response to a heartbeat. Returns the commands to execute, if the response renewed the lease.
-    pub(super) fn handle_response(
+    /// Handles the reply to a heartbeat. Returns the commands to execute, if the reply renewed the lease.
+    pub(super) fn handle_reply(
         &mut self,
         now: Timestamp,
         sent_at: Timestamp,
         node: usize,
         outcome: HeartbeatOutcome,
     ) -> Option<Vec<Command>> {
-        self.awaiting_response_since = None;
+        self.awaiting_reply_since = None;
         match outcome {
             HeartbeatOutcome::Reply(HeartbeatReply { token, commands }) => {
-                // A lower token than the highest one seen belongs to an earlier leader.
+                // A token below the highest one seen is out of date, as that of an earlier leader is. The reply is dropped.
                 if token < self.token {
                     return None;
                 }
@@ -267,7 +267,7 @@
         }
         let started = worker.advance_attempts(now, &mut self.jobs);
         worker.time_out_heartbeat(now);
-        if worker.awaiting_response_since.is_none() && now >= worker.next_heartbeat_at {
+        if worker.awaiting_reply_since.is_none() && now >= worker.next_heartbeat_at {
             worker.next_heartbeat_at = now + interval;
             self.send_heartbeat(machine);
         }
@@ -280,7 +280,7 @@
     fn send_heartbeat(&mut self, machine: &str) {
         let now = self.now();
         let worker = self.workers.get_mut(machine).unwrap();
-        worker.awaiting_response_since = Some(now);
+        worker.awaiting_reply_since = Some(now);
         let node = worker.node;
         let lost = now < worker.heartbeats_dropped_until
             || !self.faults.node_reaches_zone(node, &worker.zone);
@@ -295,17 +295,17 @@
             let duplicate = Message::Heartbeat {
                 node: self.rng.gen_range(0..NODES),
                 report: report.clone(),
-                response_discarded: true,
+                reply_discarded: true,
             };
             self.send(delay, duplicate);
         }
-        let response_discarded = delay > MAX_ANSWERED_DELAY;
+        let reply_discarded = delay > MAX_ANSWERED_DELAY;
         self.send(
             STEP + delay,
             Message::Heartbeat {
                 node,
                 report,
-                response_discarded,
+                reply_discarded,
             },
         );
     }
