--- a/src/scheduler/machines/lease.rs
+++ b/src/scheduler/machines/lease.rs
@@ -4,7 +4,7 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// The clocks of leader and worker drift apart by at most the length of a lease divided by this number.
+/// Assumed bound on the drift between the clocks of leader and worker during a lease, as a divisor of the lease.
 const DRIFT_DIVISOR: u32 = 500;
 /// Safety margin added to the clock drift.
 const LEASE_MARGIN: Duration = Duration::from_millis(500);
@@ -72,9 +72,9 @@
         now > began_at + lease + lease / DRIFT_DIVISOR + LEASE_MARGIN
     }
 
-    /// Reports whether more than half of the lease has passed since it was last renewed. The machine should then get no more
+    /// Reports whether the lease has not been renewed for more than half of its duration. The machine should then get no more
     /// work: if only direct commands reach it, which renew no lease, it is about to lose its tasks.
-    pub(in crate::scheduler) fn is_half_over(&self, lease: Duration, now: Timestamp) -> bool {
+    pub(in crate::scheduler) fn is_renewal_overdue(&self, lease: Duration, now: Timestamp) -> bool {
         now > self.renewed_at + lease / 2
     }
 }
--- a/src/scheduler/machines/machine.rs
+++ b/src/scheduler/machines/machine.rs
@@ -150,7 +150,7 @@
     fn is_responsive(&self, lease: Duration, heartbeat_interval: Duration, now: Timestamp) -> bool {
         self.contact.acknowledges_token()
             && !self.contact.is_silent_for(heartbeat_interval * 3, now)
-            && !self.lease.is_half_over(lease, now)
+            && !self.lease.is_renewal_overdue(lease, now)
     }
 
     /// Reports whether the machine drains only because it is surplus, so that it may be returned to use.
