--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Marks machines that are not needed or have not come up for release, and avoids the offers of the latter if they are
-    /// doubtful.
+    /// Marks machines that are not needed or have not come up for release, and avoids the offers of the latter, unless a machine
+    /// of the offer that was rented at the same time or later has come up.
     fn release_unneeded(
         &mut self,
         scheduler: &mut Scheduler,
@@ -148,8 +148,8 @@
         now: Timestamp,
     ) {
         let reserves = self.demand_history.reserves(horizon);
-        for doubtful in scale_in::release_unneeded(scheduler, &reserves, idle_limit, now) {
-            self.offers.avoid(doubtful.offer, doubtful.avoid_for, now);
+        for to_avoid in scale_in::release_unneeded(scheduler, &reserves, idle_limit, now) {
+            self.offers.avoid(to_avoid.offer, to_avoid.avoid_for, now);
         }
     }
 
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns the machine with the most expensive unused capacity, among the machines that have been known for longer than
-    /// `window` and that can be spared.
+    /// `window`, on which services use few CPUs, and that can be spared.
     pub(super) fn surplus_machine(
         &self,
         scheduler: &Scheduler,
@@ -83,8 +83,8 @@
             .map(|machine| machine.machine)
     }
 
-    /// Reports whether the other machines cover the peak of demand. Without an on-demand machine, those of its zone must also
-    /// cover the peak of services there, and the reserve must remain free.
+    /// Reports whether the other machines cover the peak of demand. If the machine is an on-demand machine, the other on-demand
+    /// machines of its zone must also cover the peak of services there, and the reserve of the zone must remain free.
     fn can_spare(&self, machine: &Utilization) -> bool {
         let Offer { zone, spot, .. } = machine.offer;
         if self.cpus - machine.cpus < self.peak {
@@ -107,21 +107,21 @@
     hourly_price(machine_type, machine.offer.spot) * (1.0 - used)
 }
 
-/// An offer whose machines may not come up: the boot of one has timed out, and no machine of the offer that was rented at the
-/// same time or later has come up, see [`Scheduler::abandon_boot`].
-pub(super) struct DoubtfulOffer {
+/// An offer to avoid for a time, because its machines may not come up: the boot of one has timed out, and no machine of the
+/// offer that was rented at the same time or later has come up, see [`Scheduler::abandon_boot`].
+pub(super) struct OfferToAvoid {
     pub(super) offer: Offer,
     /// Time for which to avoid the offer.
     pub(super) avoid_for: Duration,
 }
 
-/// Marks machines that are drained, idle or have not come up for release. Returns the doubtful offers.
+/// Marks machines that are drained, idle or have not come up for release. Returns the offers to avoid.
 pub(super) fn release_unneeded(
     scheduler: &mut Scheduler,
     reserves: &CpusByZone,
     idle_limit: Duration,
     now: Timestamp,
-) -> Vec<DoubtfulOffer> {
+) -> Vec<OfferToAvoid> {
     let mut free = FreeCapacity::new(scheduler, reserves);
     let (mut unneeded, mut overdue) = (Vec::new(), Vec::new());
     for (index, machine) in scheduler.machines() {
@@ -138,7 +138,7 @@
         .into_iter()
         .filter_map(|index| scheduler.abandon_boot(index));
     abandoned
-        .map(|(offer, avoid_for)| DoubtfulOffer { offer, avoid_for })
+        .map(|(offer, avoid_for)| OfferToAvoid { offer, avoid_for })
         .collect()
 }
 
--- a/src/scheduler/machines/boot_times.rs
+++ b/src/scheduler/machines/boot_times.rs
@@ -116,9 +116,9 @@
         boot.timeout_factor = 1;
     }
 
-    /// Records that a machine that was rented at `rented_at` has timed out. Returns true if the offer is doubtful: no machine
-    /// of it that was rented at the same time or later has come up. The timeout is then extended, unless that has been done
-    /// since the machine was rented: other timeouts of the same request provide no new information.
+    /// Records that a machine that was rented at `rented_at` has timed out. Returns true if the offer is to be avoided
+    /// because no machine of it that was rented at the same time or later has come up. The timeout is then extended, unless that
+    /// has been done since the machine was rented: other timeouts of the same request provide no new information.
     pub(super) fn record_timeout(
         &mut self,
         offer: Offer,
--- a/src/scheduler/machines/boot_times/tests.rs
+++ b/src/scheduler/machines/boot_times/tests.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_offer_is_doubtful_only_if_no_machine_rented_as_recently_has_come_up() {
+fn an_offer_is_to_be_avoided_only_if_no_machine_rented_as_recently_has_come_up() {
     let mut boots = BootTimes::default();
     boots.record_boot(offer(), NOMINAL, at(5000), ms(40_000));
     // A machine of the same request as the one that came up.
--- a/src/scheduler/machines/lifecycle.rs
+++ b/src/scheduler/machines/lifecycle.rs
@@ -112,18 +112,18 @@
             && machine.boot.age(self.now()) > self.boot_times.timeout(offer, nominal_ms)
     }
 
-    /// Marks a machine that has not come up for release. If its offer has become doubtful, returns the offer and for how long
-    /// to avoid it: the age of the machine, which is the time that it took to find out.
+    /// Marks a machine that has not come up for release. If its offer is to be avoided, returns the offer and for how long to
+    /// avoid it: the age of the machine, which is the time that it took to find out.
     pub fn abandon_boot(&mut self, index: MachineIndex) -> Option<(Offer, Duration)> {
         let now = self.now();
         let machine = &self.machines[index];
         let (offer, age) = (machine.offer(), machine.boot.age(now));
         let nominal_ms = self.machine_types.nominal_boot_ms(offer.machine_type);
-        let is_doubtful =
+        let is_to_be_avoided =
             self.boot_times
                 .record_timeout(offer, nominal_ms, machine.boot.rented_at(), now);
         self.set_machine_state(index, MachineState::Releasing, "boot timed out");
-        is_doubtful.then_some((offer, age))
+        is_to_be_avoided.then_some((offer, age))
     }
 
     /// Marks a machine as up when its first heartbeat under the current token arrives.
