--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum Problem {
-    /// The value is 0 or less, or not finite.
+    /// A value in the platform's file is 0 or less, or not finite.
     #[error("must be a number above 0")]
     NotPositive,
     /// The limit on the changes of a transaction is below the number that the leader needs.
@@ -82,7 +82,7 @@
     /// The value is below 1 or not finite.
     #[error("must be at least 1")]
     BelowOne,
-    /// The value is 0 or less, or not finite.
+    /// A value in the operators' file is 0 or less, or not finite.
     #[error("must be above 0")]
     NotAboveZero,
     /// The value is negative or not finite.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -23,8 +23,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Factor by which a worker's lease, which is timed by the clocks of two machines, may be extended by clock drift. The clocks of
-/// two machines may drift apart by up to 0.05%.
+/// Assumed maximum factor by which clock drift extends a worker's lease, which is timed by the clocks of two machines. Clocks may
+/// drift by up to 0.05%; the factor allows for twice as much.
 const CLOCK_DRIFT_FACTOR: f64 = 1.001;
 /// Constant part of the margin in [`Settings::grace_period`], in seconds.
 const STOP_MARGIN_S: f64 = 1.5;
@@ -75,7 +75,7 @@
     #[must_use]
     pub fn grace_period(&self) -> Duration {
         let workers = &self.platform.deployment.workers;
-        // Covers the leader lease and, for stop commands that are sent late, two heartbeats and their responses.
+        // Covers the leader lease and, for stop commands that are sent late, two heartbeats and their replies.
         let margin = self.operator.leader_lease_s + STOP_MARGIN_S + 2.0 * workers.report_s;
         duration_from_secs(workers.cancel_s - workers.lease_s * CLOCK_DRIFT_FACTOR - margin)
     }
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn validation_names_the_invalid_field() {
+fn validation_names_the_invalid_field_and_decoding_rejects_deep_nesting() {
     let spec = crate::scheduler::tests::spec("wk-7", 1);
     for (invalid, field) in [
         (
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn changes_and_events_keep_their_wire_names() {
+fn a_transaction_has_its_wire_names_and_a_heartbeat_reply_is_decoded_as_encoded() {
     let txn = Txn {
         guards: vec![Guard {
             key: "a/b".into(),
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -60,7 +60,7 @@
     /// The task was told to stop and is saving a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// The task has ended, for an [`ExitReason`].
+    /// The task has ended. An [`ExitReason`] tells why.
     #[serde(rename = "exited")]
     Exited,
     /// Any state that this version does not know.
@@ -224,7 +224,7 @@
     pub commands: Vec<Command>,
 }
 
-/// The response to a heartbeat by a controller that does not lead: tells the worker where to send its heartbeats.
+/// The reply to a heartbeat by a controller that does not lead. Tells the worker where to send its heartbeats.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Redirect {
     /// Name of the leader, if it is known.
