--- a/tests/compat/peers.rs
+++ b/tests/compat/peers.rs
@@ -6,7 +6,7 @@
 };
 use hollowswitch::store::{Epoch, Revision};
 
-/// View of a follower: node, epoch, revision, whether the store is reachable. The last two fields are absent.
+/// View of a follower: name of the controller, epoch, revision, whether the store is reachable. The last two fields are absent.
 const FOLLOWER_VIEW: &[u8] = b"\x08\0\0\0\0\0\0\0drover-1\
     \x07\0\0\0\0\0\0\0\
     \x02\x01\0\0\0\0\0\0\
@@ -30,7 +30,7 @@
     \x05\0\0\0\0\0\0\0wk-22\xa0\x86\x01\0\x00\0\0\0\x01\0\0\0";
 
 /// Response to a notification of cancelled jobs: the revision that the peer's replica of the store has reached.
-const CANCELLATIONS_REPLY: &[u8] = b"\x03\x01\0\0\0\0\0\0";
+const CANCELLATIONS_RESPONSE: &[u8] = b"\x03\x01\0\0\0\0\0\0";
 
 fn task_counts(job: &str, done: u32, running: u32) -> JobTaskCounts {
     JobTaskCounts {
@@ -110,9 +110,9 @@
 
 #[test]
 fn the_response_to_cancellations_is_encoded_and_decoded() {
-    assert_eq!(encode(&Revision::new(259)), CANCELLATIONS_REPLY);
+    assert_eq!(encode(&Revision::new(259)), CANCELLATIONS_RESPONSE);
     assert_eq!(
-        decode::<Revision>(CANCELLATIONS_REPLY),
+        decode::<Revision>(CANCELLATIONS_RESPONSE),
         Some(Revision::new(259))
     );
 }
@@ -121,5 +121,5 @@
 fn a_truncated_message_is_rejected() {
     assert!(decode::<View>(&FOLLOWER_VIEW[..FOLLOWER_VIEW.len() - 1]).is_none());
     assert!(decode::<Cancelled>(&CANCELLATIONS[..CANCELLATIONS.len() - 1]).is_none());
-    assert!(decode::<Revision>(&CANCELLATIONS_REPLY[..7]).is_none());
+    assert!(decode::<Revision>(&CANCELLATIONS_RESPONSE[..7]).is_none());
 }
--- a/tests/compat/state_service.rs
+++ b/tests/compat/state_service.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn every_field_of_a_watch_response_is_decoded_and_encoded() {
+fn every_field_of_a_watch_reply_is_decoded_and_encoded() {
     let literal = message!({"ledger" => 433, "events" => [
         {"put" => "c/9", "v" => {"x" => 1}, "stamp" => 433}, {"drop" => "c/d", "stamp" => 432}]});
     let watched = decode_value::<WatchReply>(&literal);
--- a/tests/compat/stored_records/mod.rs
+++ b/tests/compat/stored_records/mod.rs
@@ -135,7 +135,7 @@
     parts.concat()
 }
 
-/// Returns a replica that has applied the response of a watch at revision 100. `events` is the CBOR array of its events.
+/// Returns a replica that has applied the reply to a watch request at revision 100. `events` is the CBOR array of its events.
 fn replica_after(events: &[u8]) -> Replica {
     let response = concat(&[b"\xa2\x66ledger\x18\x64\x66events", events]);
     let watched: WatchReply = decode(&response).unwrap();
--- a/tests/compat/stored_records/written.rs
+++ b/tests/compat/stored_records/written.rs
@@ -110,7 +110,7 @@
     let claimant = leader_record("drover-0", 77);
     let (txn, _) = claim_txn(&replica, &claimant, 88).unwrap();
     assert_eq!(encode(&txn), expected(0));
-    // The leader key still belongs to an earlier process of the same node.
+    // The leader key still belongs to an earlier process of the same controller.
     replica.leader = Some(Versioned {
         record: leader_record("drover-0", 76),
         version: Revision::new(8),
--- a/tests/compat/workers.rs
+++ b/tests/compat/workers.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_eviction_notice_may_be_null_or_absent() {
+fn a_termination_notice_may_be_null_or_absent() {
     let expected = WorkerStatus {
         termination_notice_s: None,
         ..worker_status()
@@ -304,9 +304,9 @@
 }
 
 #[test]
-fn a_redirect_contains_a_node_or_none() {
-    let redirect_to = |node: Option<&str>| Redirect {
-        leader: node.map(String::from),
+fn a_redirect_names_the_leader_or_nobody() {
+    let redirect_to = |leader: Option<&str>| Redirect {
+        leader: leader.map(String::from),
     };
     assert_eq!(
         encode_to_value(&redirect_to(Some("drover-2"))),
@@ -317,13 +317,13 @@
     let named = hex("a1 67 666f72656d616e 68 64726f7665722d32");
     assert_eq!(encode(&redirect_to(Some("drover-2"))), named);
     assert_eq!(encode(&redirect_to(None)), hex("a0"));
-    let decode_target = |literal: Value| decode_value::<Redirect>(&literal).leader;
+    let decode_leader = |literal: Value| decode_value::<Redirect>(&literal).leader;
     assert_eq!(
-        decode_target(message!({"foreman" => "drover-2"})).as_deref(),
+        decode_leader(message!({"foreman" => "drover-2"})).as_deref(),
         Some("drover-2")
     );
-    assert_eq!(decode_target(message!({"foreman" => null})), None);
-    assert_eq!(decode_target(message!({})), None);
+    assert_eq!(decode_leader(message!({"foreman" => null})), None);
+    assert_eq!(decode_leader(message!({})), None);
 }
 
 #[test]
