--- a/benches/load/http.rs
+++ b/benches/load/http.rs
@@ -24,7 +24,7 @@
     stream.write_all(&message).await.ok()
 }
 
-/// Writes a response that announces the end of the connection.
+/// Writes a response with the header `Connection: close`.
 pub(crate) async fn write_response(stream: &mut TcpStream, status: u16, body: &[u8]) -> Option<()> {
     let head = format!(
         "HTTP/1.1 {status} OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
--- a/benches/load/worker/mod.rs
+++ b/benches/load/worker/mod.rs
@@ -21,7 +21,7 @@
 /// Delay after a failed heartbeat before the next one is sent, to another controller.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Settings, which all workers share.
+/// Settings that all workers share.
 #[derive(Clone)]
 pub(crate) struct Settings {
     /// The controllers.
