--- a/src/autoscaler/headroom.rs
+++ b/src/autoscaler/headroom.rs
@@ -20,11 +20,11 @@
 pub(super) const MILLI_PER_CPU: f64 = 1000.0;
 
 /// Thousandths of CPUs by zone.
-pub(super) type CpusByZone = HashMap<ZoneIndex, u64>;
+pub(super) type CpuMilliByZone = HashMap<ZoneIndex, u64>;
 
 /// Returns the CPUs of a zone, 0 if the map does not contain it.
-pub(super) fn cpus_in(cpus: &CpusByZone, zone: ZoneIndex) -> u64 {
-    cpus.get(&zone).copied().unwrap_or(0)
+pub(super) fn cpu_milli_in(cpu_milli: &CpuMilliByZone, zone: ZoneIndex) -> u64 {
+    cpu_milli.get(&zone).copied().unwrap_or(0)
 }
 
 /// The demand at one time, or the maximum of each amount within [`SAMPLE_LENGTH`].
@@ -36,7 +36,7 @@
     /// CPUs that the services of all unfinished jobs request.
     services: u64,
     /// CPUs that replicas of services occupy in each zone.
-    placed_services: CpusByZone,
+    placed_services: CpuMilliByZone,
 }
 
 impl DemandSample {
@@ -47,7 +47,10 @@
         demands: &[UnmetDemand],
         now: Timestamp,
     ) -> DemandSample {
-        let used: u64 = utilization.iter().map(|machine| machine.used_cpus).sum();
+        let used: u64 = utilization
+            .iter()
+            .map(|machine| machine.used_cpu_milli)
+            .sum();
         let unmet: u64 = demands
             .iter()
             .map(|demand| demand.task_resources.cpu_milli * u64::from(demand.tasks))
@@ -69,17 +72,17 @@
     }
 }
 
-/// Merges another map into `cpus`, which keeps the maximum for each zone.
-fn merge_max(cpus: &mut CpusByZone, other: &CpusByZone) {
-    for (zone, other_cpus) in other {
-        let maximum = cpus.entry(*zone).or_default();
-        *maximum = (*maximum).max(*other_cpus);
+/// Merges another map into `cpu_milli`, which keeps the maximum for each zone.
+fn merge_max(cpu_milli: &mut CpuMilliByZone, other: &CpuMilliByZone) {
+    for (zone, other_cpu_milli) in other {
+        let maximum = cpu_milli.entry(*zone).or_default();
+        *maximum = (*maximum).max(*other_cpu_milli);
     }
 }
 
 /// Adds the headroom of [`HEADROOM_FACTOR`].
-fn with_headroom(cpus: u64) -> u64 {
-    super::floor_to_u64(cpus as f64 * HEADROOM_FACTOR)
+fn with_headroom(cpu_milli: u64) -> u64 {
+    super::floor_to_u64(cpu_milli as f64 * HEADROOM_FACTOR)
 }
 
 /// Samples of recent demand, oldest first.
@@ -110,10 +113,10 @@
     }
 
     /// Returns the CPUs that cover the recent peak of placed services in each zone, with headroom.
-    pub(super) fn zone_peaks(&self) -> CpusByZone {
+    pub(super) fn zone_peaks(&self) -> CpuMilliByZone {
         let mut peaks = self.largest_placed_services();
-        for cpus in peaks.values_mut() {
-            *cpus = with_headroom(*cpus);
+        for cpu_milli in peaks.values_mut() {
+            *cpu_milli = with_headroom(*cpu_milli);
         }
         peaks
     }
@@ -124,13 +127,13 @@
     /// The rise is computed from the requests of jobs and not from the tasks that machines report. Otherwise the replicas that
     /// reappear after a failover, or when a zone becomes reachable again, would count as new ones, and capacity for as many
     /// more would be rented.
-    pub(super) fn reserves(&self, horizon: Duration) -> CpusByZone {
+    pub(super) fn reserves(&self, horizon: Duration) -> CpuMilliByZone {
         let rise = self.largest_service_rise(horizon);
         let mut shares = self.largest_placed_services();
         let sum = shares.values().sum::<u64>().max(1);
-        for cpus in shares.values_mut() {
-            let share = u128::from(rise) * u128::from(*cpus) / u128::from(sum);
-            *cpus = u64::try_from(share).unwrap_or(u64::MAX);
+        for cpu_milli in shares.values_mut() {
+            let share = u128::from(rise) * u128::from(*cpu_milli) / u128::from(sum);
+            *cpu_milli = u64::try_from(share).unwrap_or(u64::MAX);
         }
         shares
     }
@@ -164,8 +167,8 @@
     }
 
     /// Returns the recent peak of placed services in each zone. Peaks are used so that an isolated zone keeps its share.
-    fn largest_placed_services(&self) -> CpusByZone {
-        let mut largest = CpusByZone::new();
+    fn largest_placed_services(&self) -> CpuMilliByZone {
+        let mut largest = CpuMilliByZone::new();
         for sample in &self.samples {
             merge_max(&mut largest, &sample.placed_services);
         }
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -196,9 +196,9 @@
     for machine in scheduler.utilization() {
         let [machines, cpus, used, services] = by_offer.entry(machine.offer).or_default();
         *machines += 1;
-        *cpus += machine.cpus;
-        *used += machine.used_cpus;
-        *services += machine.service_cpus;
+        *cpus += machine.cpu_milli;
+        *used += machine.used_cpu_milli;
+        *services += machine.service_cpu_milli;
     }
     tracing::debug!(
         pending,
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -2,7 +2,7 @@
 //!
 //! All amounts of CPUs are in thousandths.
 
-use super::headroom::{cpus_in, CpusByZone, DemandHistory};
+use super::headroom::{cpu_milli_in, CpuMilliByZone, DemandHistory};
 use super::scale_out::hourly_price;
 use super::ScalingPolicy;
 use crate::scheduler::{
@@ -27,17 +27,17 @@
 /// Capacity of the machines that accept tasks, and the demand that it has to cover.
 pub(super) struct SpareCapacity {
     /// CPUs of all machines.
-    cpus: u64,
+    cpu_milli: u64,
     /// Recent peak of total demand, with headroom.
     peak: u64,
     /// CPUs of on-demand machines.
-    on_demand_cpus: CpusByZone,
+    on_demand_cpu_milli: CpuMilliByZone,
     /// Recent peaks of placed services, with headroom.
-    zone_peaks: CpusByZone,
+    zone_peaks: CpuMilliByZone,
     /// Free CPUs of on-demand machines.
-    on_demand_free: CpusByZone,
+    on_demand_free: CpuMilliByZone,
     /// Free CPUs to keep for forecast replicas.
-    reserves: CpusByZone,
+    reserves: CpuMilliByZone,
 }
 
 impl SpareCapacity {
@@ -47,16 +47,17 @@
         history: &DemandHistory,
         horizon: Duration,
     ) -> SpareCapacity {
-        let (mut on_demand_cpus, mut on_demand_free) = (CpusByZone::new(), CpusByZone::new());
+        let (mut on_demand_cpu_milli, mut on_demand_free) =
+            (CpuMilliByZone::new(), CpuMilliByZone::new());
         for machine in utilization.iter().filter(|machine| !machine.offer.spot) {
             let zone = machine.offer.zone;
-            *on_demand_free.entry(zone).or_default() += machine.cpus - machine.used_cpus;
-            *on_demand_cpus.entry(zone).or_default() += machine.cpus;
+            *on_demand_free.entry(zone).or_default() += machine.cpu_milli - machine.used_cpu_milli;
+            *on_demand_cpu_milli.entry(zone).or_default() += machine.cpu_milli;
         }
         SpareCapacity {
-            cpus: utilization.iter().map(|machine| machine.cpus).sum(),
+            cpu_milli: utilization.iter().map(|machine| machine.cpu_milli).sum(),
             peak: history.peak(),
-            on_demand_cpus,
+            on_demand_cpu_milli,
             zone_peaks: history.zone_peaks(),
             on_demand_free,
             reserves: history.reserves(horizon),
@@ -77,7 +78,7 @@
         utilization
             .iter()
             .filter(|machine| now > known_since(machine) + window)
-            .filter(|machine| machine.service_cpus * SURPLUS_CPUS_PER_SERVICE_CPU <= machine.cpus)
+            .filter(|m| m.service_cpu_milli * SURPLUS_CPUS_PER_SERVICE_CPU <= m.cpu_milli)
             .filter(|machine| self.can_spare(machine))
             .max_by(|a, b| idle_price(a).total_cmp(&idle_price(b)))
             .map(|machine| machine.machine)
@@ -87,23 +88,23 @@
     /// machines of its zone must also cover the peak of services there, and the reserve of the zone must remain free.
     fn can_spare(&self, machine: &Utilization) -> bool {
         let Offer { zone, spot, .. } = machine.offer;
-        if self.cpus - machine.cpus < self.peak {
+        if self.cpu_milli - machine.cpu_milli < self.peak {
             return false;
         }
         if spot {
             return true;
         }
-        let others_in_zone = cpus_in(&self.on_demand_cpus, zone) - machine.cpus;
-        let kept_free = cpus_in(&self.reserves, zone) + machine.cpus;
-        others_in_zone >= cpus_in(&self.zone_peaks, zone)
-            && cpus_in(&self.on_demand_free, zone) >= kept_free
+        let others_in_zone = cpu_milli_in(&self.on_demand_cpu_milli, zone) - machine.cpu_milli;
+        let kept_free = cpu_milli_in(&self.reserves, zone) + machine.cpu_milli;
+        others_in_zone >= cpu_milli_in(&self.zone_peaks, zone)
+            && cpu_milli_in(&self.on_demand_free, zone) >= kept_free
     }
 }
 
 /// Returns the hourly price of the unused share of a machine.
 fn idle_price(scheduler: &Scheduler, machine: &Utilization) -> f64 {
     let machine_type = scheduler.machine_type(machine.offer.machine_type);
-    let used = machine.used_cpus as f64 / machine.cpus.max(1) as f64;
+    let used = machine.used_cpu_milli as f64 / machine.cpu_milli.max(1) as f64;
     hourly_price(machine_type, machine.offer.spot) * (1.0 - used)
 }
 
@@ -118,7 +119,7 @@
 /// Marks machines that are drained, idle or have not come up for release. Returns the offers to avoid.
 pub(super) fn release_unneeded(
     scheduler: &mut Scheduler,
-    reserves: &CpusByZone,
+    reserves: &CpuMilliByZone,
     idle_limit: Duration,
     now: Timestamp,
 ) -> Vec<OfferToAvoid> {
@@ -163,33 +164,34 @@
 
 /// Free CPUs of the on-demand machines, except for those that are released in this decision.
 struct FreeCapacity<'a> {
-    reserves: &'a CpusByZone,
-    free: CpusByZone,
+    reserves: &'a CpuMilliByZone,
+    free: CpuMilliByZone,
     /// CPUs of each machine that accepts tasks.
-    machine_cpus: HashMap<MachineIndex, u64>,
+    machine_cpu_milli: HashMap<MachineIndex, u64>,
 }
 
 impl<'a> FreeCapacity<'a> {
-    fn new(scheduler: &Scheduler, reserves: &'a CpusByZone) -> FreeCapacity<'a> {
-        let (mut free, mut machine_cpus) = (CpusByZone::new(), HashMap::new());
+    fn new(scheduler: &Scheduler, reserves: &'a CpuMilliByZone) -> FreeCapacity<'a> {
+        let (mut free, mut machine_cpu_milli) = (CpuMilliByZone::new(), HashMap::new());
         for machine in scheduler.utilization() {
-            machine_cpus.insert(machine.machine, machine.cpus);
+            machine_cpu_milli.insert(machine.machine, machine.cpu_milli);
             if !machine.offer.spot {
-                *free.entry(machine.offer.zone).or_default() += machine.cpus - machine.used_cpus;
+                *free.entry(machine.offer.zone).or_default() +=
+                    machine.cpu_milli - machine.used_cpu_milli;
             }
         }
         FreeCapacity {
             reserves,
             free,
-            machine_cpus,
+            machine_cpu_milli,
         }
     }
 
     /// Removes an idle machine from the free capacity if the rest covers the reserve of its zone. Returns whether it did so.
     fn remove_if_spare(&mut self, machine: MachineIndex, zone: ZoneIndex) -> bool {
-        let own = self.machine_cpus.get(&machine).copied().unwrap_or(0);
+        let own = self.machine_cpu_milli.get(&machine).copied().unwrap_or(0);
         let free = self.free.entry(zone).or_default();
-        let is_spare = *free >= cpus_in(self.reserves, zone) + own;
+        let is_spare = *free >= cpu_milli_in(self.reserves, zone) + own;
         if is_spare {
             *free -= own;
         }
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -1,6 +1,6 @@
 //! Scale-out: rental requests for unmet demand and for the forecast headroom.
 
-use super::headroom::{cpus_in, CpusByZone, MILLI_PER_CPU};
+use super::headroom::{cpu_milli_in, CpuMilliByZone, MILLI_PER_CPU};
 use super::offers::OfferBackoffs;
 use crate::clients::cloud::MAX_RENT_COUNT;
 use crate::protocol::MachineType;
@@ -164,19 +164,19 @@
 /// Returns the rental requests for forecast replicas of services, in zones with less free capacity than the reserve.
 pub(super) fn requests_for_headroom(
     scheduler: &Scheduler,
-    reserves: &CpusByZone,
+    reserves: &CpuMilliByZone,
     offers: &OfferBackoffs,
     now: Timestamp,
 ) -> Vec<RentalRequest> {
     let utilization = scheduler.utilization();
-    let coming_up = scheduler.booting_cpus();
+    let coming_up = scheduler.booting_cpu_milli();
     let unreachable = scheduler.unreachable_zones();
     let mut requests = Vec::new();
     for (&zone, reserve) in reserves {
         if unreachable.contains(&zone) {
             continue;
         }
-        let expected = free_cpus(&utilization, zone) + cpus_in(&coming_up, zone);
+        let expected = free_cpu_milli(&utilization, zone) + cpu_milli_in(&coming_up, zone);
         let shortfall = reserve.saturating_sub(expected);
         if shortfall > 0 {
             requests.extend(headroom_request(scheduler, zone, shortfall, offers, now));
@@ -186,20 +186,20 @@
 }
 
 /// Returns the free CPUs on the on-demand machines of a zone, in thousandths.
-fn free_cpus(utilization: &[Utilization], zone: ZoneIndex) -> u64 {
+fn free_cpu_milli(utilization: &[Utilization], zone: ZoneIndex) -> u64 {
     utilization
         .iter()
         .filter(|machine| !machine.offer.spot && machine.offer.zone == zone)
-        .map(|machine| machine.cpus - machine.used_cpus)
+        .map(|machine| machine.cpu_milli - machine.used_cpu_milli)
         .sum()
 }
 
-/// Returns a request for on-demand machines in a zone that together have at least `cpus` thousandths of CPUs, limited to
+/// Returns a request for on-demand machines in a zone that together have at least `cpu_milli` thousandths of CPUs, limited to
 /// [`MAX_RENT_COUNT`] machines. Selects the available machine type with the lowest price per CPU.
 fn headroom_request(
     scheduler: &Scheduler,
     zone: ZoneIndex,
-    cpus: u64,
+    cpu_milli: u64,
     offers: &OfferBackoffs,
     now: Timestamp,
 ) -> Option<RentalRequest> {
@@ -219,7 +219,7 @@
             in_zone(machine_type) && offers.is_available(offer_of(*index), now)
         })
         .min_by(|(_, a), (_, b)| cpu_price(a).total_cmp(&cpu_price(b)))?;
-    let machines = (cpus as f64 / (machine_type.cpus * MILLI_PER_CPU)).ceil();
+    let machines = (cpu_milli as f64 / (machine_type.cpus * MILLI_PER_CPU)).ceil();
     let count = super::floor_to_u64(machines.min(f64::from(MAX_RENT_COUNT)));
     Some(RentalRequest {
         offer: offer_of(index),
--- a/src/scheduler/utilization.rs
+++ b/src/scheduler/utilization.rs
@@ -16,11 +16,11 @@
     /// When the machine became known, in milliseconds of the scheduler's clock.
     pub known_since_ms: u64,
     /// CPUs of the machine, in thousandths.
-    pub cpus: u64,
+    pub cpu_milli: u64,
     /// CPUs in use, in thousandths.
-    pub used_cpus: u64,
+    pub used_cpu_milli: u64,
     /// CPUs in use by services, in thousandths.
-    pub service_cpus: u64,
+    pub service_cpu_milli: u64,
 }
 
 impl Scheduler {
@@ -41,7 +41,7 @@
 
     /// Returns the free CPUs, in thousandths, of on-demand machines that are booting, by zone.
     #[must_use]
-    pub fn booting_cpus(&self) -> HashMap<ZoneIndex, u64> {
+    pub fn booting_cpu_milli(&self) -> HashMap<ZoneIndex, u64> {
         let mut by_zone = HashMap::new();
         for (_, machine) in self.machines() {
             if !machine.is_spot() && self.is_booting(machine) {
@@ -57,7 +57,7 @@
         self.machines()
             .filter(|(_, machine)| machine.is_available())
             .map(|(index, machine)| {
-                let cpus = self
+                let cpu_milli = self
                     .machine_types
                     .capacity(machine.machine_type())
                     .cpu_milli;
@@ -65,9 +65,9 @@
                     machine: index,
                     offer: machine.offer(),
                     known_since_ms: machine.boot.known_since().as_millis(),
-                    cpus,
-                    used_cpus: cpus.saturating_sub(machine.load.free().cpu_milli),
-                    service_cpus: machine.load.service_cpu_milli(),
+                    cpu_milli,
+                    used_cpu_milli: cpu_milli.saturating_sub(machine.load.free().cpu_milli),
+                    service_cpu_milli: machine.load.service_cpu_milli(),
                 }
             })
             .collect()
