--- a/src/scheduler/heartbeat/adoption.rs
+++ b/src/scheduler/heartbeat/adoption.rs
@@ -29,7 +29,7 @@
         );
         // Its entry may no longer be in the start log.
         self.start_log.enqueue(task, machine, attempt);
-        if self.job(task.job).cancelled {
+        if self.job(task.job).is_final {
             self.apply_event(task, TaskEvent::Stop { save: false });
         }
     }
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -26,7 +26,7 @@
         let job = self.job(task.job);
         let has_result = reason == Some(ExitReason::Done)
             && job.record.spec.kind != JobKind::Service
-            && !job.cancelled;
+            && !job.is_final;
         if has_result {
             return self.handle_result(machine, task, active);
         }
--- a/src/scheduler/heartbeat/reconciliation.rs
+++ b/src/scheduler/heartbeat/reconciliation.rs
@@ -68,11 +68,11 @@
         );
     }
 
-    /// Reports whether a listed task belongs to a job that may no longer run, because it is cancelled or was removed from the
+    /// Reports whether a listed task belongs to a job that may no longer run, because it is final or was removed from the
     /// store before this epoch began.
     fn job_has_ended(&self, status: &TaskStatus) -> bool {
         let job = split_task(&status.task).and_then(|(job, _)| self.jobs.index_of(job));
-        job.is_none_or(|job| self.job(job).cancelled)
+        job.is_none_or(|job| self.job(job).is_final)
     }
 
     /// Returns the task with this name, if its job is known.
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -18,7 +18,7 @@
 /// A task that has been running for longer than this shows that its job works.
 const MIN_WORKING_RUN: Duration = Duration::from_secs(30);
 
-/// An unfinished job, or a cancelled job with tasks that may still be running.
+/// An unfinished job, or a final job with tasks that may still be running.
 pub struct Job {
     /// The job's record in the store.
     pub record: JobRecord,
@@ -36,8 +36,8 @@
     pub(super) machine_types: Option<Vec<MachineTypeIndex>>,
     /// Required zone; `None` allows any.
     pub(super) zone: Option<ZoneIndex>,
-    /// Whether the job is cancelled or was made final: its active tasks are being stopped and none is placed.
-    pub(super) cancelled: bool,
+    /// Whether the job has a final state, cancelled or done: its active tasks are being stopped and none is placed.
+    pub(super) is_final: bool,
     /// Tasks that have finished.
     pub(super) done: TaskBitmap,
     /// Finished tasks whose result is stored durably.
@@ -90,7 +90,7 @@
             task_resources: placement.task_resources,
             machine_types: placement.machine_types,
             zone: placement.zone,
-            cancelled: false,
+            is_final: false,
             saved: results.clone(),
             done: results,
             active: BTreeMap::new(),
@@ -131,14 +131,14 @@
         self.done.count() == self.tasks()
     }
 
-    /// Returns the number of tasks that are neither done nor active; 0 for a cancelled job.
+    /// Returns the number of tasks that are neither done nor active; 0 for a final job.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
         reason = "no more tasks are active than the job has"
     )]
     pub fn pending(&self) -> u32 {
-        if self.cancelled {
+        if self.is_final {
             return 0;
         }
         self.unfinished() - self.active.len() as u32
--- a/src/scheduler/job_table.rs
+++ b/src/scheduler/job_table.rs
@@ -28,7 +28,7 @@
     pub bits: Vec<u8>,
 }
 
-/// All unfinished jobs, and cancelled jobs with tasks that may still be running.
+/// All unfinished jobs, and final jobs with tasks that may still be running.
 #[derive(Default)]
 pub(super) struct JobTable {
     jobs: Table<JobIndex, Option<Job>>,
@@ -106,9 +106,9 @@
         self.by_submission[position]
     }
 
-    /// Returns the cancelled jobs whose tasks are all proven gone.
+    /// Returns the final jobs whose tasks are all proven gone.
     pub(super) fn stopped(&self) -> Vec<JobIndex> {
-        let stopped = |job: &Job| job.cancelled && job.active.is_empty();
+        let stopped = |job: &Job| job.is_final && job.active.is_empty();
         self.jobs
             .iter()
             .filter(|(_, job)| job.as_ref().is_some_and(stopped))
@@ -144,7 +144,7 @@
     fn done_chunk(&self, chunk: ChunkId) -> Option<DoneChunk> {
         let job = self
             .get(chunk.job)
-            .filter(|job| !job.cancelled && !job.is_complete())?;
+            .filter(|job| !job.is_final && !job.is_complete())?;
         Some(DoneChunk {
             job: job.id().to_string(),
             version: job.version,
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -34,7 +34,7 @@
 
 impl Scheduler {
     /// Adds a job unless it is present. `results` holds the stored chunks of its finished tasks, and `unix_millis` is the
-    /// current Unix time, from which the job's age follows. If it is `cancelled`, its tasks are only stopped; this also applies
+    /// current Unix time, from which the job's age follows. If it `is_final`, its tasks are only stopped; this also applies
     /// to a job that is present already.
     pub fn add_job(
         &mut self,
@@ -42,11 +42,11 @@
         version: Revision,
         results: &[(u32, Vec<u8>)],
         unix_millis: u64,
-        cancelled: bool,
+        is_final: bool,
     ) {
         if let Some(index) = self.jobs.index_of(&record.spec.id) {
-            if cancelled {
-                self.cancel(index);
+            if is_final {
+                self.mark_final(index);
             }
             return;
         }
@@ -59,8 +59,8 @@
         let placement = self.job_placement(&record.spec);
         let job = Job::new(record, version, placement, saved, submitted_at, self.now());
         let index = self.jobs.insert(job);
-        if cancelled {
-            self.cancel(index);
+        if is_final {
+            self.mark_final(index);
         }
         self.pass_requested = true;
     }
@@ -95,17 +95,17 @@
             })
     }
 
-    /// Stops the tasks of a job that is no longer unfinished: it was cancelled or made final. Each counts for its team and
+    /// Stops the tasks of a job that has become final: it was cancelled or is done. Each counts for its team and
     /// zone until it is proven gone.
     pub fn stop_job(&mut self, id: &str) {
         if let Some(index) = self.jobs.index_of(id) {
-            self.cancel(index);
+            self.mark_final(index);
         }
     }
 
-    fn cancel(&mut self, index: JobIndex) {
+    fn mark_final(&mut self, index: JobIndex) {
         let job = self.job_mut(index);
-        job.cancelled = true;
+        job.is_final = true;
         for number in job.active.keys().copied().collect::<Vec<_>>() {
             let task = TaskId { job: index, number };
             self.apply_event(task, TaskEvent::Stop { save: false });
@@ -113,7 +113,7 @@
         self.pass_requested = true;
     }
 
-    /// Removes cancelled jobs whose tasks are all proven gone, and returns their ids. Where the store still lists one of them,
+    /// Removes final jobs whose tasks are all proven gone, and returns their ids. Where the store still lists one of them,
     /// the entry may be deleted.
     pub fn remove_stopped_jobs(&mut self) -> Vec<String> {
         let mut ids = Vec::new();
@@ -134,7 +134,7 @@
     pub fn complete_jobs(&self) -> Vec<CompleteJob> {
         self.jobs
             .by_submission()
-            .filter(|(_, job)| !job.cancelled && job.is_complete())
+            .filter(|(_, job)| !job.is_final && job.is_complete())
             .map(|(_, job)| CompleteJob {
                 id: job.id().to_string(),
                 version: job.version,
--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -128,7 +128,7 @@
         let mut victims = Vec::new();
         for (other_index, other) in self.jobs.by_submission() {
             if other.team != Some(team)
-                || other.cancelled
+                || other.is_final
                 || other.spec().priority <= job.spec().priority
             {
                 continue;
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -53,7 +53,7 @@
                 let guarantee = self.quotas.guarantee(team);
                 let requested = requested.get_mut(team);
                 *requested = requested.saturating_add(amount);
-                !job.cancelled
+                !job.is_final
                     && requested.cpu_milli <= guarantee.cpu_milli
                     && (job.task_resources.accelerator_milli == 0
                         || requested.accelerator_milli <= guarantee.accelerator_milli)
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -135,7 +135,7 @@
             phase: Phase::Sent,
         };
         self.apply_event(task, adopt);
-        if self.job(task.job).cancelled {
+        if self.job(task.job).is_final {
             self.apply_event(task, TaskEvent::Stop { save: false });
         }
         // The earlier leader may have renewed the machine's lease until the end of its grace period.
--- a/src/scheduler/tests/describe.rs
+++ b/src/scheduler/tests/describe.rs
@@ -24,9 +24,9 @@
         };
         let job = |job: &Job| {
             format!(
-                "job {} cancelled {} pending {} active by zone {:?} active {:?} retry at {} single zone {:?}\n",
+                "job {} final {} pending {} active by zone {:?} active {:?} retry at {} single zone {:?}\n",
                 job.record.spec.id,
-                job.cancelled,
+                job.is_final,
                 job.pending(),
                 job.active_by_zone,
                 job.active,
--- a/src/scheduler/utilization.rs
+++ b/src/scheduler/utilization.rs
@@ -29,7 +29,7 @@
     pub fn service_demand(&self) -> (u64, HashMap<ZoneIndex, u64>) {
         let mut demanded = 0;
         let mut held: HashMap<ZoneIndex, u64> = HashMap::new();
-        for job in self.jobs().filter(|job| job.is_service() && !job.cancelled) {
+        for job in self.jobs().filter(|job| job.is_service() && !job.is_final) {
             let cpu_milli = job.task_resources.cpu_milli;
             demanded += cpu_milli * u64::from(job.tasks());
             for (zone, tasks) in &job.active_by_zone {
