--- a/benches/load/http.rs
+++ b/benches/load/http.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 
 /// Maximum size of the head and of the body of a message, in bytes.
-const MESSAGE_LIMIT: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// Writes a request.
 pub(crate) async fn write_request(
@@ -43,7 +43,7 @@
     loop {
         if let Some(head_end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&bytes[..head_end]).to_lowercase();
-            let length = content_length(&head).filter(|length| *length <= MESSAGE_LIMIT)?;
+            let length = content_length(&head).filter(|length| *length <= MAX_MESSAGE_BYTES)?;
             let mut body = bytes.split_off(head_end + 4);
             let missing = length.checked_sub(body.len())?;
             let received = body.len();
@@ -52,7 +52,7 @@
             return Some((head, body));
         }
         let byte_count = stream.read_buf(&mut bytes).await.ok()?;
-        if byte_count == 0 || bytes.len() > MESSAGE_LIMIT {
+        if byte_count == 0 || bytes.len() > MAX_MESSAGE_BYTES {
             return None;
         }
     }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::admission::concurrency_limit::ConcurrencyLimit;
 use crate::controller::Controller;
-use crate::protocol::BODY_LIMIT;
+use crate::protocol::MAX_BODY_BYTES;
 use actix::Addr;
 use actix_web::http::StatusCode;
 use actix_web::{web, App};
@@ -30,7 +30,7 @@
 const CONNECTIONS_PER_USER_REQUEST: usize = 4;
 /// Maximum size of a heartbeat, in bytes. It is larger than that of users' requests, since a heartbeat lists all tasks of its
 /// machine.
-const HEARTBEAT_LIMIT: usize = 16 * BODY_LIMIT;
+const MAX_HEARTBEAT_BYTES: usize = 16 * MAX_BODY_BYTES;
 
 /// The addresses on which a controller listens.
 #[derive(Debug, Clone, Copy)]
@@ -87,7 +87,7 @@
     let app = |audience: Audience| {
         App::new()
             .app_data(state.clone())
-            .app_data(web::PayloadConfig::new(BODY_LIMIT))
+            .app_data(web::PayloadConfig::new(MAX_BODY_BYTES))
             .configure(|config| configure_routes(config, audience))
             .default_service(web::to(|| async {
                 responses::error(StatusCode::NOT_FOUND, "no such path")
@@ -119,7 +119,7 @@
     config
         .service(
             web::resource("/hello")
-                .app_data(web::PayloadConfig::new(HEARTBEAT_LIMIT))
+                .app_data(web::PayloadConfig::new(MAX_HEARTBEAT_BYTES))
                 .route(web::post().to(workers::heartbeat)),
         )
         .service(web::resource("/up").route(web::get().to(health::check)))
@@ -130,7 +130,7 @@
 
 /// Configures the routes for peers.
 fn configure_peer_routes(config: &mut web::ServiceConfig) {
-    let limit = || web::PayloadConfig::new(crate::coordination::peers::MESSAGE_SIZE_LIMIT);
+    let limit = || web::PayloadConfig::new(crate::coordination::peers::MAX_MESSAGE_BYTES);
     config
         .service(
             web::resource("/peer/view")
--- a/src/clients/cloud.rs
+++ b/src/clients/cloud.rs
@@ -15,7 +15,7 @@
 const PAGE_SIZE: usize = 500;
 /// Maximum size of a response body, in bytes. A page of the machine list has [`PAGE_SIZE`] machines, so this allows 8 KiB for
 /// each.
-const RESPONSE_LIMIT: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 /// Maximum number of machines that one rental request may ask for.
 pub const MAX_RENT_COUNT: u32 = 50;
 /// Maximum number of machines that one release request may name.
@@ -152,7 +152,7 @@
             url: format!("{}{path}", self.base),
             body,
             timeout: TIMEOUT,
-            response_limit: RESPONSE_LIMIT,
+            max_response_bytes: MAX_RESPONSE_BYTES,
             connection: ConnectionReuse::Keep,
         };
         exchange(&self.http, request).await
--- a/src/clients/http.rs
+++ b/src/clients/http.rs
@@ -45,7 +45,7 @@
     /// Timeout of the whole exchange, from opening the connection to the last byte of the response.
     pub timeout: Duration,
     /// Maximum size of the response body, in bytes.
-    pub response_limit: usize,
+    pub max_response_bytes: usize,
     /// Whether the connection is reused after the exchange.
     pub connection: ConnectionReuse,
 }
@@ -104,7 +104,7 @@
         None => builder.send(),
     };
     let mut response = sent.await.map_err(ExchangeError::Send)?;
-    let body = response.body().limit(request.response_limit).await;
+    let body = response.body().limit(request.max_response_bytes).await;
     Ok(HttpResponse {
         status: response.status(),
         body: body.map_err(receive_error)?.to_vec(),
--- a/src/clients/worker.rs
+++ b/src/clients/worker.rs
@@ -8,7 +8,7 @@
 /// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum size of a response body, in bytes.
-const RESPONSE_LIMIT: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// The reason why a worker returned no status after direct commands. The commands may have been executed, or may be executed
 /// later.
@@ -53,7 +53,7 @@
         url: format!("http://{}/orders", worker.address),
         body: Some(encode(commands)),
         timeout: TIMEOUT,
-        response_limit: RESPONSE_LIMIT,
+        max_response_bytes: MAX_RESPONSE_BYTES,
         connection: ConnectionReuse::Close,
     };
     let response = exchange(http, request).await?;
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -16,9 +16,9 @@
 
 /// Maximum number of notices kept for peers that do not acknowledge them. It exceeds the number of jobs that users can cancel
 /// while a leader that receives no updates can still start tasks. Peers learn of dropped ones from the store.
-const NOTICE_LIMIT: usize = 10_000;
+const MAX_NOTICES: usize = 10_000;
 /// Maximum number of notices in one message.
-const MESSAGE_LIMIT: usize = 1000;
+const MAX_NOTICES_PER_MESSAGE: usize = 1000;
 
 /// Identifies a notice by its sequence number and the revision of its cancellation.
 ///
@@ -110,7 +110,7 @@
         };
         let notice = entry.notice();
         self.entries.push_back(entry);
-        if self.entries.len() > NOTICE_LIMIT {
+        if self.entries.len() > MAX_NOTICES {
             self.dropped = self
                 .entries
                 .pop_front()
@@ -139,7 +139,7 @@
             .entries
             .range(first..)
             .filter(|entry| entry.cancelled.revision > progress.replica_revision)
-            .take(MESSAGE_LIMIT)
+            .take(MAX_NOTICES_PER_MESSAGE)
             .collect();
         let last = unknown.last()?.notice();
         let jobs = unknown
--- a/src/coordination/cancellations/tests.rs
+++ b/src/coordination/cancellations/tests.rs
@@ -30,16 +30,16 @@
     assert!(cancellations.message_for("b").is_none() && cancellations.is_known_by("b", second));
     assert_eq!(cancellations.message_for("c").unwrap().0.jobs.len(), 2);
     // The number of notices kept for an unreachable peer is bounded, and so is the size of messages.
-    (0..NOTICE_LIMIT as u64 * 2).for_each(|n| {
+    (0..MAX_NOTICES as u64 * 2).for_each(|n| {
         cancellations.add(cancelled("wk-3", 100 + n));
     });
     let mut messages = 0;
     while let Some((Cancelled { jobs }, last)) = cancellations.message_for("c") {
-        assert!(jobs.len() <= MESSAGE_LIMIT);
+        assert!(jobs.len() <= MAX_NOTICES_PER_MESSAGE);
         cancellations.record_acknowledgement("c", last);
         messages += 1;
     }
-    assert_eq!(messages, NOTICE_LIMIT / MESSAGE_LIMIT);
+    assert_eq!(messages, MAX_NOTICES / MAX_NOTICES_PER_MESSAGE);
 }
 
 #[test]
@@ -61,7 +61,7 @@
 fn a_dropped_notice_is_known_only_from_the_replica_revision() {
     let mut cancellations = Cancellations::default();
     let dropped = cancellations.add(cancelled("wk-1", 40));
-    for n in 0..NOTICE_LIMIT as u64 {
+    for n in 0..MAX_NOTICES as u64 {
         cancellations.add(cancelled("wk-2", 41 + n));
     }
     while let Some((_, last)) = cancellations.message_for("b") {
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -27,7 +27,7 @@
 /// Safety margin by which the authority to start tasks ends before the leader lease can expire.
 const AUTHORITY_MARGIN: Duration = Duration::from_millis(150);
 /// Maximum number of reads that wait for the replica. Beyond it, the oldest is dropped, which can only delay authority.
-const PENDING_READS_LIMIT: usize = 64;
+const MAX_PENDING_READS: usize = 64;
 
 /// The role of this controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -202,7 +202,7 @@
 
     fn add_pending_read(&mut self, read: PendingRead) {
         self.pending_reads.push(read);
-        if self.pending_reads.len() > PENDING_READS_LIMIT {
+        if self.pending_reads.len() > MAX_PENDING_READS {
             self.pending_reads.remove(0);
         }
         self.resolve_pending_reads();
--- a/src/coordination/leadership/tests.rs
+++ b/src/coordination/leadership/tests.rs
@@ -124,7 +124,7 @@
     for n in 0..1000 {
         read(&mut leadership, 10_500, 30 + n);
     }
-    assert!(leadership.pending_reads.len() <= PENDING_READS_LIMIT);
+    assert!(leadership.pending_reads.len() <= MAX_PENDING_READS);
     leadership.apply(LeadershipEvent::ReplicaAdvanced {
         revision: Revision::new(5000),
     });
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -12,5 +12,5 @@
 pub use client::{exchange_views, send_cancellations};
 pub use health::PeerHealth;
 pub use messages::{
-    decode, encode, Cancelled, CancelledJob, JobTaskCounts, View, MESSAGE_SIZE_LIMIT,
+    decode, encode, Cancelled, CancelledJob, JobTaskCounts, View, MAX_MESSAGE_BYTES,
 };
--- a/src/coordination/peers/client.rs
+++ b/src/coordination/peers/client.rs
@@ -1,6 +1,6 @@
 //! HTTP client for requests to peers.
 
-use super::messages::{decode, encode, Cancelled, View, MESSAGE_SIZE_LIMIT};
+use super::messages::{decode, encode, Cancelled, View, MAX_MESSAGE_BYTES};
 use crate::clients::http::{exchange, ConnectionReuse, HttpRequest};
 use crate::store::Revision;
 use awc::http::{Method, StatusCode};
@@ -36,7 +36,7 @@
         url,
         body: Some(encode(message)),
         timeout: TIMEOUT,
-        response_limit: MESSAGE_SIZE_LIMIT,
+        max_response_bytes: MAX_MESSAGE_BYTES,
         connection: ConnectionReuse::Keep,
     };
     let response = exchange(http, request).await.ok()?;
--- a/src/coordination/peers/messages.rs
+++ b/src/coordination/peers/messages.rs
@@ -7,7 +7,7 @@
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
 /// Maximum size of a message that is accepted from a peer, in bytes.
-pub const MESSAGE_SIZE_LIMIT: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// A controller's view of the epoch, the store and, if it leads, the jobs.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
 /// Decodes a message. Returns `None` if it is too large or malformed.
 #[must_use]
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
-    if body.len() > MESSAGE_SIZE_LIMIT {
+    if body.len() > MAX_MESSAGE_BYTES {
         return None;
     }
     bincode::deserialize(body).ok()
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -35,4 +35,4 @@
 };
 
 /// Maximum size of a request body from users, in bytes. The limit on the size of heartbeats is a multiple of it.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -270,7 +270,7 @@
             url: format!("{}{path}", self.base),
             body,
             timeout,
-            response_limit: MAX_RESPONSE_BYTES,
+            max_response_bytes: MAX_RESPONSE_BYTES,
             connection: ConnectionReuse::Keep,
         };
         let response = exchange(&self.http, request)
--- a/tests/compat/users.rs
+++ b/tests/compat/users.rs
@@ -6,7 +6,7 @@
 };
 use ciborium::Value;
 use hollowswitch::protocol::{
-    decode, encode, is_job_id, JobKind, JobSpec, JobState, JobView, Priority, BODY_LIMIT,
+    decode, encode, is_job_id, JobKind, JobSpec, JobState, JobView, Priority, MAX_BODY_BYTES,
     TASK_LIMIT,
 };
 
@@ -350,7 +350,7 @@
         ..job_spec()
     };
     assert!(job.validate().is_ok());
-    assert_eq!((TASK_LIMIT, BODY_LIMIT), (100_000, 65_536));
+    assert_eq!((TASK_LIMIT, MAX_BODY_BYTES), (100_000, 65_536));
 }
 
 /// CBOR encoding of [`submission`], in hexadecimal digits.
