--- a/src/controller/state.rs
+++ b/src/controller/state.rs
@@ -48,7 +48,7 @@
 use crate::config::Settings;
 use crate::coordination::cancellations::Cancellations;
 use crate::coordination::leadership::Leadership;
-use crate::coordination::linearizable_reads::PendingReads;
+use crate::coordination::linearizable_reads::WaitingReads;
 use crate::coordination::peers::PeerHealth;
 use crate::protocol::MachineType;
 use crate::scheduler::Scheduler;
@@ -76,7 +76,7 @@
     rental_reconciliation: RentalReconciliation,
     /// Number of rental requests that this process has made. It is part of their names, which keeps them unique.
     rental_requests_made: u64,
-    pending_reads: PendingReads,
+    waiting_reads: WaitingReads,
 }
 
 impl ControllerState {
@@ -106,7 +106,7 @@
             cancellations: Cancellations::default(),
             rental_reconciliation: RentalReconciliation::default(),
             rental_requests_made: 0,
-            pending_reads: PendingReads::default(),
+            waiting_reads: WaitingReads::default(),
         }
     }
 
--- a/src/controller/state/read_barriers.rs
+++ b/src/controller/state/read_barriers.rs
@@ -20,13 +20,13 @@
 impl ControllerState {
     /// Registers a read. The receiver gets the revision that the replica must reach before the read.
     pub(in crate::controller) fn register_read(&mut self) -> oneshot::Receiver<Revision> {
-        self.pending_reads.register()
+        self.waiting_reads.register()
     }
 
     /// Returns the barrier for the waiting reads. A leader gets one even if no read waits, since its authority depends on
     /// barriers.
     pub(in crate::controller) fn next_read_barrier(&mut self) -> Option<ReadBarrier> {
-        let batch = self.pending_reads.take_batch();
+        let batch = self.waiting_reads.take_batch();
         if batch.is_empty() && self.term().is_none() {
             return None;
         }
--- a/src/coordination/linearizable_reads.rs
+++ b/src/coordination/linearizable_reads.rs
@@ -14,11 +14,11 @@
 
 /// Reads that wait for the next read barrier.
 #[derive(Debug, Default)]
-pub struct PendingReads {
+pub struct WaitingReads {
     waiting: Vec<oneshot::Sender<Revision>>,
 }
 
-impl PendingReads {
+impl WaitingReads {
     /// Registers a read for the next barrier. The receiver yields the revision that the replica has to reach, or an error if
     /// the barrier fails.
     pub fn register(&mut self) -> oneshot::Receiver<Revision> {
