--- a/src/scheduler/preemption.rs
+++ b/src/scheduler/preemption.rs
@@ -76,8 +76,8 @@
         }
         let mut pool = CapacityPool::of_accepting_machines(self);
         let mut failed = FailedPreemptions::default();
-        // Resources being evicted of each team, less those that jobs earlier in the queue will use.
-        let mut being_evicted = self.quotas.being_evicted_by_team();
+        // Resources of each team's tasks that are being stopped, less those that jobs earlier in the queue will use.
+        let mut being_stopped = self.quotas.being_stopped_by_team();
         for index in queue {
             let job = self.job(index);
             let allowed = job.placeable(self.now()).min(self.quota_allowance(job));
@@ -88,22 +88,22 @@
             }
             let beyond_quota = self.job(index).placeable(self.now()) - allowed;
             if beyond_quota > 0 {
-                self.preempt_for_quota(index, beyond_quota, &mut being_evicted);
+                self.preempt_for_quota(index, beyond_quota, &mut being_stopped);
             }
         }
     }
 
     /// Stops tasks of lower priority of the job's own team, which is at its limit, to free quota for `tasks` tasks of the job.
     /// Quota of tasks that are already being stopped is used first.
-    fn preempt_for_quota(&mut self, index: JobIndex, tasks: u32, being_evicted: &mut AmountByTeam) {
+    fn preempt_for_quota(&mut self, index: JobIndex, tasks: u32, being_stopped: &mut AmountByTeam) {
         let job = self.job(index);
         let Some(team) = job.team else { return };
         let more = job.task_resources.quota().saturating_mul(tasks);
         let mut shortfall = self.quotas.shortfall(team, more);
-        let being_evicted = being_evicted.get_mut(team);
-        let covered = shortfall.min(*being_evicted);
+        let being_stopped = being_stopped.get_mut(team);
+        let covered = shortfall.min(*being_stopped);
         shortfall -= covered;
-        *being_evicted -= covered;
+        *being_stopped -= covered;
         if shortfall == QuotaResources::ZERO {
             return;
         }
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,4 +1,4 @@
-//! The quota ledger: the resources that each team uses, how much of them is being evicted, and its limit and guarantee.
+//! The quota ledger: the resources that each team uses, the part that belongs to tasks being stopped, and its limit and guarantee.
 //!
 //! A task is charged to its team from its assignment until it is proven gone.
 
@@ -15,7 +15,7 @@
     quota: TeamQuota,
     in_use: QuotaResources,
     /// The part of `in_use` that belongs to tasks being stopped.
-    being_evicted: QuotaResources,
+    being_stopped: QuotaResources,
 }
 
 /// Quotas and resource usage of all teams.
@@ -34,7 +34,7 @@
         let account = |quota: &TeamQuota| TeamAccount {
             quota: quota.clone(),
             in_use: QuotaResources::ZERO,
-            being_evicted: QuotaResources::ZERO,
+            being_stopped: QuotaResources::ZERO,
         };
         QuotaLedger {
             teams: quotas.iter().map(account).collect(),
@@ -55,8 +55,8 @@
 
     /// Returns the resources of a team's tasks that are being stopped.
     #[cfg(test)]
-    pub(super) fn being_evicted(&self, team: TeamIndex) -> QuotaResources {
-        self.teams[team.0].being_evicted
+    pub(super) fn being_stopped(&self, team: TeamIndex) -> QuotaResources {
+        self.teams[team.0].being_stopped
     }
 
     /// Returns a team's guaranteed resources.
@@ -88,13 +88,13 @@
     }
 
     /// Counts the resources of a task that is now being stopped.
-    pub(super) fn begin_eviction(&mut self, team: TeamIndex, amount: QuotaResources) {
-        self.teams[team.0].being_evicted += amount;
+    pub(super) fn begin_stop(&mut self, team: TeamIndex, amount: QuotaResources) {
+        self.teams[team.0].being_stopped += amount;
     }
 
     /// Stops counting the resources of a task that was being stopped and is gone.
-    pub(super) fn end_eviction(&mut self, team: TeamIndex, amount: QuotaResources) {
-        self.teams[team.0].being_evicted -= amount;
+    pub(super) fn end_stop(&mut self, team: TeamIndex, amount: QuotaResources) {
+        self.teams[team.0].being_stopped -= amount;
     }
 
     /// Returns a zero amount for each team.
@@ -109,8 +109,8 @@
     }
 
     /// Returns the resources of each team's tasks that are being stopped.
-    pub(super) fn being_evicted_by_team(&self) -> AmountByTeam {
-        AmountByTeam(self.teams.iter().map(|team| team.being_evicted).collect())
+    pub(super) fn being_stopped_by_team(&self) -> AmountByTeam {
+        AmountByTeam(self.teams.iter().map(|team| team.being_stopped).collect())
     }
 }
 
--- a/src/scheduler/task_events.rs
+++ b/src/scheduler/task_events.rs
@@ -77,8 +77,8 @@
         job.running = job.running + u32::from(is_running(new)) - u32::from(is_running(old));
         let amount = job.task_resources.quota();
         match (job.team, is_stopping(old), is_stopping(new)) {
-            (Some(team), false, true) => self.quotas.begin_eviction(team, amount),
-            (Some(team), true, false) => self.quotas.end_eviction(team, amount),
+            (Some(team), false, true) => self.quotas.begin_stop(team, amount),
+            (Some(team), true, false) => self.quotas.end_stop(team, amount),
             _ => {}
         }
         if let Some(attempt) = new.or(old) {
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -216,9 +216,9 @@
     }
 
     /// Returns the CPUs of a team's tasks that are being stopped, in thousandths.
-    pub(super) fn cpu_milli_being_evicted(&self, team: &str) -> u64 {
+    pub(super) fn cpu_milli_being_stopped(&self, team: &str) -> u64 {
         let quotas = &self.scheduler.quotas;
-        quotas.being_evicted(quotas.team(team).unwrap()).cpu_milli
+        quotas.being_stopped(quotas.team(team).unwrap()).cpu_milli
     }
 
     /// Advances the clock in ticks of at most 500 ms, so that the scheduler detects no pause of its process.
--- a/src/scheduler/tests/preemption.rs
+++ b/src/scheduler/tests/preemption.rs
@@ -143,12 +143,12 @@
         },
         102,
     );
-    let being_evicted = |cluster: &Cluster| cluster.cpu_milli_being_evicted("t");
+    let being_stopped = |cluster: &Cluster| cluster.cpu_milli_being_stopped("t");
     for _ in 0..3 {
         cluster.run_round(1200);
         cluster.scheduler.preempt_for_production();
         // Exactly one task is stopped, with time to save, also when the round is repeated.
-        assert_eq!(being_evicted(&cluster), 2000);
+        assert_eq!(being_stopped(&cluster), 2000);
     }
     let stop = cluster.scheduler.direct_commands(9).remove(0);
     assert!(matches!(stop.commands[..], [Command::Stop { grace_s, .. }] if grace_s == 3.0));
@@ -161,7 +161,7 @@
         103,
     );
     cluster.scheduler.preempt_for_production();
-    assert_eq!(being_evicted(&cluster), 2000);
+    assert_eq!(being_stopped(&cluster), 2000);
 }
 
 #[test]
@@ -184,5 +184,5 @@
     );
     cluster.run_round(1200);
     cluster.scheduler.preempt_for_production();
-    assert_eq!(cluster.cpu_milli_being_evicted("t"), 4000);
+    assert_eq!(cluster.cpu_milli_being_stopped("t"), 4000);
 }
