--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -19,7 +19,7 @@
 /// Returns a scheduler with two machine types, of which the first is cheaper.
 fn scheduler() -> Scheduler {
     let params = Params {
-        lease: Duration::from_secs(12),
+        lease_duration: Duration::from_secs(12),
         heartbeat_interval: Duration::from_millis(1500),
         grace_period: Duration::from_secs(10),
         group_factor: 1.25,
--- a/src/controller/election_loop.rs
+++ b/src/controller/election_loop.rs
@@ -49,7 +49,7 @@
         // Authority requires both the renewed leader lease and a replica that has caught up with a read sent now.
         self.read_requested.notify_one();
         let limit = (lease_ttl / 2).min(MAX_RENEWAL_TIMEOUT);
-        let renewed = self.record_store_response(self.store.renew(term.lease, limit).await);
+        let renewed = self.record_store_response(self.store.renew(term.lease_id, limit).await);
         let step_down =
             self.update_state(|state| state.handle_lease_renewal(requested_at, renewed));
         if let Some(reason) = step_down {
@@ -64,7 +64,7 @@
         });
         let lease = self.record_store_response(self.store.open_lease(lease_ttl).await);
         let term = match lease {
-            Ok(lease) => self.claim_leadership(lease).await,
+            Ok(lease_id) => self.claim_leadership(lease_id).await,
             Err(_) => None,
         };
         let Some(term) = term else {
@@ -113,20 +113,20 @@
     }
 
     /// Claims leadership under a leader lease. Closes the lease if the claim fails.
-    async fn claim_leadership(&self, lease: u64) -> Option<Term> {
-        let claim = self.update_state(|state| state.claim_epoch(lease));
+    async fn claim_leadership(&self, lease_id: u64) -> Option<Term> {
+        let claim = self.update_state(|state| state.claim_epoch(lease_id));
         let epoch_version = match &claim {
             Some(claim) => self.commit_claim(claim).await,
             None => None,
         };
         let (Some(claim), Some(epoch_version)) = (claim, epoch_version) else {
-            self.store.close_lease(lease).await;
+            self.store.close_lease(lease_id).await;
             return None;
         };
         Some(Term {
             epoch: claim.record.number,
             epoch_version,
-            lease,
+            lease_id,
         })
     }
 
@@ -161,7 +161,7 @@
         if let Some(term) = self.read_state(ControllerState::term) {
             let store = self.store.clone();
             // If this request is lost, the leader lease expires by itself.
-            actix::spawn(async move { store.close_lease(term.lease).await });
+            actix::spawn(async move { store.close_lease(term.lease_id).await });
         }
         self.update_state(|state| {
             let lease_ttl_ms = state.settings().operator.leader_lease_s * 1000.0;
--- a/src/controller/state/epoch_start.rs
+++ b/src/controller/state/epoch_start.rs
@@ -15,10 +15,10 @@
 
 impl ControllerState {
     /// Returns the claim of the next epoch under a leader lease, or `None` if another controller leads.
-    pub(in crate::controller) fn claim_epoch(&mut self, lease: u64) -> Option<EpochClaim> {
+    pub(in crate::controller) fn claim_epoch(&mut self, lease_id: u64) -> Option<EpochClaim> {
         self.leadership_status.observe_previous_epoch(&self.replica);
         let identity = self.leadership_status.identity();
-        let (txn, record) = store::claim_txn(&self.replica, identity, lease)?;
+        let (txn, record) = store::claim_txn(&self.replica, identity, lease_id)?;
         Some(EpochClaim { record, txn })
     }
 
--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -134,7 +134,7 @@
     let term = Term {
         epoch: Epoch::new(7),
         epoch_version: CLAIM_REVISION,
-        lease: 88,
+        lease_id: 88,
     };
     controller.apply_leadership_event(LeadershipEvent::CampaignWon {
         term,
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -70,7 +70,7 @@
             }
             return;
         }
-        if !self.store.renew_lease(term.lease, now) {
+        if !self.store.renew_lease(term.lease_id, now) {
             controller.apply_leadership_event(LeadershipEvent::TermEnded);
             return;
         }
@@ -94,8 +94,10 @@
         let controller = self.nodes[node].running_controller_mut();
         let ttl = controller.settings().operator.leader_lease();
         controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
-        let lease = self.store.grant_lease(now, ttl);
-        let claim = self.nodes[node].running_controller_mut().claim_epoch(lease);
+        let lease_id = self.store.grant_lease(now, ttl);
+        let claim = self.nodes[node]
+            .running_controller_mut()
+            .claim_epoch(lease_id);
         let won = claim.and_then(|claim| match self.transact(node, &claim.txn) {
             Ok(TxnOutcome::Applied(version)) => Some((claim.record.number, version)),
             _ => None,
@@ -105,7 +107,7 @@
             let term = Term {
                 epoch,
                 epoch_version: version,
-                lease,
+                lease_id,
             };
             controller.apply_leadership_event(LeadershipEvent::CampaignWon {
                 term,
@@ -120,17 +122,17 @@
         } else {
             controller.apply_leadership_event(LeadershipEvent::CampaignLost);
             controller.back_off_campaigns(LOST_ELECTION_BACKOFF);
-            self.store.revoke_lease(lease);
+            self.store.revoke_lease(lease_id);
         }
     }
 
     /// Makes a leader step down. Revokes its lease if the store answers it; otherwise the lease has to expire.
     pub(super) fn step_down(&mut self, node: usize) {
         let controller = self.nodes[node].running_controller_mut();
-        let lease = controller.term().map(|term| term.lease);
+        let lease_id = controller.term().map(|term| term.lease_id);
         controller.step_down(STEP_DOWN_BACKOFF);
-        if let Some(lease) = lease.filter(|_| self.store.is_available_to(node)) {
-            self.store.revoke_lease(lease);
+        if let Some(lease_id) = lease_id.filter(|_| self.store.is_available_to(node)) {
+            self.store.revoke_lease(lease_id);
         }
     }
 }
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -48,7 +48,7 @@
     /// Version of the epoch key in the store. Every write of the leader is conditional on it.
     pub epoch_version: Revision,
     /// Identifier of the leader lease in the store.
-    pub lease: u64,
+    pub lease_id: u64,
 }
 
 /// The actions that this controller may take as the leader at a given time.
--- a/src/coordination/leadership/tests.rs
+++ b/src/coordination/leadership/tests.rs
@@ -12,7 +12,7 @@
         term: Term {
             epoch: Epoch::new(3),
             epoch_version: Revision::new(9),
-            lease: 1
+            lease_id: 1
         },
         lease_requested_at: at(1000)
     }));
@@ -150,7 +150,7 @@
         term: Term {
             epoch: Epoch::new(1),
             epoch_version: Revision::new(1),
-            lease: 1
+            lease_id: 1
         },
         lease_requested_at: at(1)
     }));
--- a/src/scheduler/machines/expiry.rs
+++ b/src/scheduler/machines/expiry.rs
@@ -34,7 +34,9 @@
 
     /// Reports whether a machine's lease has certainly expired.
     fn lease_has_expired(&self, machine: &Machine) -> bool {
-        machine.lease.has_expired(self.params.lease, self.now())
+        machine
+            .lease
+            .has_expired(self.params.lease_duration, self.now())
     }
 
     /// Marks all tasks of a machine as gone if its lease has certainly expired, since its worker has then stopped them.
--- a/src/scheduler/machines/lease.rs
+++ b/src/scheduler/machines/lease.rs
@@ -67,14 +67,18 @@
     }
 
     /// Reports whether the lease has certainly expired, with allowance for clock drift.
-    pub(super) fn has_expired(&self, lease: Duration, now: Timestamp) -> bool {
+    pub(super) fn has_expired(&self, lease_duration: Duration, now: Timestamp) -> bool {
         let began_at = self.renewed_at.max(self.session_seen_at);
-        now > began_at + lease + lease / DRIFT_DIVISOR + LEASE_MARGIN
+        now > began_at + lease_duration + lease_duration / DRIFT_DIVISOR + LEASE_MARGIN
     }
 
     /// Reports whether the lease has not been renewed for more than half of its duration. The machine should then get no more
     /// work: if only direct commands reach it, which renew no lease, it is about to lose its tasks.
-    pub(in crate::scheduler) fn is_renewal_overdue(&self, lease: Duration, now: Timestamp) -> bool {
-        now > self.renewed_at + lease / 2
+    pub(in crate::scheduler) fn is_renewal_overdue(
+        &self,
+        lease_duration: Duration,
+        now: Timestamp,
+    ) -> bool {
+        now > self.renewed_at + lease_duration / 2
     }
 }
--- a/src/scheduler/machines/machine.rs
+++ b/src/scheduler/machines/machine.rs
@@ -136,21 +136,26 @@
     /// Reports whether tasks may be placed on the machine.
     pub(in crate::scheduler) fn accepts_tasks(
         &self,
-        lease: Duration,
+        lease_duration: Duration,
         heartbeat_interval: Duration,
         now: Timestamp,
     ) -> bool {
         self.is_available()
             && !self.health.is_backing_off(now)
-            && self.is_responsive(lease, heartbeat_interval, now)
+            && self.is_responsive(lease_duration, heartbeat_interval, now)
     }
 
     /// Reports whether the worker has acknowledged the current token, has sent a heartbeat within three intervals, and has
     /// more than half of its lease left.
-    fn is_responsive(&self, lease: Duration, heartbeat_interval: Duration, now: Timestamp) -> bool {
+    fn is_responsive(
+        &self,
+        lease_duration: Duration,
+        heartbeat_interval: Duration,
+        now: Timestamp,
+    ) -> bool {
         self.contact.acknowledges_token()
             && !self.contact.is_silent_for(heartbeat_interval * 3, now)
-            && !self.lease.is_renewal_overdue(lease, now)
+            && !self.lease.is_renewal_overdue(lease_duration, now)
     }
 
     /// Reports whether the machine drains only because it is surplus, so that it may be returned to use.
--- a/src/scheduler/machines/responsiveness.rs
+++ b/src/scheduler/machines/responsiveness.rs
@@ -18,7 +18,7 @@
     /// Reports whether tasks may be placed on a machine now.
     pub(in crate::scheduler) fn accepts_tasks(&self, machine: &Machine) -> bool {
         machine.accepts_tasks(
-            self.params.lease,
+            self.params.lease_duration,
             self.params.heartbeat_interval,
             self.now(),
         )
--- a/src/scheduler/params.rs
+++ b/src/scheduler/params.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub struct Params {
     /// Duration of a worker's lease.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
     /// How long an earlier leader may have gone on renewing worker leases after its authority to start tasks ended.
@@ -58,7 +58,7 @@
     pub fn new(settings: &config::Settings) -> Self {
         let deployment = &settings.platform.deployment;
         Params {
-            lease: deployment.workers.lease(),
+            lease_duration: deployment.workers.lease(),
             heartbeat_interval: deployment.workers.heartbeat_interval(),
             grace_period: settings.grace_period(),
             group_factor: settings.operator.group_factor,
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -53,7 +53,7 @@
     /// Suspends placement until every worker lease of the previous epoch has expired or has been renewed in this epoch. Used
     /// if the previous epoch kept no start log, so that the log does not tell where its tasks may be.
     pub fn wait_for_lease_expiry(&mut self) {
-        let longest = self.params.grace_period + self.params.lease;
+        let longest = self.params.grace_period + self.params.lease_duration;
         self.placement_allowed_from =
             self.now() + longest + longest / LEASE_WAIT_DRIFT_DIVISOR + LEASE_WAIT_MARGIN;
     }
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -29,7 +29,7 @@
             },
         };
         let params = Params {
-            lease: ms(LEASE_MS),
+            lease_duration: ms(LEASE_MS),
             heartbeat_interval: ms(1500),
             grace_period: ms(GRACE_PERIOD_MS),
             group_factor: 1.25,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -159,8 +159,8 @@
     ///
     /// # Errors
     /// [`StoreError::NotFound`] if the lease has ended, another error if the service does not answer within the timeout.
-    pub async fn renew(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
-        let path = format!("/holds/{lease}/extend");
+    pub async fn renew(&self, lease_id: u64, timeout: Duration) -> Result<(), StoreError> {
+        let path = format!("/holds/{lease_id}/extend");
         let response = self.post(&path, Vec::new(), timeout).await?;
         match response.status {
             StatusCode::OK => Ok(()),
@@ -169,8 +169,8 @@
     }
 
     /// Ends a lease, which deletes the keys attached to it. If the call fails, the lease expires later.
-    pub async fn close_lease(&self, lease: u64) {
-        let path = format!("/holds/{lease}");
+    pub async fn close_lease(&self, lease_id: u64) {
+        let path = format!("/holds/{lease_id}");
         let _ = self.call(Method::DELETE, &path, None, CALL_TIMEOUT).await;
     }
 
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -58,7 +58,7 @@
 pub fn claim_txn(
     replica: &Replica,
     candidate: &LeaderRecord,
-    lease: u64,
+    lease_id: u64,
 ) -> Option<(Txn, EpochRecord)> {
     if !replica.may_claim_leadership(candidate) {
         return None;
@@ -78,7 +78,7 @@
             guard(epoch_key(), version_of(epoch)),
         ],
         apply: vec![
-            put(leader_key(), candidate, Some(lease)),
+            put(leader_key(), candidate, Some(lease_id)),
             put(epoch_key(), &record, None),
         ],
     };
--- a/tests/compat/stored_records/start_log.rs
+++ b/tests/compat/stored_records/start_log.rs
@@ -15,7 +15,7 @@
 /// Returns a scheduler in epoch 5 with one machine in each of two zones, and with jobs that fit on these machines.
 fn scheduler() -> Scheduler {
     let params = Params {
-        lease: Duration::from_secs(12),
+        lease_duration: Duration::from_secs(12),
         heartbeat_interval: Duration::from_millis(1500),
         grace_period: Duration::from_secs(10),
         group_factor: 1.25,
