--- a/src/scheduler/machines/expiry.rs
+++ b/src/scheduler/machines/expiry.rs
@@ -15,19 +15,19 @@
 
 impl Scheduler {
     /// Advances the clock, compensates for a pause of this process, and handles expired leases and termination notices.
-    pub fn tick(&mut self, now: u64) {
-        let now_at = Timestamp::from_millis(now);
-        let gap = now_at.saturating_duration_since(self.last_tick_at);
+    pub fn tick(&mut self, now_ms: u64) {
+        let now = Timestamp::from_millis(now_ms);
+        let gap = now.saturating_duration_since(self.last_tick_at);
         let pause = gap.saturating_sub(MAX_TICK_GAP);
         if self.last_tick_at > Timestamp::ZERO && pause > Duration::ZERO {
             self.compensate_process_pause(pause);
         }
-        self.last_tick_at = now_at;
-        self.advance_clock(now);
+        self.last_tick_at = now;
+        self.advance_clock(now_ms);
         for index in self.machines.indices() {
             if self.machines.get(index).is_some() {
                 self.expire_lease(index);
-                self.evict_before_termination(index, now_at);
+                self.evict_before_termination(index, now);
             }
         }
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -116,13 +116,13 @@
 impl Scheduler {
     /// Creates an empty scheduler for an epoch that begins now.
     #[must_use]
-    pub fn new(params: Params, epoch: Epoch, now: u64) -> Self {
+    pub fn new(params: Params, epoch: Epoch, now_ms: u64) -> Self {
         let quotas = QuotaLedger::new(&params.teams);
         let fetch_rates = FetchRates::new(params.fetch_gb_per_s);
         Scheduler {
             params,
             epoch,
-            now: Timestamp::from_millis(now),
+            now: Timestamp::from_millis(now_ms),
             machine_types: MachineTypes::default(),
             zones: NameInterner::default(),
             images: NameInterner::default(),
@@ -153,9 +153,9 @@
         self.now
     }
 
-    /// Advances the clock to `now`, in milliseconds. The clock never goes back.
-    pub fn advance_clock(&mut self, now: u64) {
-        self.now = self.now.max(Timestamp::from_millis(now));
+    /// Advances the clock to `now_ms`. The clock never goes back.
+    pub fn advance_clock(&mut self, now_ms: u64) {
+        self.now = self.now.max(Timestamp::from_millis(now_ms));
     }
 
     /// Adds or updates the machine types that the cloud's catalogue lists, and adds their zones.
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -222,16 +222,16 @@
     }
 
     /// Advances the clock in ticks of at most 500 ms, so that the scheduler detects no pause of its process.
-    pub(super) fn advance_to(&mut self, now: u64) {
-        while self.scheduler.now().as_millis() + 500 < now {
+    pub(super) fn advance_to(&mut self, now_ms: u64) {
+        while self.scheduler.now().as_millis() + 500 < now_ms {
             self.scheduler.tick(self.scheduler.now().as_millis() + 500);
         }
-        self.scheduler.tick(now);
+        self.scheduler.tick(now_ms);
     }
 
     /// Advances the clock in one tick, then runs a scheduling pass and makes its starts durable.
-    pub(super) fn run_round(&mut self, now: u64) {
-        self.scheduler.tick(now);
+    pub(super) fn run_round(&mut self, now_ms: u64) {
+        self.scheduler.tick(now_ms);
         self.scheduler.request_pass();
         self.scheduler.place();
         self.write_start_log();
