--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -124,10 +124,10 @@
     now: Timestamp,
 ) -> Vec<OfferToAvoid> {
     let mut free = FreeCapacity::new(scheduler, reserves);
-    let (mut unneeded, mut overdue) = (Vec::new(), Vec::new());
+    let (mut unneeded, mut not_booted) = (Vec::new(), Vec::new());
     for (index, machine) in scheduler.machines() {
         if machine.state() == MachineState::Waiting && scheduler.boot_timed_out(machine) {
-            overdue.push(index);
+            not_booted.push(index);
         } else if let Some(reason) = release_reason(index, machine, &mut free, idle_limit, now) {
             unneeded.push((index, reason));
         }
@@ -135,7 +135,7 @@
     for (index, reason) in unneeded {
         scheduler.set_machine_state(index, MachineState::Releasing, reason);
     }
-    let abandoned = overdue
+    let abandoned = not_booted
         .into_iter()
         .filter_map(|index| scheduler.abandon_boot(index));
     abandoned
--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -13,11 +13,11 @@
 
 /// Counter that limits the number of concurrent adoptions.
 #[derive(Debug, Clone, Default)]
-pub(super) struct AdoptionSlots {
+pub(super) struct AdoptionPermits {
     used: Rc<Cell<usize>>,
 }
 
-impl AdoptionSlots {
+impl AdoptionPermits {
     fn free(&self) -> usize {
         CONCURRENT_ADOPTIONS.saturating_sub(self.used.get())
     }
@@ -36,17 +36,17 @@
     ///
     /// They run concurrently with the other calls. Late copies of heartbeats from machines that an earlier leader has released
     /// name workers that never answer; probing those in sequence would delay every release and rental.
-    pub(super) fn adopt_unregistered(&self, slots: &AdoptionSlots) {
-        for _ in 0..slots.free() {
+    pub(super) fn adopt_unregistered(&self, permits: &AdoptionPermits) {
+        for _ in 0..permits.free() {
             let next = self.update_state(ControllerState::pop_unregistered_machine);
             let Some((name, machine)) = next else {
                 return;
             };
-            let (handles, slots) = (self.clone(), slots.clone());
-            slots.acquire();
+            let (handles, permits) = (self.clone(), permits.clone());
+            permits.acquire();
             actix::spawn(async move {
                 handles.adopt(&name, machine).await;
-                slots.release();
+                permits.release();
             });
         }
     }
--- a/src/controller/cloud/mod.rs
+++ b/src/controller/cloud/mod.rs
@@ -15,7 +15,7 @@
 mod releases;
 mod rentals;
 
-use self::adoption::AdoptionSlots;
+use self::adoption::AdoptionPermits;
 use self::machine_list::MachineListing;
 use self::machine_types::MachineTypeRefresh;
 use super::handles::Handles;
@@ -57,7 +57,7 @@
     pub(super) async fn run_cloud_loop(self) {
         let mut machine_types = MachineTypeRefresh::default();
         let mut listing = self.read_state(|state| MachineListing::new(state.settings()));
-        let adoptions = AdoptionSlots::default();
+        let adoption_permits = AdoptionPermits::default();
         let mut rented = false;
         loop {
             // After a rental, the next one is decided without delay: only the cloud's request rate limits it.
@@ -71,7 +71,7 @@
                 self.wait_for_authority(round).await;
                 continue;
             }
-            self.adopt_unregistered(&adoptions);
+            self.adopt_unregistered(&adoption_permits);
             self.release_machines().await;
             self.reconcile_machine_list(&mut listing, round.now).await;
             // No further rentals while a request is open: its machines may already be on their way.
--- a/src/controller/user_requests/cancellation.rs
+++ b/src/controller/user_requests/cancellation.rs
@@ -29,7 +29,7 @@
 const ACKNOWLEDGEMENT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The result of one attempt: `Break` with the outcome, or `Continue` if another attempt is needed.
-type Attempt = ControlFlow<JobOutcome>;
+type AttemptResult = ControlFlow<JobOutcome>;
 
 impl Handles {
     /// Answers a request to cancel a job.
@@ -42,7 +42,7 @@
         JobOutcome::RETRY_SOON
     }
 
-    async fn try_cancel(&self, id: &str) -> Attempt {
+    async fn try_cancel(&self, id: &str) -> AttemptResult {
         if let Some(final_state) = self.remembered_final_state(id) {
             return ControlFlow::Break(self.confirm_final(id, final_state).await);
         }
@@ -60,7 +60,7 @@
     }
 
     /// Cancels an unfinished job, on the condition that its record in the store is still `live`.
-    async fn cancel_unfinished(&self, id: &str, live: &Versioned<JobRecord>) -> Attempt {
+    async fn cancel_unfinished(&self, id: &str, live: &Versioned<JobRecord>) -> AttemptResult {
         let final_state = FinalRecord {
             cancelled: true,
             tasks: live.record.spec.tasks,
@@ -80,7 +80,7 @@
     }
 
     /// Reads the job's final state from the store after the transaction failed or was not answered.
-    async fn read_back(&self, id: &str) -> Attempt {
+    async fn read_back(&self, id: &str) -> AttemptResult {
         match self.read_final_state(id).await {
             Ok(found) if found.record.cancelled => {
                 ControlFlow::Break(self.confirm(id, found.record, found.version).await)
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -64,9 +64,9 @@
     /// or not recently, since tasks may be placed there from now on.
     fn record_token_acknowledgement(&mut self, heartbeat: Heartbeat) {
         let now = self.now();
-        let overdue = self.params.heartbeat_interval * 3;
+        let max_gap = self.params.heartbeat_interval * 3;
         let contact = &mut self.machine_mut(heartbeat.machine).contact;
-        let was_unavailable = !contact.acknowledges_token() || contact.is_silent_for(overdue, now);
+        let was_unavailable = !contact.acknowledges_token() || contact.is_silent_for(max_gap, now);
         contact.acknowledge_token(now);
         self.pass_requested |= was_unavailable;
     }
--- a/src/scheduler/machines/direct_commands.rs
+++ b/src/scheduler/machines/direct_commands.rs
@@ -168,10 +168,10 @@
     /// Reports whether a machine should be probed now.
     fn is_probe_due(&self, machine: &Machine) -> bool {
         let now = self.now();
-        let overdue = self.params.heartbeat_timeout() + PROBE_MARGIN;
+        let overdue_after = self.params.heartbeat_timeout() + PROBE_MARGIN;
         let contact = &machine.contact;
         machine.is_heartbeat_expected()
-            && (!contact.acknowledges_token() || contact.is_silent_for(overdue, now))
+            && (!contact.acknowledges_token() || contact.is_silent_for(overdue_after, now))
             && !machine.commands.is_direct_in_flight()
             && contact.may_be_probed(now)
     }
--- a/src/scheduler/machines/responsiveness.rs
+++ b/src/scheduler/machines/responsiveness.rs
@@ -1,7 +1,7 @@
 //! Detection of silent machines, and of whether the machines, their zone or this process is isolated.
 
 use super::machine::Machine;
-use super::zone_health::silent_zones;
+use super::zone_health::overdue_zones;
 use crate::scheduler::index::{MachineIndex, ZoneIndex};
 use crate::scheduler::Scheduler;
 use std::collections::HashSet;
@@ -60,14 +60,14 @@
             .collect()
     }
 
-    /// Returns the zones in which all expected machines are silent: new machines there would be unreachable too.
+    /// Returns the zones in which all expected machines are overdue: new machines there would be unreachable too.
     #[must_use]
     pub fn unreachable_zones(&self) -> HashSet<ZoneIndex> {
         let expected = self
             .machines
             .expected_to_report()
             .map(|(_, machine)| machine);
-        silent_zones(expected, self.params.heartbeat_timeout(), self.now())
+        overdue_zones(expected, self.params.heartbeat_timeout(), self.now())
     }
 
     /// Reports whether this process is isolated: none of the machines that should send heartbeats has sent one recently,
--- a/src/scheduler/machines/zone_health.rs
+++ b/src/scheduler/machines/zone_health.rs
@@ -44,7 +44,7 @@
 }
 
 /// Returns the zones in which all expected machines are overdue.
-pub(super) fn silent_zones<'a>(
+pub(super) fn overdue_zones<'a>(
     expected: impl Iterator<Item = &'a Machine>,
     timeout: Duration,
     now: Timestamp,
