--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,4 +1,4 @@
-//! The autoscaler decides which machines to rent and which to return.
+//! The autoscaler decides which machines to rent and which to release.
 //!
 //! It does no I/O and reads no clock. It reads machines and demand from the scheduler, changes the states of machines there,
 //! and returns rental requests. The controller sends these requests to the cloud, and releases the machines that are marked for
@@ -69,7 +69,7 @@
 }
 
 impl Autoscaler {
-    /// Decides which machines to return and which to rent. In the scheduler, drains machines or marks them for release, and
+    /// Decides which machines to release and which to rent. In the scheduler, drains machines or marks them for release, and
     /// preempts tasks where a job of higher priority or a guarantee has a claim. Returns the rental requests, most urgent first.
     pub fn decide(
         &mut self,
--- a/src/controller/cloud/adoption.rs
+++ b/src/controller/cloud/adoption.rs
@@ -1,4 +1,4 @@
-//! Adoption: creates rental records for machines that have none, so that they are used or returned.
+//! Adoption: creates rental records for machines that have none, so that they are used or released.
 
 use super::Handles;
 use crate::controller::state::{ControllerState, UnregisteredMachine, WorkerContact};
@@ -85,7 +85,7 @@
         match self.leader_transaction(&txn).await {
             Ok(TxnOutcome::Applied(_)) => true,
             // The record exists, since an earlier, unanswered attempt was executed. If this counted as a failure, the machine
-            // would be neither used nor returned until the next failover.
+            // would be neither used nor released until the next failover.
             Ok(TxnOutcome::Failed(keys)) if keys == [store::rental_key(&rental)] => {
                 self.read_state(|state| state.has_rental(&rental, record))
             }
--- a/src/controller/cloud/mod.rs
+++ b/src/controller/cloud/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - `machine_types` refreshes the catalogue of machine types.
 //! - `adoption` creates rental records for unregistered machines.
-//! - `releases` returns machines.
+//! - `releases` releases machines.
 //! - `machine_list` reconciles the scheduler with the cloud's list of machines.
 //! - `rentals` rents machines.
 //!
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Round {
     now: Timestamp,
-    /// Whether this controller schedules with full authority, so that it may rent and return machines.
+    /// Whether this controller schedules with full authority, so that it may rent and release machines.
     has_authority: bool,
     /// Whether the machine types are unknown, without which no jobs are accepted.
     lacks_machine_types: bool,
--- a/src/controller/cloud/releases.rs
+++ b/src/controller/cloud/releases.rs
@@ -1,4 +1,4 @@
-//! Releases: returns the machines that the scheduler has marked for release to the cloud.
+//! Releases to the cloud the machines that the scheduler has marked for release.
 
 use super::Handles;
 use crate::clients::authority_check::while_authorized;
--- a/src/controller/state/rental_reconciliation.rs
+++ b/src/controller/state/rental_reconciliation.rs
@@ -1,6 +1,6 @@
 //! Differences between the rental records in the store and the machines of the cloud.
 //!
-//! A machine without a record is *unregistered*. It is adopted; otherwise it would neither be used nor returned. A released
+//! A machine without a record is *unregistered*. It is adopted; otherwise it would neither be used nor released. A released
 //! machine stays in its rental record until the next cleanup. A recently released machine is never treated as unregistered,
 //! since the cloud's list lags behind and delayed copies of its heartbeats may arrive.
 
--- a/src/controller/state/rentals.rs
+++ b/src/controller/state/rentals.rs
@@ -37,7 +37,7 @@
         self.term().filter(|_| self.authority() == Authority::Full)
     }
 
-    /// Lets the autoscaler decide on rentals and returns. Returns the rentals; the returns are recorded in the scheduler.
+    /// Lets the autoscaler decide on rentals and releases. Returns the rentals; the releases are recorded in the scheduler.
     pub(in crate::controller) fn decide_scaling(&mut self) -> Vec<RentalRequest> {
         // Earlier calls to the cloud may have taken seconds. Without this check, a leader that became isolated during them
         // chose machines for release that its successor was using.
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Decides on rentals and returns like [`Self::decide_scaling`], and selects the rental to request next.
+    /// Decides on rentals and releases like [`Self::decide_scaling`], and selects the rental to request next.
     pub(in crate::controller) fn next_rental_request(&mut self) -> Option<RentalRequest> {
         let requests = self.decide_scaling();
         let now = self.now();
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -71,7 +71,7 @@
     /// Returns a machine as a candidate that holds the image and has no free slots; callers override these fields.
     fn candidate(&self, index: MachineIndex, job: &Job, pass: &Pass) -> Candidate<MachineIndex> {
         let machine = self.machine(index);
-        // Services are packed together, since only they keep a machine from being returned; other tasks go to the fullest
+        // Services are packed together, since only they keep a machine from being released; other tasks go to the fullest
         // machine.
         let spare_cpu_milli = if job.is_service() {
             self.cpu_milli_without_services(machine)
