--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -146,7 +146,7 @@
                 continue;
             }
             machine.health.forget_job(job);
-            if machine.health.end_quarantine() && !machine.eviction.has_notice() {
+            if machine.health.end_quarantine() && !machine.eviction.has_termination_notice() {
                 self.set_machine_state(
                     index,
                     MachineState::Up,
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -31,7 +31,7 @@
         let notice = report
             .termination_notice_s
             .map(|seconds| now + duration_from_secs(seconds));
-        machine.eviction.set_notice(notice);
+        machine.eviction.set_termination_notice(notice);
         last_session != 0 && is_new_session
     }
 
--- a/src/scheduler/machines/eviction.rs
+++ b/src/scheduler/machines/eviction.rs
@@ -18,12 +18,15 @@
     }
 
     /// Reports whether the machine has a termination notice.
-    pub(in crate::scheduler) fn has_notice(&self) -> bool {
+    pub(in crate::scheduler) fn has_termination_notice(&self) -> bool {
         self.terminates_at.is_some()
     }
 
     /// Sets or removes the termination notice.
-    pub(in crate::scheduler) fn set_notice(&mut self, terminates_at: Option<Timestamp>) {
+    pub(in crate::scheduler) fn set_termination_notice(
+        &mut self,
+        terminates_at: Option<Timestamp>,
+    ) {
         self.terminates_at = terminates_at;
     }
 
--- a/src/scheduler/machines/machine.rs
+++ b/src/scheduler/machines/machine.rs
@@ -130,7 +130,7 @@
 
     /// Reports whether the machine is up and has no termination notice.
     pub(in crate::scheduler) fn is_available(&self) -> bool {
-        self.state == MachineState::Up && !self.eviction.has_notice()
+        self.state == MachineState::Up && !self.eviction.has_termination_notice()
     }
 
     /// Reports whether tasks may be placed on the machine.
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -96,7 +96,7 @@
     machines: MachineRegistry,
     quotas: QuotaLedger,
     /// Number of attempt numbers used in this epoch.
-    attempts: u64,
+    attempt_counter: u64,
     start_log: StartLog,
     /// Machines to which starts or stops are to be sent.
     pending_commands: BTreeSet<MachineIndex>,
@@ -129,7 +129,7 @@
             jobs: JobTable::default(),
             machines: MachineRegistry::default(),
             quotas,
-            attempts: 0,
+            attempt_counter: 0,
             start_log: StartLog::default(),
             pending_commands: BTreeSet::new(),
             image_holders: ImageHolders::default(),
@@ -242,7 +242,7 @@
     /// Reports whether this epoch has to end because its attempt numbers are used up.
     #[must_use]
     pub fn has_exhausted_attempts(&self) -> bool {
-        self.attempts >= MAX_ATTEMPTS_PER_EPOCH
+        self.attempt_counter >= MAX_ATTEMPTS_PER_EPOCH
     }
 
     fn machine(&self, index: MachineIndex) -> &Machine {
--- a/src/scheduler/scheduling_pass.rs
+++ b/src/scheduler/scheduling_pass.rs
@@ -210,7 +210,7 @@
     fn assign_shares(&mut self, index: JobIndex, shares: &[Share<MachineIndex>], tasks: u32) {
         let is_gang = self.job(index).is_gang();
         // All tasks of a gang share one attempt number.
-        self.attempts += u64::from(is_gang);
+        self.attempt_counter += u64::from(is_gang);
         let mut left = tasks;
         for share in shares {
             let machine = share.machine;
@@ -225,8 +225,8 @@
                 let Some(number) = self.job_mut(index).take_next_pending() else {
                     return;
                 };
-                self.attempts += u64::from(!is_gang);
-                let attempt = (self.epoch.as_u64() << EPOCH_SHIFT) + self.attempts;
+                self.attempt_counter += u64::from(!is_gang);
+                let attempt = (self.epoch.as_u64() << EPOCH_SHIFT) + self.attempt_counter;
                 let task = TaskId { job: index, number };
                 self.apply_event(task, TaskEvent::Assign { machine, attempt });
                 left -= 1;
--- a/src/scheduler/tests/large_fleets.rs
+++ b/src/scheduler/tests/large_fleets.rs
@@ -99,7 +99,7 @@
 fn an_epoch_ends_before_its_attempts_reach_those_of_the_next() {
     let mut cluster = Cluster::new();
     cluster.add_machine("n-1", "a");
-    cluster.scheduler.attempts = MAX_ATTEMPTS_PER_EPOCH - 1;
+    cluster.scheduler.attempt_counter = MAX_ATTEMPTS_PER_EPOCH - 1;
     cluster.submit(spec("wk-1", 1), 1);
     let last = starts(&cluster.heartbeat("n-1", &[]));
     assert!(
