--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -27,7 +27,7 @@
 /// drift by up to 0.05%; the factor allows for twice as much.
 const CLOCK_DRIFT_FACTOR: f64 = 1.001;
 /// Constant part of the margin in [`Settings::grace_period`], in seconds.
-const STOP_MARGIN_S: f64 = 1.5;
+const GRACE_PERIOD_MARGIN_S: f64 = 1.5;
 
 /// All settings of a controller.
 #[derive(Debug, Clone)]
@@ -76,7 +76,7 @@
     pub fn grace_period(&self) -> Duration {
         let workers = &self.platform.deployment.workers;
         // Covers the leader lease and, for stop commands that are sent late, two heartbeats and their replies.
-        let margin = self.operator.leader_lease_s + STOP_MARGIN_S + 2.0 * workers.report_s;
+        let margin = self.operator.leader_lease_s + GRACE_PERIOD_MARGIN_S + 2.0 * workers.report_s;
         duration_from_secs(workers.cancel_s - workers.lease_s * CLOCK_DRIFT_FACTOR - margin)
     }
 }
--- a/src/controller/tests/simulation/cluster/leadership.rs
+++ b/src/controller/tests/simulation/cluster/leadership.rs
@@ -10,7 +10,7 @@
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time for which a controller does not campaign after it lost an election.
-const LOST_ELECTION_BACKOFF: Duration = Duration::from_millis(200);
+const LOST_CAMPAIGN_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Time for which a controller does not campaign after it stepped down.
 const STEP_DOWN_BACKOFF: Duration = Duration::from_secs(10);
@@ -121,7 +121,7 @@
             });
         } else {
             controller.apply_leadership_event(LeadershipEvent::CampaignLost);
-            controller.back_off_campaigns(LOST_ELECTION_BACKOFF);
+            controller.back_off_campaigns(LOST_CAMPAIGN_BACKOFF);
             self.store.revoke_lease(lease_id);
         }
     }
