--- a/src/controller/cloud/mod.rs
+++ b/src/controller/cloud/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - `machine_types` refreshes the catalogue of machine types.
 //! - `adoption` creates rental records for unregistered machines.
-//! - `releases` releases machines.
+//! - `releases` releases the machines that the scheduler has marked for it.
 //! - `machine_list` reconciles the scheduler with the cloud's list of machines.
 //! - `rentals` rents machines.
 //!
--- a/src/scheduler/utilization.rs
+++ b/src/scheduler/utilization.rs
@@ -81,9 +81,7 @@
 
     /// Lets draining surplus machines accept tasks again, except those with a termination notice.
     pub fn restore_surplus_machines(&mut self) {
-        let usable = |machine: &Machine| {
-            machine.drains_as_surplus() && !machine.eviction.has_termination_notice()
-        };
+        let usable = |m: &Machine| m.drains_as_surplus() && !m.eviction.has_termination_notice();
         for index in self.machines.indices() {
             if self.machines.get(index).is_some_and(usable) {
                 self.set_machine_state(index, MachineState::Up, "needed again");
