--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -50,7 +50,7 @@
     UnmetDemand {
         task_resources: Resources {
             cpu_milli: 8000,
-            accelerator_milli: 0,
+            gpu_milli: 0,
             memory_mb: 1000,
         },
         tasks,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -73,10 +73,10 @@
     /// Limit on CPUs in use.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed accelerators.
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit on accelerators in use.
+    /// Limit on GPUs in use.
     #[serde(default)]
     pub gpus_max: f64,
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -29,8 +29,8 @@
 pub enum ResourceClass {
     /// CPU is the dominant resource.
     Cpu,
-    /// Accelerators are the dominant resource.
-    Accelerator,
+    /// GPUs are the dominant resource.
+    Gpu,
     /// Memory is the dominant resource.
     Memory,
 }
@@ -39,7 +39,7 @@
     /// All classes.
     pub const ALL: [ResourceClass; 3] = [
         ResourceClass::Cpu,
-        ResourceClass::Accelerator,
+        ResourceClass::Gpu,
         ResourceClass::Memory,
     ];
 
@@ -48,12 +48,12 @@
     pub fn of(requested: Resources, largest: Resources) -> ResourceClass {
         let share = |amount: u64, largest: u64| amount as f64 / largest.max(1) as f64;
         let cpu = share(requested.cpu_milli, largest.cpu_milli);
-        let accelerator = share(requested.accelerator_milli, largest.accelerator_milli);
+        let gpu = share(requested.gpu_milli, largest.gpu_milli);
         let memory = share(requested.memory_mb, largest.memory_mb);
-        if memory > cpu.max(accelerator) {
+        if memory > cpu.max(gpu) {
             ResourceClass::Memory
-        } else if accelerator > cpu {
-            ResourceClass::Accelerator
+        } else if gpu > cpu {
+            ResourceClass::Gpu
         } else {
             ResourceClass::Cpu
         }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -130,23 +130,23 @@
 
 #[test]
 fn capability_is_the_inverse_of_the_mean_ratio() {
-    let (cpu, accelerator) = (ResourceClass::Cpu, ResourceClass::Accelerator);
+    let (cpu, gpu) = (ResourceClass::Cpu, ResourceClass::Gpu);
     let mut capability = Capability::default();
     assert_eq!(capability.get(cpu), None);
     capability.record(cpu, 2.0);
     assert_eq!(capability.get(cpu), Some(0.5));
     capability.record(cpu, 1.0);
-    assert!(capability.get(cpu).unwrap() > 0.5 && capability.get(accelerator).is_none());
+    assert!(capability.get(cpu).unwrap() > 0.5 && capability.get(gpu).is_none());
     assert_eq!(
         ResourceClass::of(
             Resources {
                 cpu_milli: 4000,
-                accelerator_milli: 0,
+                gpu_milli: 0,
                 memory_mb: 13
             },
             Resources {
                 cpu_milli: 64000,
-                accelerator_milli: 1,
+                gpu_milli: 1,
                 memory_mb: 256
             }
         ),
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -13,7 +13,7 @@
     /// CPUs of a machine.
     #[serde(rename = "cores", deserialize_with = "finite_number")]
     pub cpus: f64,
-    /// Accelerators of a machine.
+    /// GPUs of a machine.
     #[serde(rename = "cards", deserialize_with = "finite_number")]
     pub gpus: f64,
     /// Memory of a machine, in GB.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -57,7 +57,7 @@
     /// Number of CPUs.
     #[serde(rename = "cores", deserialize_with = "finite_number")]
     pub cpus: f64,
-    /// Number of accelerators.
+    /// Number of GPUs.
     #[serde(rename = "cards", deserialize_with = "finite_number")]
     pub gpus: f64,
     /// Memory, in GB.
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -1,4 +1,4 @@
-//! Amounts of CPUs, accelerators and memory. Amounts are integers, so that sums and differences are exact.
+//! Amounts of CPUs, GPUs and memory. Amounts are integers, so that sums and differences are exact.
 
 #[cfg(test)]
 mod tests;
@@ -10,8 +10,8 @@
 pub struct Resources {
     /// CPUs in thousandths.
     pub cpu_milli: u64,
-    /// Accelerators in thousandths.
-    pub accelerator_milli: u64,
+    /// GPUs in thousandths.
+    pub gpu_milli: u64,
     /// Memory in MB.
     pub memory_mb: u64,
 }
@@ -21,22 +21,22 @@
 pub struct QuotaResources {
     /// CPUs in thousandths.
     pub cpu_milli: u64,
-    /// Accelerators in thousandths.
-    pub accelerator_milli: u64,
+    /// GPUs in thousandths.
+    pub gpu_milli: u64,
 }
 
 impl Resources {
     /// No resources.
     pub const ZERO: Resources = Resources {
         cpu_milli: 0,
-        accelerator_milli: 0,
+        gpu_milli: 0,
         memory_mb: 0,
     };
 
     /// One unit, which is the smallest amount, of every resource.
     pub const ONE: Resources = Resources {
         cpu_milli: 1,
-        accelerator_milli: 1,
+        gpu_milli: 1,
         memory_mb: 1,
     };
 
@@ -46,7 +46,7 @@
     pub fn requested(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
         Resources {
             cpu_milli: thousandths_rounded_up(cpus),
-            accelerator_milli: thousandths_rounded_up(gpus),
+            gpu_milli: thousandths_rounded_up(gpus),
             memory_mb: thousandths_rounded_up(memory_gb),
         }
     }
@@ -56,7 +56,7 @@
     pub fn capacity(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
         Resources {
             cpu_milli: thousandths_rounded_down(cpus),
-            accelerator_milli: thousandths_rounded_down(gpus),
+            gpu_milli: thousandths_rounded_down(gpus),
             memory_mb: thousandths_rounded_down(memory_gb),
         }
     }
@@ -66,14 +66,11 @@
     pub fn count_fitting(self, available: Resources) -> u32 {
         let Resources {
             cpu_milli,
-            accelerator_milli,
+            gpu_milli,
             memory_mb,
         } = self;
         let count = times_fitting(available.cpu_milli, cpu_milli)
-            .min(times_fitting(
-                available.accelerator_milli,
-                accelerator_milli,
-            ))
+            .min(times_fitting(available.gpu_milli, gpu_milli))
             .min(times_fitting(available.memory_mb, memory_mb));
         saturating_u32(count)
     }
@@ -88,7 +85,7 @@
     #[must_use]
     pub fn covers(self, other: Resources) -> bool {
         self.cpu_milli >= other.cpu_milli
-            && self.accelerator_milli >= other.accelerator_milli
+            && self.gpu_milli >= other.gpu_milli
             && self.memory_mb >= other.memory_mb
     }
 
@@ -110,7 +107,7 @@
         let count = u64::from(count);
         Resources {
             cpu_milli: self.cpu_milli.saturating_mul(count),
-            accelerator_milli: self.accelerator_milli.saturating_mul(count),
+            gpu_milli: self.gpu_milli.saturating_mul(count),
             memory_mb: self.memory_mb.saturating_mul(count),
         }
     }
@@ -132,7 +129,7 @@
     pub fn quota(self) -> QuotaResources {
         QuotaResources {
             cpu_milli: self.cpu_milli,
-            accelerator_milli: self.accelerator_milli,
+            gpu_milli: self.gpu_milli,
         }
     }
 
@@ -140,7 +137,7 @@
     fn combine(self, other: Resources, operation: impl Fn(u64, u64) -> u64) -> Resources {
         Resources {
             cpu_milli: operation(self.cpu_milli, other.cpu_milli),
-            accelerator_milli: operation(self.accelerator_milli, other.accelerator_milli),
+            gpu_milli: operation(self.gpu_milli, other.gpu_milli),
             memory_mb: operation(self.memory_mb, other.memory_mb),
         }
     }
@@ -150,25 +147,25 @@
     /// No resources.
     pub const ZERO: QuotaResources = QuotaResources {
         cpu_milli: 0,
-        accelerator_milli: 0,
+        gpu_milli: 0,
     };
 
     /// An amount that limits no resource.
     pub const UNLIMITED: QuotaResources = QuotaResources {
         cpu_milli: u64::MAX,
-        accelerator_milli: u64::MAX,
+        gpu_milli: u64::MAX,
     };
 
-    /// Creates a guarantee of CPUs and accelerators.
+    /// Creates a guarantee of CPUs and GPUs.
     #[must_use]
     pub fn guarantee(cpus: f64, gpus: f64) -> QuotaResources {
         QuotaResources {
             cpu_milli: whole_thousandths(cpus),
-            accelerator_milli: whole_thousandths(gpus),
+            gpu_milli: whole_thousandths(gpus),
         }
     }
 
-    /// Creates a limit on CPUs and accelerators. An amount of 0 means unlimited.
+    /// Creates a limit on CPUs and GPUs. An amount of 0 means unlimited.
     #[must_use]
     pub fn limit(cpus: f64, gpus: f64) -> QuotaResources {
         let limit = |amount: f64| {
@@ -180,17 +177,15 @@
         };
         QuotaResources {
             cpu_milli: limit(cpus),
-            accelerator_milli: limit(gpus),
+            gpu_milli: limit(gpus),
         }
     }
 
     /// Returns how many times these resources fit into `available`. A resource whose amount is 0 does not limit the count.
     #[must_use]
     pub fn count_fitting(self, available: QuotaResources) -> u32 {
-        let count = times_fitting(available.cpu_milli, self.cpu_milli).min(times_fitting(
-            available.accelerator_milli,
-            self.accelerator_milli,
-        ));
+        let count = times_fitting(available.cpu_milli, self.cpu_milli)
+            .min(times_fitting(available.gpu_milli, self.gpu_milli));
         saturating_u32(count)
     }
 
@@ -218,7 +213,7 @@
         let count = u64::from(count);
         QuotaResources {
             cpu_milli: self.cpu_milli.saturating_mul(count),
-            accelerator_milli: self.accelerator_milli.saturating_mul(count),
+            gpu_milli: self.gpu_milli.saturating_mul(count),
         }
     }
 
@@ -226,7 +221,7 @@
     fn combine(self, other: QuotaResources, operation: impl Fn(u64, u64) -> u64) -> QuotaResources {
         QuotaResources {
             cpu_milli: operation(self.cpu_milli, other.cpu_milli),
-            accelerator_milli: operation(self.accelerator_milli, other.accelerator_milli),
+            gpu_milli: operation(self.gpu_milli, other.gpu_milli),
         }
     }
 }
@@ -234,14 +229,14 @@
 impl AddAssign for QuotaResources {
     fn add_assign(&mut self, other: QuotaResources) {
         self.cpu_milli += other.cpu_milli;
-        self.accelerator_milli += other.accelerator_milli;
+        self.gpu_milli += other.gpu_milli;
     }
 }
 
 impl SubAssign for QuotaResources {
     fn sub_assign(&mut self, other: QuotaResources) {
         self.cpu_milli -= other.cpu_milli;
-        self.accelerator_milli -= other.accelerator_milli;
+        self.gpu_milli -= other.gpu_milli;
     }
 }
 
--- a/src/resources/tests.rs
+++ b/src/resources/tests.rs
@@ -4,7 +4,7 @@
 
 const TASK: Resources = Resources {
     cpu_milli: 2000,
-    accelerator_milli: 0,
+    gpu_milli: 0,
     memory_mb: 3000,
 };
 
@@ -22,7 +22,7 @@
     assert_eq!(Resources::requested(0.0001, 0.0, 0.1 + 0.2).cpu_milli, 1);
     assert_eq!(Resources::requested(0.0, 0.0, 0.1 + 0.2).memory_mb, 300);
     assert_eq!(Resources::capacity(1.9999, -1.0, 0.0).cpu_milli, 1999);
-    assert_eq!(Resources::capacity(1.9999, -1.0, 0.0).accelerator_milli, 0);
+    assert_eq!(Resources::capacity(1.9999, -1.0, 0.0).gpu_milli, 0);
 }
 
 #[test]
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -55,8 +55,8 @@
                 *requested = requested.saturating_add(amount);
                 !job.is_final
                     && requested.cpu_milli <= guarantee.cpu_milli
-                    && (job.task_resources.accelerator_milli == 0
-                        || requested.accelerator_milli <= guarantee.accelerator_milli)
+                    && (job.task_resources.gpu_milli == 0
+                        || requested.gpu_milli <= guarantee.gpu_milli)
             });
             if job.placeable(now) > 0 && job.retry_at <= now {
                 queue.push(index);
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -21,7 +21,7 @@
             name: name.into(),
             guarantee: QuotaResources {
                 cpu_milli: guarantee,
-                accelerator_milli: 0,
+                gpu_milli: 0,
             },
             limit: QuotaResources {
                 cpu_milli: cpu_limit_milli,
