--- a/src/controller/state/durable_writes.rs
+++ b/src/controller/state/durable_writes.rs
@@ -99,7 +99,7 @@
         let chunks = self
             .scheduler
             .as_ref()?
-            .unsaved_chunks(self.max_batch_changes());
+            .unstored_chunks(self.max_batch_changes());
         if chunks.is_empty() {
             return None;
         }
@@ -134,7 +134,7 @@
             .is_some_and(|term| term.epoch_version == epoch.version);
         if let Some(scheduler) = self.scheduler.as_mut().filter(|_| same_term) {
             for chunk in chunks {
-                scheduler.record_saved(chunk);
+                scheduler.record_stored(chunk);
             }
         }
     }
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -53,14 +53,14 @@
             }
             self.finish_task(machine, task, active);
         }
-        self.job(task.job).saved.contains(task.number)
+        self.job(task.job).stored.contains(task.number)
     }
 
     /// Marks a task as done. Its result is still to be written to the store.
     fn finish_task(&mut self, machine: MachineIndex, task: TaskId, active: Option<TaskAttempt>) {
         let now = self.now();
         self.job_mut(task.job).record_result(task.number);
-        self.jobs.mark_unsaved(task, now);
+        self.jobs.mark_unstored(task, now);
         if let Some(active) = active {
             if active.phase == Phase::Running {
                 let took = now.saturating_duration_since(active.since);
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -41,7 +41,7 @@
     /// Tasks that have finished.
     pub(super) done: TaskBitmap,
     /// Finished tasks whose result is stored durably.
-    pub(super) saved: TaskBitmap,
+    pub(super) stored: TaskBitmap,
     /// Tasks that are or may be on a machine, by their number.
     pub(super) active: BTreeMap<u32, TaskAttempt>,
     pub(super) pending: PendingTasks,
@@ -91,7 +91,7 @@
             machine_types: placement.machine_types,
             zone: placement.zone,
             is_final: false,
-            saved: results.clone(),
+            stored: results.clone(),
             done: results,
             active: BTreeMap::new(),
             pending: PendingTasks::default(),
--- a/src/scheduler/job_table.rs
+++ b/src/scheduler/job_table.rs
@@ -38,7 +38,7 @@
     /// All jobs, the oldest submission first.
     by_submission: Vec<JobIndex>,
     /// Chunks with results that are not stored yet, and since when they have waited.
-    unsaved_since: BTreeMap<ChunkId, Timestamp>,
+    unstored_since: BTreeMap<ChunkId, Timestamp>,
 }
 
 impl JobTable {
@@ -64,7 +64,7 @@
         let job = self.jobs[index].take()?;
         self.by_submission.retain(|other| *other != index);
         self.free_indices.push(index);
-        self.unsaved_since.retain(|chunk, _| chunk.job != index);
+        self.unstored_since.retain(|chunk, _| chunk.job != index);
         self.by_id.remove(job.id());
         Some(job)
     }
@@ -117,19 +117,19 @@
     }
 
     /// Records that a task has finished and its result has to be stored.
-    pub(super) fn mark_unsaved(&mut self, task: TaskId, now: Timestamp) {
+    pub(super) fn mark_unstored(&mut self, task: TaskId, now: Timestamp) {
         let chunk = ChunkId {
             job: task.job,
             chunk: task.number / TASKS_PER_CHUNK,
         };
-        self.unsaved_since.entry(chunk).or_insert(now);
+        self.unstored_since.entry(chunk).or_insert(now);
     }
 
     /// Returns at most `max_chunks` chunks with results that are not stored yet, the longest waiting first. Chunks of complete
     /// jobs are left out, since such a job is recorded as finished as a whole.
-    pub(super) fn unsaved_chunks(&self, max_chunks: usize) -> Vec<DoneChunk> {
+    pub(super) fn unstored_chunks(&self, max_chunks: usize) -> Vec<DoneChunk> {
         let mut oldest: Vec<(Timestamp, ChunkId)> = self
-            .unsaved_since
+            .unstored_since
             .iter()
             .map(|(chunk, since)| (*since, *chunk))
             .collect();
@@ -154,22 +154,22 @@
     }
 
     /// Records that the results of a chunk are stored durably.
-    pub(super) fn record_saved(&mut self, stored: &DoneChunk, now: Timestamp) {
+    pub(super) fn record_stored(&mut self, stored: &DoneChunk, now: Timestamp) {
         let Some(index) = self.index_of(&stored.job) else {
             return;
         };
         let job = &mut self[index];
-        job.saved.insert_chunk(stored.chunk, &stored.bits);
-        let all_saved = job.done.chunk(stored.chunk) == job.saved.chunk(stored.chunk);
+        job.stored.insert_chunk(stored.chunk, &stored.bits);
+        let all_stored = job.done.chunk(stored.chunk) == job.stored.chunk(stored.chunk);
         let chunk = ChunkId {
             job: index,
             chunk: stored.chunk,
         };
-        if all_saved {
-            self.unsaved_since.remove(&chunk);
+        if all_stored {
+            self.unstored_since.remove(&chunk);
         } else {
             // More tasks have finished since the chunk was read: it waits again, behind the other chunks.
-            self.unsaved_since.insert(chunk, now);
+            self.unstored_since.insert(chunk, now);
         }
     }
 }
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -50,14 +50,14 @@
             }
             return;
         }
-        let mut saved = TaskBitmap::new(record.spec.tasks);
+        let mut stored = TaskBitmap::new(record.spec.tasks);
         for (chunk, bits) in results {
-            saved.insert_chunk(*chunk, bits);
+            stored.insert_chunk(*chunk, bits);
         }
         let age = Duration::from_millis(unix_millis.saturating_sub(record.at_ms));
         let submitted_at = self.now().saturating_sub(age);
         let placement = self.job_placement(&record.spec);
-        let job = Job::new(record, version, placement, saved, submitted_at, self.now());
+        let job = Job::new(record, version, placement, stored, submitted_at, self.now());
         let index = self.jobs.insert(job);
         if is_final {
             self.mark_final(index);
@@ -145,14 +145,14 @@
 
     /// Returns at most `max_chunks` chunks with results that are not stored yet, the longest waiting first.
     #[must_use]
-    pub fn unsaved_chunks(&self, max_chunks: usize) -> Vec<DoneChunk> {
-        self.jobs.unsaved_chunks(max_chunks)
+    pub fn unstored_chunks(&self, max_chunks: usize) -> Vec<DoneChunk> {
+        self.jobs.unstored_chunks(max_chunks)
     }
 
     /// Records that the results of a chunk are stored durably.
-    pub fn record_saved(&mut self, stored: &DoneChunk) {
+    pub fn record_stored(&mut self, stored: &DoneChunk) {
         let now = self.now();
-        self.jobs.record_saved(stored, now);
+        self.jobs.record_stored(stored, now);
     }
 
     /// Returns all jobs that are unfinished or still being stopped.
--- a/src/scheduler/tests/proofs.rs
+++ b/src/scheduler/tests/proofs.rs
@@ -74,9 +74,9 @@
     let running = |i: usize| (tasks[i].0.as_str(), tasks[i].1, TaskState::Running, None);
     assert!(cluster.heartbeat("n-1", &[done(0), running(1)]).is_empty());
     assert!(cluster.scheduler.complete_jobs().is_empty());
-    let chunks = cluster.scheduler.unsaved_chunks(9);
+    let chunks = cluster.scheduler.unstored_chunks(9);
     assert_eq!(chunks.len(), 1);
-    cluster.scheduler.record_saved(&chunks[0]);
+    cluster.scheduler.record_stored(&chunks[0]);
     let commands = cluster.heartbeat("n-1", &[done(0), running(1)]);
     assert!(matches!(commands[..], [Command::Forget { .. }]));
     assert!(cluster.scheduler.complete_jobs().is_empty());
