--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -169,14 +169,14 @@
     now: Timestamp,
 ) -> Vec<RentalRequest> {
     let utilization = scheduler.utilization();
-    let coming_up = scheduler.booting_cpu_milli();
+    let booting = scheduler.booting_cpu_milli();
     let unreachable = scheduler.unreachable_zones();
     let mut requests = Vec::new();
     for (&zone, reserve) in reserves {
         if unreachable.contains(&zone) {
             continue;
         }
-        let expected = free_cpu_milli(&utilization, zone) + cpu_milli_in(&coming_up, zone);
+        let expected = free_cpu_milli(&utilization, zone) + cpu_milli_in(&booting, zone);
         let shortfall = reserve.saturating_sub(expected);
         if shortfall > 0 {
             requests.extend(headroom_request(scheduler, zone, shortfall, offers, now));
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -82,8 +82,8 @@
             machine: index,
             capability: machine
                 .capability
-                .get(job.class)
-                .unwrap_or_else(|| pass.mean_capability.get(job.class)),
+                .get(job.resource_class)
+                .unwrap_or_else(|| pass.mean_capability.get(job.resource_class)),
             holds_image: true,
             free_slots: 0,
             next_slots_s: Vec::new(),
@@ -114,7 +114,7 @@
     /// which other tasks wait already.
     fn next_slots_s(&self, index: MachineIndex, job: &Job, pass: &Pass) -> Vec<f64> {
         let machine = self.machine(index);
-        let capability = machine.capability.get(job.class).unwrap_or(1.0);
+        let capability = machine.capability.get(job.resource_class).unwrap_or(1.0);
         let mut ends_s: Vec<f64> = machine
             .load
             .tasks()
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -75,7 +75,7 @@
     /// Records the run time of a finished task in its job's mean, and updates the machine's speed from its ratio to that mean.
     fn record_run_time(&mut self, machine: MachineIndex, job: JobIndex, took: Duration) {
         let job = self.job_mut(job);
-        let class = job.class;
+        let class = job.resource_class;
         if let Some(ratio) = job.run_times.record(took) {
             let capability = &mut self.machine_mut(machine).capability;
             capability.record(class, ratio);
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -29,7 +29,7 @@
     pub(super) team: Option<TeamIndex>,
     pub(super) image: ImageIndex,
     /// Resource class whose measured machine capability applies to the job.
-    pub(super) class: ResourceClass,
+    pub(super) resource_class: ResourceClass,
     /// Resources of one task.
     pub(super) task_resources: Resources,
     /// Allowed machine types; `None` allows any.
@@ -64,7 +64,7 @@
 pub(super) struct JobPlacement {
     pub(super) team: Option<TeamIndex>,
     pub(super) image: ImageIndex,
-    pub(super) class: ResourceClass,
+    pub(super) resource_class: ResourceClass,
     pub(super) task_resources: Resources,
     pub(super) machine_types: Option<Vec<MachineTypeIndex>>,
     pub(super) zone: Option<ZoneIndex>,
@@ -86,7 +86,7 @@
             submitted_at,
             team: placement.team,
             image: placement.image,
-            class: placement.class,
+            resource_class: placement.resource_class,
             task_resources: placement.task_resources,
             machine_types: placement.machine_types,
             zone: placement.zone,
--- a/src/scheduler/jobs.rs
+++ b/src/scheduler/jobs.rs
@@ -75,7 +75,7 @@
         };
         JobPlacement {
             team: self.quotas.team(&spec.team),
-            class: ResourceClass::of(task_resources, self.largest_machine()),
+            resource_class: ResourceClass::of(task_resources, self.largest_machine()),
             task_resources,
             machine_types: spec
                 .machine_types
