--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -17,7 +17,7 @@
     pub transfer_test: bool,
     /// Whether start commands are also sent directly to workers, instead of only in the replies to heartbeats.
     pub direct_starts: bool,
-    /// Time for which a machine may be idle before it is returned to the cloud, in seconds.
+    /// Time for which a machine may be idle before it is released, in seconds.
     #[serde(rename = "idle_return_s")]
     pub idle_timeout_s: f64,
     /// Time to live of the leader lease, in seconds.
@@ -45,7 +45,7 @@
         duration_from_secs(self.leader_lease_s)
     }
 
-    /// Returns the time for which a machine may be idle before it is returned to the cloud.
+    /// Returns the time for which a machine may be idle before it is released.
     #[must_use]
     pub fn idle_timeout(&self) -> Duration {
         duration_from_secs(self.idle_timeout_s)
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,4 +1,5 @@
-//! The quota ledger: the resources that each team uses, the part that belongs to tasks being stopped, and its limit and guarantee.
+//! The quota ledger: the resources that each team uses, the part of them that belongs to tasks being stopped, and the team's
+//! limit and guarantee.
 //!
 //! A task is charged to its team from its assignment until it is proven gone.
 
