--- a/src/coordination/leadership/tests.rs
+++ b/src/coordination/leadership/tests.rs
@@ -12,7 +12,7 @@
         term: Term {
             epoch: Epoch::new(3),
             epoch_version: Revision::new(9),
-            lease: 1
+            lease_id: 1
         },
         lease_requested_at: at(1000)
     }));
@@ -124,7 +124,7 @@
     for n in 0..1000 {
         read(&mut leadership, 10_500, 30 + n);
     }
-    assert!(leadership.pending_reads.len() <= PENDING_READS_LIMIT);
+    assert!(leadership.pending_reads.len() <= MAX_PENDING_READS);
     leadership.apply(LeadershipEvent::ReplicaAdvanced {
         revision: Revision::new(5000),
     });
@@ -150,7 +150,7 @@
         term: Term {
             epoch: Epoch::new(1),
             epoch_version: Revision::new(1),
-            lease: 1
+            lease_id: 1
         },
         lease_requested_at: at(1)
     }));
--- a/src/scheduler/heartbeat/outcomes.rs
+++ b/src/scheduler/heartbeat/outcomes.rs
@@ -26,7 +26,7 @@
         let job = self.job(task.job);
         let has_result = reason == Some(ExitReason::Done)
             && job.record.spec.kind != JobKind::Service
-            && !job.cancelled;
+            && !job.is_final;
         if has_result {
             return self.handle_result(machine, task, active);
         }
@@ -53,14 +53,14 @@
             }
             self.finish_task(machine, task, active);
         }
-        self.job(task.job).saved.contains(task.number)
+        self.job(task.job).stored.contains(task.number)
     }
 
     /// Marks a task as done. Its result is still to be written to the store.
     fn finish_task(&mut self, machine: MachineIndex, task: TaskId, active: Option<TaskAttempt>) {
         let now = self.now();
         self.job_mut(task.job).record_result(task.number);
-        self.jobs.mark_unsaved(task, now);
+        self.jobs.mark_unstored(task, now);
         if let Some(active) = active {
             if active.phase == Phase::Running {
                 let took = now.saturating_duration_since(active.since);
@@ -75,7 +75,7 @@
     /// Records the run time of a finished task in its job's mean, and updates the machine's speed from its ratio to that mean.
     fn record_run_time(&mut self, machine: MachineIndex, job: JobIndex, took: Duration) {
         let job = self.job_mut(job);
-        let class = job.class;
+        let class = job.resource_class;
         if let Some(ratio) = job.run_times.record(took) {
             let capability = &mut self.machine_mut(machine).capability;
             capability.record(class, ratio);
@@ -146,7 +146,7 @@
                 continue;
             }
             machine.health.forget_job(job);
-            if machine.health.end_quarantine() && !machine.eviction.has_notice() {
+            if machine.health.end_quarantine() && !machine.eviction.has_termination_notice() {
                 self.set_machine_state(
                     index,
                     MachineState::Up,
--- a/src/scheduler/heartbeat/session.rs
+++ b/src/scheduler/heartbeat/session.rs
@@ -31,7 +31,7 @@
         let notice = report
             .termination_notice_s
             .map(|seconds| now + duration_from_secs(seconds));
-        machine.eviction.set_notice(notice);
+        machine.eviction.set_termination_notice(notice);
         last_session != 0 && is_new_session
     }
 
@@ -64,9 +64,9 @@
     /// or not recently, since tasks may be placed there from now on.
     fn record_token_acknowledgement(&mut self, heartbeat: Heartbeat) {
         let now = self.now();
-        let overdue = self.params.heartbeat_interval * 3;
+        let max_gap = self.params.heartbeat_interval * 3;
         let contact = &mut self.machine_mut(heartbeat.machine).contact;
-        let was_unavailable = !contact.acknowledges_token() || contact.is_silent_for(overdue, now);
+        let was_unavailable = !contact.acknowledges_token() || contact.is_silent_for(max_gap, now);
         contact.acknowledge_token(now);
         self.pass_requested |= was_unavailable;
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -96,7 +96,7 @@
     machines: MachineRegistry,
     quotas: QuotaLedger,
     /// Number of attempt numbers used in this epoch.
-    attempts: u64,
+    attempt_counter: u64,
     start_log: StartLog,
     /// Machines to which starts or stops are to be sent.
     pending_commands: BTreeSet<MachineIndex>,
@@ -116,20 +116,20 @@
 impl Scheduler {
     /// Creates an empty scheduler for an epoch that begins now.
     #[must_use]
-    pub fn new(params: Params, epoch: Epoch, now: u64) -> Self {
+    pub fn new(params: Params, epoch: Epoch, now_ms: u64) -> Self {
         let quotas = QuotaLedger::new(&params.teams);
         let fetch_rates = FetchRates::new(params.fetch_gb_per_s);
         Scheduler {
             params,
             epoch,
-            now: Timestamp::from_millis(now),
+            now: Timestamp::from_millis(now_ms),
             machine_types: MachineTypes::default(),
             zones: NameInterner::default(),
             images: NameInterner::default(),
             jobs: JobTable::default(),
             machines: MachineRegistry::default(),
             quotas,
-            attempts: 0,
+            attempt_counter: 0,
             start_log: StartLog::default(),
             pending_commands: BTreeSet::new(),
             image_holders: ImageHolders::default(),
@@ -153,9 +153,9 @@
         self.now
     }
 
-    /// Advances the clock to `now`, in milliseconds. The clock never goes back.
-    pub fn advance_clock(&mut self, now: u64) {
-        self.now = self.now.max(Timestamp::from_millis(now));
+    /// Advances the clock to `now_ms`. The clock never goes back.
+    pub fn advance_clock(&mut self, now_ms: u64) {
+        self.now = self.now.max(Timestamp::from_millis(now_ms));
     }
 
     /// Adds or updates the machine types that the cloud's catalogue lists, and adds their zones.
@@ -242,7 +242,7 @@
     /// Reports whether this epoch has to end because its attempt numbers are used up.
     #[must_use]
     pub fn has_exhausted_attempts(&self) -> bool {
-        self.attempts >= MAX_ATTEMPTS_PER_EPOCH
+        self.attempt_counter >= MAX_ATTEMPTS_PER_EPOCH
     }
 
     fn machine(&self, index: MachineIndex) -> &Machine {
--- a/src/scheduler/start_log/replay.rs
+++ b/src/scheduler/start_log/replay.rs
@@ -53,7 +53,7 @@
     /// Suspends placement until every worker lease of the previous epoch has expired or has been renewed in this epoch. Used
     /// if the previous epoch kept no start log, so that the log does not tell where its tasks may be.
     pub fn wait_for_lease_expiry(&mut self) {
-        let longest = self.params.grace_period + self.params.lease;
+        let longest = self.params.grace_period + self.params.lease_duration;
         self.placement_allowed_from =
             self.now() + longest + longest / LEASE_WAIT_DRIFT_DIVISOR + LEASE_WAIT_MARGIN;
     }
@@ -135,7 +135,7 @@
             phase: Phase::Sent,
         };
         self.apply_event(task, adopt);
-        if self.job(task.job).cancelled {
+        if self.job(task.job).is_final {
             self.apply_event(task, TaskEvent::Stop { save: false });
         }
         // The earlier leader may have renewed the machine's lease until the end of its grace period.
--- a/src/scheduler/tests/cluster.rs
+++ b/src/scheduler/tests/cluster.rs
@@ -21,7 +21,7 @@
             name: name.into(),
             guarantee: QuotaResources {
                 cpu_milli: guarantee,
-                accelerator_milli: 0,
+                gpu_milli: 0,
             },
             limit: QuotaResources {
                 cpu_milli: cpu_limit_milli,
@@ -29,7 +29,7 @@
             },
         };
         let params = Params {
-            lease: ms(LEASE_MS),
+            lease_duration: ms(LEASE_MS),
             heartbeat_interval: ms(1500),
             grace_period: ms(GRACE_PERIOD_MS),
             group_factor: 1.25,
@@ -216,22 +216,22 @@
     }
 
     /// Returns the CPUs of a team's tasks that are being stopped, in thousandths.
-    pub(super) fn cpu_milli_being_evicted(&self, team: &str) -> u64 {
+    pub(super) fn cpu_milli_being_stopped(&self, team: &str) -> u64 {
         let quotas = &self.scheduler.quotas;
-        quotas.being_evicted(quotas.team(team).unwrap()).cpu_milli
+        quotas.being_stopped(quotas.team(team).unwrap()).cpu_milli
     }
 
     /// Advances the clock in ticks of at most 500 ms, so that the scheduler detects no pause of its process.
-    pub(super) fn advance_to(&mut self, now: u64) {
-        while self.scheduler.now().as_millis() + 500 < now {
+    pub(super) fn advance_to(&mut self, now_ms: u64) {
+        while self.scheduler.now().as_millis() + 500 < now_ms {
             self.scheduler.tick(self.scheduler.now().as_millis() + 500);
         }
-        self.scheduler.tick(now);
+        self.scheduler.tick(now_ms);
     }
 
     /// Advances the clock in one tick, then runs a scheduling pass and makes its starts durable.
-    pub(super) fn run_round(&mut self, now: u64) {
-        self.scheduler.tick(now);
+    pub(super) fn run_round(&mut self, now_ms: u64) {
+        self.scheduler.tick(now_ms);
         self.scheduler.request_pass();
         self.scheduler.place();
         self.write_start_log();
