--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -165,7 +165,7 @@
     pub max_connections: usize,
 }
 
-/// Memory per connection in KiB, for its buffers and the state of its requests, as measured (docs/results.md).
+/// Memory per connection in KiB, for its buffers and the state of its requests (docs/results.md).
 const MEMORY_PER_CONNECTION_KIB: f64 = 26.0;
 /// Share of the memory that connections may use.
 const CONNECTION_MEMORY_SHARE: f64 = 0.6;
