--- a/src/controller/tests/fault_combinations/mod.rs
+++ b/src/controller/tests/fault_combinations/mod.rs
@@ -39,6 +39,6 @@
 }
 
 /// Reports whether all four tasks of each of the jobs run.
-fn all_run(simulation: &Simulation, mut numbers: Range<u32>) -> bool {
+fn all_tasks_running(simulation: &Simulation, mut numbers: Range<u32>) -> bool {
     numbers.all(|number| simulation.running_task_count(&job_id(number)) == 4)
 }
--- a/src/controller/tests/fault_combinations/partitions.rs
+++ b/src/controller/tests/fault_combinations/partitions.rs
@@ -2,7 +2,7 @@
 
 use super::super::simulation::faults::IsolatedZone;
 use super::super::simulation::{Simulation, SECOND, WORKER_LEASE};
-use super::{all_run, next_node, submit_long_jobs, third_node};
+use super::{all_tasks_running, next_node, submit_long_jobs, third_node};
 use crate::protocol::{JobKind, JobSpec};
 use crate::scheduler::tests::spec;
 use std::time::Duration;
@@ -127,7 +127,7 @@
     assert!(simulation.running_task_count("wk-0") + simulation.running_task_count("wk-1") == 0);
     simulation.store.accept(old_leader);
     simulation.run(40 * SECOND);
-    assert!(all_run(&simulation, 2..5));
+    assert!(all_tasks_running(&simulation, 2..5));
     simulation.assert_no_violations();
 }
 
--- a/src/controller/tests/fault_combinations/store_refusals.rs
+++ b/src/controller/tests/fault_combinations/store_refusals.rs
@@ -4,7 +4,7 @@
 use super::super::simulation::{
     Simulation, CANCELLATION_DEADLINE, MILLISECOND, SECOND, WORKER_LEASE,
 };
-use super::{all_run, job_id, next_node, submit_long_jobs};
+use super::{all_tasks_running, job_id, next_node, submit_long_jobs};
 use crate::scheduler::tests::spec;
 use std::time::Duration;
 
@@ -91,7 +91,7 @@
         simulation.reconnect_peers();
         simulation.run(60 * SECOND);
         // The jobs that were not cancelled are running.
-        assert!(all_run(&simulation, 2..6));
+        assert!(all_tasks_running(&simulation, 2..6));
         simulation.assert_no_violations();
     }
 }
@@ -124,7 +124,7 @@
         simulation.end_store_outage();
         simulation.reconnect_peers();
         simulation.run(60 * SECOND);
-        assert!(all_run(&simulation, 3..6));
+        assert!(all_tasks_running(&simulation, 3..6));
         simulation.assert_no_violations();
     }
 }
@@ -152,7 +152,7 @@
     simulation.faults.watches_stay_stalled = false;
     simulation.reconnect_peers();
     simulation.run(30 * SECOND);
-    assert!(all_run(&simulation, 1..4));
+    assert!(all_tasks_running(&simulation, 1..4));
     simulation.assert_no_violations();
 }
 
