--- a/src/controller/tests/failover.rs
+++ b/src/controller/tests/failover.rs
@@ -118,9 +118,7 @@
     let _ = controller.replace_replica(replica);
     let now = controller.now();
     controller.apply_leadership_event(LeadershipEvent::CampaignStarted);
-    let EpochClaim { txn, record } = controller
-        .claim_epoch(88)
-        .expect("the leadership is vacant");
+    let EpochClaim { txn, record } = controller.claim_epoch(88).expect("nobody leads");
     assert_eq!(record.number, Epoch::new(7));
     let guarded: Vec<(&str, u64)> = txn
         .guards
--- a/tests/compat/literal.rs
+++ b/tests/compat/literal.rs
@@ -9,7 +9,7 @@
 macro_rules! message {
     ($($literal:tt)+) => {{
         use ciborium::cbor;
-        cbor!($($literal)+).expect("the literal is a CBOR value")
+        cbor!($($literal)+).expect("a literal message")
     }};
 }
 pub(crate) use message;
@@ -17,13 +17,13 @@
 /// Encodes a literal with `ciborium`, independently of the program's own encoder.
 pub(crate) fn to_cbor(literal: &Value) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(literal, &mut bytes).expect("the literal is encoded");
+    ciborium::into_writer(literal, &mut bytes).expect("a literal can be written");
     bytes
 }
 
 /// Decodes a literal with the program's decoder. Panics if the decoder rejects it.
 pub(crate) fn decode_value<T: DeserializeOwned>(literal: &Value) -> T {
-    try_decode_value(literal).expect("the literal is a valid message")
+    try_decode_value(literal).expect("a message of the protocol is read")
 }
 
 /// Decodes a literal with the program's decoder. Returns `None` if the decoder rejects it.
@@ -34,7 +34,7 @@
 /// Encodes a message with the program's encoder and decodes the result with `ciborium`. The value keeps the order of the fields,
 /// so that a comparison with it checks the order as well.
 pub(crate) fn encode_to_value<T: Serialize>(message: &T) -> Value {
-    ciborium::from_reader(encode(message).as_slice()).expect("the encoder writes valid CBOR")
+    ciborium::from_reader(encode(message).as_slice()).expect("the program writes CBOR")
 }
 
 /// Decodes hexadecimal digits. Other characters are skipped, so that spaces can separate groups of digits.
@@ -42,7 +42,7 @@
     let digits: Vec<char> = digits.chars().filter(char::is_ascii_hexdigit).collect();
     digits
         .chunks(2)
-        .map(|pair| u8::from_str_radix(&String::from_iter(pair), 16).expect("hex digits"))
+        .map(|pair| u8::from_str_radix(&String::from_iter(pair), 16).expect("two digits"))
         .collect()
 }
 
@@ -51,7 +51,7 @@
     let mut fields = literal.as_map().expect("a map").clone();
     let before = fields.len();
     fields.retain(|(name, _)| name.as_text() != Some(field));
-    assert_eq!(fields.len() + 1, before, "{field} is not in the literal");
+    assert_eq!(fields.len() + 1, before, "{field} is in the literal");
     Value::Map(fields)
 }
 
@@ -72,11 +72,11 @@
     for field in fields {
         assert!(
             try_decode_value::<T>(&without(literal, field)).is_none(),
-            "accepted although {field} is missing"
+            "{field} is missing"
         );
         assert!(
             try_decode_value::<T>(&with(literal, field, Value::Null)).is_none(),
-            "accepted although {field} is null"
+            "{field} is null"
         );
     }
 }
@@ -97,11 +97,11 @@
     for field in fields {
         for value in &accepted {
             let decoded = try_decode_value::<T>(&with(literal, field, value.clone()));
-            assert!(decoded.is_some(), "{field} rejects {value:?}");
+            assert!(decoded.is_some(), "{field} as {value:?}");
         }
         for value in &rejected {
             let decoded = try_decode_value::<T>(&with(literal, field, value.clone()));
-            assert!(decoded.is_none(), "{field} accepts {value:?}");
+            assert!(decoded.is_none(), "{field} as {value:?}");
         }
     }
 }
--- a/tests/compat/requests.rs
+++ b/tests/compat/requests.rs
@@ -23,8 +23,8 @@
 impl UnavailableService {
     /// Starts the service on a free port.
     fn start() -> UnavailableService {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let address = listener.local_addr().expect("the listener has an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("an address");
         let requests = Arc::new(Mutex::new(Vec::new()));
         let recorded = Arc::clone(&requests);
         std::thread::spawn(move || {
@@ -40,18 +40,11 @@
     fn wait_for_request(&self, prefix: &str) {
         let deadline = Instant::now() + TIMEOUT;
         loop {
-            let requests = self
-                .requests
-                .lock()
-                .expect("the lock is not poisoned")
-                .clone();
+            let requests = self.requests.lock().expect("no panic").clone();
             if requests.iter().any(|request| request.starts_with(prefix)) {
                 return;
             }
-            assert!(
-                Instant::now() < deadline,
-                "no request {prefix} among {requests:?}"
-            );
+            assert!(Instant::now() < deadline, "{prefix} not among {requests:?}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -59,13 +52,10 @@
 
 /// Records the start line of every request on a connection and answers it with 503.
 fn serve_503(stream: TcpStream, requests: &Mutex<Vec<String>>) {
-    let mut writer = stream.try_clone().expect("the socket is duplicated");
+    let mut writer = stream.try_clone().expect("a second handle");
     let mut reader = BufReader::new(stream);
     while let Some(request) = read_message(&mut reader) {
-        requests
-            .lock()
-            .expect("the lock is not poisoned")
-            .push(request.start_line);
+        requests.lock().expect("no panic").push(request.start_line);
         if writer
             .write_all(b"HTTP/1.1 503 \r\ncontent-length: 0\r\n\r\n")
             .is_err()
@@ -91,18 +81,14 @@
 
     /// Returns the status code of a response.
     fn status(&self) -> u16 {
-        let status = self
-            .start_line
-            .split(' ')
-            .nth(1)
-            .expect("the start line has a status code");
-        status.parse().expect("the status code is a number")
+        let status = self.start_line.split(' ').nth(1).expect("a status");
+        status.parse().expect("a number")
     }
 
     /// Decodes the CBOR body.
     fn cbor_body(&self) -> Value {
         assert_eq!(self.header("content-type"), Some("application/cbor"));
-        ciborium::from_reader(self.body.as_slice()).expect("the body is CBOR")
+        ciborium::from_reader(self.body.as_slice()).expect("CBOR")
     }
 }
 
@@ -126,7 +112,7 @@
         .map(|(name, value)| (name.to_lowercase(), value.trim().to_string()))
         .collect();
     let length = headers.iter().find(|(name, _)| name == "content-length");
-    let length = length.map_or(0, |(_, value)| value.parse().expect("a number"));
+    let length = length.map_or(0, |(_, value)| value.parse().expect("a length"));
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     Some(HttpMessage {
@@ -156,7 +142,7 @@
             cloud.address, state.address
         );
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
-        std::fs::write(&path, settings).expect("the settings file is written");
+        std::fs::write(&path, settings).expect("a settings file");
         let process = Command::new(env!("CARGO_BIN_EXE_hollowswitch"))
             .arg("--config")
             .arg(&path)
@@ -201,36 +187,31 @@
     let process = std::process::id().to_le_bytes()[0];
     let host = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
     let listener = TcpListener::bind((Ipv4Addr::new(127, 77, process, host), 0));
-    let listener = listener.expect("a port is free");
-    listener.local_addr().expect("the listener has an address")
+    let listener = listener.expect("a free port");
+    listener.local_addr().expect("an address")
 }
 
 /// Waits until the program accepts connections at an address.
 fn wait_until_listening(address: SocketAddr) {
     let deadline = Instant::now() + TIMEOUT;
     while TcpStream::connect(address).is_err() {
-        assert!(
-            Instant::now() < deadline,
-            "the program does not listen at {address}"
-        );
+        assert!(Instant::now() < deadline, "the program listens");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// Sends a request on a new connection and returns the response.
 fn send_request(address: SocketAddr, method: &str, path: &str, body: &[u8]) -> HttpMessage {
-    let mut stream = TcpStream::connect(address).expect("the connection is opened");
-    stream
-        .set_read_timeout(Some(TIMEOUT))
-        .expect("the timeout is set");
+    let mut stream = TcpStream::connect(address).expect("a connection");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    stream.write_all(head.as_bytes()).expect("the head is sent");
+    stream.write_all(head.as_bytes()).expect("sent");
     // The program may respond and close the connection before it has read all of a large body.
     let _ = stream.write_all(body);
-    read_message(&mut BufReader::new(stream)).expect("a response arrives")
+    read_message(&mut BufReader::new(stream)).expect("an answer")
 }
 
 /// Part of the settings that is the same in all tests.
@@ -406,12 +387,7 @@
     program
         .state
         .wait_for_request("GET /keys?starts=hollowswitch/catalogue&after=&limit=200 HTTP/1.1");
-    assert!(program
-        .cloud
-        .requests
-        .lock()
-        .expect("the lock is not poisoned")
-        .is_empty());
+    assert!(program.cloud.requests.lock().expect("no panic").is_empty());
 }
 
 #[test]
@@ -420,8 +396,8 @@
         let output = Command::new(env!("CARGO_BIN_EXE_hollowswitch"))
             .args(arguments)
             .output()
-            .expect("the program starts");
-        let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("the output is UTF-8");
+            .expect("the program runs");
+        let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
         (
             output.status.code(),
             text(output.stdout),
@@ -438,12 +414,7 @@
     let addresses = "node = \"drover-0\"\nzone = \"a\"\napi_addr = \"127.0.0.1:1\"\n\
                      internal_addr = \"127.0.0.1:2\"\n[external]\ncloud = \"127.0.0.1:3\"\n\
                      state = \"127.0.0.1:4\"\n";
-    std::fs::write(&path, format!("{addresses}{DEPLOYMENT_SETTINGS}"))
-        .expect("the settings file is written");
-    let (status, output, _) = run_with(&[
-        "--check",
-        "--config",
-        path.to_str().expect("the path is UTF-8"),
-    ]);
+    std::fs::write(&path, format!("{addresses}{DEPLOYMENT_SETTINGS}")).expect("a settings file");
+    let (status, output, _) = run_with(&["--check", "--config", path.to_str().expect("text")]);
     assert_eq!((status, output.as_str()), (Some(0), "settings are valid\n"));
 }
--- a/tests/compat/settings.rs
+++ b/tests/compat/settings.rs
@@ -89,9 +89,9 @@
     static NEXT_FOLDER: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("settings-{number}"));
-    std::fs::create_dir_all(&folder).expect("the folder is created");
+    std::fs::create_dir_all(&folder).expect("a folder for tests");
     let path = folder.join(name);
-    std::fs::write(&path, text).expect("the file is written");
+    std::fs::write(&path, text).expect("a settings file");
     path
 }
 
@@ -103,7 +103,7 @@
 }
 
 fn address(text: &str) -> SocketAddr {
-    text.parse().expect("the text is a socket address")
+    text.parse().expect("an address")
 }
 
 #[test]
@@ -180,10 +180,7 @@
         .lines()
         .filter(|line| !line.starts_with(prefix))
         .collect();
-    assert!(
-        kept.len() < text.lines().count(),
-        "no line begins with {prefix}"
-    );
+    assert!(kept.len() < text.lines().count(), "{prefix} is in the file");
     kept.join("\n")
 }
 
@@ -302,8 +299,8 @@
 
 /// Asserts that [`PLATFORM`] with `from` replaced by `to` is rejected with this reason.
 fn assert_rejected(from: &str, to: &str, reason: &str) {
-    assert!(PLATFORM.contains(from), "{from} is not in the file");
-    let error = load(&PLATFORM.replacen(from, to, 1), None).expect_err("the settings are rejected");
+    assert!(PLATFORM.contains(from), "{from}");
+    let error = load(&PLATFORM.replacen(from, to, 1), None).expect_err("refused");
     let expected = format!("platform.toml: {reason}");
     assert!(error.ends_with(&expected), "{error}");
 }
--- a/tests/compat/state_service.rs
+++ b/tests/compat/state_service.rs
@@ -162,7 +162,7 @@
         version: deleted_at,
     }] = watched.events.as_slice()
     else {
-        panic!("expected a put and a delete: {:?}", watched.events);
+        panic!("a put and a removal: {:?}", watched.events);
     };
     assert_eq!(
         (put.as_str(), value, version.as_u64()),
@@ -184,7 +184,7 @@
     let null = message!({"put" => "c/9", "v" => null, "drop" => null, "stamp" => 1});
     for literal in [absent, null] {
         let Event::Put { value, .. } = decode_value::<Event>(&literal) else {
-            panic!("expected a put");
+            panic!("a write");
         };
         assert_eq!(value, Value::Null);
     }
--- a/tests/compat/stored_records/unreadable.rs
+++ b/tests/compat/stored_records/unreadable.rs
@@ -12,10 +12,7 @@
 
 impl Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        self.0
-            .lock()
-            .expect("the lock is not poisoned")
-            .extend(bytes);
+        self.0.lock().expect("one thread writes").extend(bytes);
         Ok(bytes.len())
     }
 
--- a/tests/compat/users.rs
+++ b/tests/compat/users.rs
@@ -281,7 +281,7 @@
 fn validation_error(change: impl FnOnce(&mut JobSpec)) -> String {
     let mut job = job_spec();
     change(&mut job);
-    job.validate().expect_err("the job is invalid").to_string()
+    job.validate().expect_err("refused").to_string()
 }
 
 #[test]
--- a/tests/compat/wire_names.rs
+++ b/tests/compat/wire_names.rs
@@ -23,8 +23,8 @@
 
 /// Returns all Rust files below a folder.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("the folder is readable");
-    let paths = entries.map(|entry| entry.expect("the entry is readable").path());
+    let entries = fs::read_dir(folder).expect("a folder of sources");
+    let paths = entries.map(|entry| entry.expect("an entry").path());
     paths
         .flat_map(|path| {
             if path.is_dir() {
@@ -41,7 +41,7 @@
 fn protocol_names() -> BTreeSet<String> {
     rust_files(&source_folder().join("protocol"))
         .iter()
-        .map(|file| fs::read_to_string(file).expect("the source is readable"))
+        .map(|file| fs::read_to_string(file).expect("a source"))
         .flat_map(|source| {
             let attributes = source.split("rename = \"").skip(1);
             let names = attributes.filter_map(|rest| rest.split('"').next());
@@ -73,18 +73,16 @@
     let folder = source_folder();
     let names = protocol_names();
     for name in ["baton", "chore", "crew", "foreman", "hire", "lane", "tally"] {
-        assert!(names.contains(name), "{name} was not found in src/protocol");
+        assert!(names.contains(name), "{name} is a name of the protocol");
     }
     let mut violations = Vec::new();
     for file in rust_files(&folder) {
-        let path = file
-            .strip_prefix(&folder)
-            .expect("the file is below the folder");
-        let path = path.to_str().expect("the path is UTF-8");
+        let path = file.strip_prefix(&folder).expect("below the folder");
+        let path = path.to_str().expect("text");
         if may_use_names(path) {
             continue;
         }
-        let source = fs::read_to_string(&file).expect("the source is readable");
+        let source = fs::read_to_string(&file).expect("a source");
         for (number, line) in source.lines().enumerate() {
             let used = words(line).filter(|word| names.contains(*word));
             violations.extend(used.map(|word| format!("{path}:{}: {word}", number + 1)));
@@ -92,6 +90,6 @@
     }
     assert!(
         violations.is_empty(),
-        "names of the protocol used elsewhere: {violations:#?}"
+        "names of the protocol: {violations:#?}"
     );
 }
